--- a/src/main/java/petrelstand/decision/Policy.java
+++ b/src/main/java/petrelstand/decision/Policy.java
@@ -1,8 +1,37 @@
-package petrelstand.decision; // The interface (types, events, actions) is in Scheduling.java.
-
-import java.util.*;
+package petrelstand.decision;
+
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Objects;
+import java.util.Set;
+import java.util.SplittableRandom;
+import java.util.TreeMap;
+import java.util.TreeSet;
 import java.util.stream.Collectors;
-import petrelstand.decision.Scheduling.*;
+import petrelstand.decision.Scheduling.Actions;
+import petrelstand.decision.Scheduling.AttemptEnd;
+import petrelstand.decision.Scheduling.DedupGroup;
+import petrelstand.decision.Scheduling.Discovery;
+import petrelstand.decision.Scheduling.Effect;
+import petrelstand.decision.Scheduling.Events;
+import petrelstand.decision.Scheduling.Learned;
+import petrelstand.decision.Scheduling.LearnedNode;
+import petrelstand.decision.Scheduling.LearnedVolume;
+import petrelstand.decision.Scheduling.ListKind;
+import petrelstand.decision.Scheduling.NodeEntry;
+import petrelstand.decision.Scheduling.NodeState;
+import petrelstand.decision.Scheduling.Outcome;
+import petrelstand.decision.Scheduling.Plan;
+import petrelstand.decision.Scheduling.Request;
+import petrelstand.decision.Scheduling.RequestClass;
+import petrelstand.decision.Scheduling.Rules;
+import petrelstand.decision.Scheduling.Settings;
 
 /** Every decision of a host: admission by deadline emulation, departure under a window, the rules' guards. */
 public final class Policy implements Events {
