--- a/src/main/java/petrelstand/decision/Policy.java
+++ b/src/main/java/petrelstand/decision/Policy.java
@@ -36,8 +36,8 @@
 /** Every decision of a host: admission by deadline emulation, departure under a window, the rules' guards. */
 public final class Policy implements Events {
     /**
-     * Slot of the emulation and of the measured rate, as a part of the tightest aim: aims go with the work
-     * of a request, so what is told in slots holds for sites that are slower or faster by any factor.
+     * Slot of the emulation and of the measured rate, as a part of the tightest aim: aims go with the work of a
+     * request, so what is told in slots holds for sites that are slower or faster by any factor.
      */
     public static final double SLOT_PART = 0.2;
     /** Span of the measured rate, ms: the design's ten seconds. */
@@ -51,8 +51,8 @@
     /** Ceiling of a window, requests: nodes serve in turn of arrival, so what is out cannot give way. */
     public static final double WINDOW_CEILING = 8;
     /**
-     * Requests that all hosts together may keep out at a crowded node: nodes serve a few at once. A host
-     * whose part is below one rests after an answer.
+     * Requests that all hosts together may keep out at a crowded node: nodes serve a few at once. A host whose part is
+     * below one rests after an answer.
      */
     public static final double LEAST_OUT_TOGETHER = 4;
     /** Part of the tightest aim that a node may usually take; the rest is for waiting where order acts. */
@@ -89,6 +89,7 @@
     static final double COLD_ANSWERS = 10, POOL_ANSWERS = 50;
     /** Volumes that a host keeps the stores of; the one longest unused goes first. */
     public static final int MOST_VOLUMES = 4096;
+
     private static final double NEVER = Double.NEGATIVE_INFINITY;
     private static final long TICK = -1, ASK = -2;
 
@@ -105,6 +106,7 @@
     private final SlidingSum slots = new SlidingSum(RATE_SPAN_MS), served = new SlidingSum(RATE_SPAN_MS);
     /** More hosts than a window has room for: each seldom has two requests at a node. */
     private final boolean many;
+
     private final SlidingSum taken, further;
     private long sequence;
     private double forgotMs;
@@ -127,11 +129,13 @@
         final Set<Attempt> open = new LinkedHashSet<>();
         /** The store of its volume that it draws on, reserve or share; null where it is due neither. */
         TokenBucket charged;
+
         double worth;
         Node heldAt;
         boolean closed, streaming;
         /** Units held in its volume's limit: sent, and not known to have reached a node. */
         double unitsHeld;
+
         Attempt mayHaveRun;
 
         Item(double nowMs, Request request) {
@@ -174,14 +178,17 @@
         final SlidingSum coldSent = new SlidingSum(rules.fallMs());
         /** Turn at the node while it is cold and this host's part there is less than a request. */
         final TokenBucket turn = new TokenBucket(0, 1, 0);
+
         double slotUnits;
         boolean slotHeld;
         double window = WINDOW_START;
         /** Weight of the next answer; after a recall 1, then 1/2, 1/3: the first one ends what was known. */
         double learning = LATENCY_WEIGHT;
+
         double latencyMs = latencyStartMs, standingMs;
         /** What a request of mean size took there, as if the node were warm, and over how many answers. */
         double warmMs;
+
         int heard;
         double halvedMs = NEVER, standingAtMs = NEVER, heardMs = NEVER;
         double newestAnsweredMs = NEVER, lastSentMs = NEVER, restUntilMs = NEVER;
@@ -248,7 +255,10 @@
     public void retune(double nowMs, Settings changed) {
         settings = changed;
         rules = changed.rules();
-        tightestAimMs = settings.classes().stream().mapToDouble(RequestClass::aimMs).min().orElseThrow();
+        tightestAimMs = settings.classes().stream()
+                .mapToDouble(RequestClass::aimMs)
+                .min()
+                .orElseThrow();
         slotMs = SLOT_PART * tightestAimMs;
         latencyStartMs = LATENCY_START_SLOTS * slotMs;
     }
@@ -327,25 +337,23 @@
     // ---- Measured rate (minRead) ----
 
     /**
-     * Units a slot: measured in slots with held requests, leaning on the other nodes' mean while these are
-     * few, and no less than what the window and the latest answers show (window over latency). Guards against
-     * a low mean that refuses the very requests that would raise it. Harm: slow answers show late that a node
-     * is overrun.
+     * Units a slot: measured in slots with held requests, leaning on the other nodes' mean while these are few, and no
+     * less than what the window and the latest answers show (window over latency). Guards against a low mean that
+     * refuses the very requests that would raise it. Harm: slow answers show late that a node is overrun.
      */
     private double unitsPerSlot(double nowMs, Node node, Item item) {
         double start = START_REQUESTS_A_SLOT * settings.meanUnits();
         double assumed = (served.sum(nowMs) + start * ASSUMED_SLOTS) / (slots.sum(nowMs) + ASSUMED_SLOTS);
-        double mean = (node.served.sum(nowMs) + assumed * ASSUMED_SLOTS)
-                / (node.slots.sum(nowMs) + ASSUMED_SLOTS);
+        double mean = (node.served.sum(nowMs) + assumed * ASSUMED_SLOTS) / (node.slots.sum(nowMs) + ASSUMED_SLOTS);
         double shown = window(node, item) * settings.meanUnits() * slotMs / node.latencyMs;
         double paced = settings.meanUnits() * slotMs / coldMs(nowMs, node) * coldRest(nowMs, node);
         return cold(nowMs, node) ? Math.min(Math.max(mean, shown), paced) : Math.max(mean, shown);
     }
 
     /**
-     * Counts a slot only where the window kept requests waiting. What waits for a cold budget, a limit, a
-     * key's turn or a silent node says nothing of the rate; counting it refuses work for ten seconds after.
-     * Harm: a node that turns silent again and again keeps the rate of its good moments.
+     * Counts a slot only where the window kept requests waiting. What waits for a cold budget, a limit, a key's turn or
+     * a silent node says nothing of the rate; counting it refuses work for ten seconds after. Harm: a node that turns
+     * silent again and again keeps the rate of its good moments.
      */
     private void endSlot(double nowMs, Node node) {
         if (node.slotHeld) {
@@ -409,7 +417,8 @@
         boolean turns = cold(nowMs, node) && coldRest(nowMs, node) < 1;
         begin += turns ? coldMs(nowMs, node) * (1 - turn(nowMs, node) / coldRest(nowMs, node)) : 0;
         boolean idle = (silent(nowMs, node) ? testDue(nowMs, node) : node.out.isEmpty())
-                && node.held.isEmpty() && withinCold(nowMs, node, added)
+                && node.held.isEmpty()
+                && withinCold(nowMs, node, added)
                 && nowMs + standingMs(nowMs, node) < added.aimMs;
         boolean holds = !node.suspect;
         double units = 0, addedEnd = Double.POSITIVE_INFINITY;
@@ -443,14 +452,15 @@
     }
 
     /**
-     * Departure from the design, in the spirit of buffer stealing: when the emulation fails, held requests of
-     * lesser worth a unit that never ran give way, least first, until it holds.
+     * Departure from the design, in the spirit of buffer stealing: when the emulation fails, held requests of lesser
+     * worth a unit that never ran give way, least first, until it holds.
      */
     private boolean makeRoom(double nowMs, Node node, Item item) {
         Set<Item> gone = new LinkedHashSet<>();
         List<Item> lesser = node.held.stream()
                 .filter(other -> other.worth < item.worth && other.mayHaveRun == null && other.open.isEmpty())
-                .sorted(Comparator.comparingDouble((Item i) -> i.worth).thenComparing(BY_DEADLINE)).toList();
+                .sorted(Comparator.comparingDouble((Item i) -> i.worth).thenComparing(BY_DEADLINE))
+                .toList();
         for (Item other : lesser) {
             gone.add(other);
             if (emulate(nowMs, node, item, gone).holds) {
@@ -469,8 +479,8 @@
             forgotMs = nowMs;
         }
         int setSize = request.setSize() > 0 ? request.setSize() : settings.hosts();
-        Volume volume = volumes.computeIfAbsent(request.volume(),
-                id -> new Volume(settings.plans().get(request.plan()), forgotMs, nowMs));
+        Volume volume = volumes.computeIfAbsent(
+                request.volume(), id -> new Volume(settings.plans().get(request.plan()), forgotMs, nowMs));
         if (setSize > volume.setSize) {
             shape(nowMs, volume, setSize, Math.min(1 / Math.sqrt(setSize), 2.0 / setSize));
         }
@@ -554,9 +564,8 @@
     }
 
     /**
-     * The window, and for a silent node one request and a test now and then: what is sent into silence is
-     * lost to its aim and, where unsafe, cannot be refused. Harm: a node with one long request at a time
-     * looks silent.
+     * The window, and for a silent node one request and a test now and then: what is sent into silence is lost to its
+     * aim and, where unsafe, cannot be refused. Harm: a node with one long request at a time looks silent.
      */
     private boolean hasRoom(double nowMs, Node node, Item item) {
         if (nowMs < node.restUntilMs) {
@@ -569,17 +578,19 @@
         }
         double window = window(node, item);
         double ease = item.charged == null ? node.latencyMs : Math.min(node.latencyMs, latencyStartMs);
-        return window >= 1 ? node.out.size() + 1 <= window
+        return window >= 1
+                ? node.out.size() + 1 <= window
                 : node.out.isEmpty() && nowMs >= node.heardMs + ease * (1 / window - 1);
     }
 
     /**
-     * What is within its volume's share leaves under a wider window, one at least; but where an answer was
-     * past its aim at the node itself, many hosts' dues are too many. Harm: few of them reach the node.
+     * What is within its volume's share leaves under a wider window, one at least; but where an answer was past its aim
+     * at the node itself, many hosts' dues are too many. Harm: few of them reach the node.
      */
     private double window(Node node, Item item) {
         double hosts = Math.min(settings.hosts(), item.volume.setSize * WINDOW_CEILING);
-        double due = many && node.late ? Math.min(1, LEAST_OUT_TOGETHER / hosts)
+        double due = many && node.late
+                ? Math.min(1, LEAST_OUT_TOGETHER / hosts)
                 : Math.max(1, Math.min(WINDOW_CEILING, node.window * DUE_WINDOWS));
         return item.charged == null ? node.window : due;
     }
@@ -589,8 +600,8 @@
     }
 
     /**
-     * Time for one more request into silence: what is out may be lost, and only an answer can tell. All hosts
-     * test, so the rest grows with them, and their tests together stay as few as those of a few hosts.
+     * Time for one more request into silence: what is out may be lost, and only an answer can tell. All hosts test, so
+     * the rest grows with them, and their tests together stay as few as those of a few hosts.
      */
     private boolean testDue(double nowMs, Node node) {
         double hosts = settings.hosts() / WINDOW_CEILING;
@@ -599,8 +610,8 @@
     }
 
     /**
-     * Lets go of attempts that later ones overtook long ago. Guards against lost requests or answers, which
-     * else fill a window until the client's deadline. Harm: very heavy work is taken for lost.
+     * Lets go of attempts that later ones overtook long ago. Guards against lost requests or answers, which else fill a
+     * window until the client's deadline. Harm: very heavy work is taken for lost.
      */
     private void letGoOfLost(double nowMs, Node node) {
         for (Attempt attempt : List.copyOf(node.out)) {
@@ -700,7 +711,8 @@
 
     private static boolean refusable(Item item) {
         boolean clean = item.mayHaveRun == null && item.open.isEmpty();
-        return clean || item.kind.effect() == Effect.REPEATABLE
+        return clean
+                || item.kind.effect() == Effect.REPEATABLE
                 || item.kind.effect() == Effect.KEYED && item.kind.group() == DedupGroup.ALL;
     }
 
@@ -777,8 +789,8 @@
     }
 
     /**
-     * A tick overdue by more than a slot means that this host stood still: no node was silent meanwhile.
-     * Harm: a node that fell silent then is found so later by the pause.
+     * A tick overdue by more than a slot means that this host stood still: no node was silent meanwhile. Harm: a node
+     * that fell silent then is found so later by the pause.
      */
     private void notePause(double nowMs) {
         if (nowMs > tickDueMs + slotMs) {
@@ -791,16 +803,35 @@
 
     @Override
     public Learned learned(double nowMs) {
-        return new Learned(nowMs, slots.sum(nowMs), served.sum(nowMs),
-                nodes.values().stream().map(n -> new LearnedNode(n.id, n.upSinceMs, n.slots.sum(nowMs),
-                        n.served.sum(nowMs), n.window, n.latencyMs, n.coldSent.sum(nowMs),
-                        silent(nowMs, n) ? Math.max(1, silentMs(nowMs, n)) : 0)).toList(),
-                volumes.entrySet().stream().map(e -> learned(nowMs, e.getKey(), e.getValue())).toList());
+        return new Learned(
+                nowMs,
+                slots.sum(nowMs),
+                served.sum(nowMs),
+                nodes.values().stream()
+                        .map(n -> new LearnedNode(
+                                n.id,
+                                n.upSinceMs,
+                                n.slots.sum(nowMs),
+                                n.served.sum(nowMs),
+                                n.window,
+                                n.latencyMs,
+                                n.coldSent.sum(nowMs),
+                                silent(nowMs, n) ? Math.max(1, silentMs(nowMs, n)) : 0))
+                        .toList(),
+                volumes.entrySet().stream()
+                        .map(e -> learned(nowMs, e.getKey(), e.getValue()))
+                        .toList());
     }
 
     private LearnedVolume learned(double nowMs, long id, Volume volume) {
-        return new LearnedVolume(id, settings.plans().indexOf(volume.plan), volume.setSize, volume.ownPart,
-                volume.limit.level(nowMs), volume.reserve.level(nowMs), volume.share.level(nowMs));
+        return new LearnedVolume(
+                id,
+                settings.plans().indexOf(volume.plan),
+                volume.setSize,
+                volume.ownPart,
+                volume.limit.level(nowMs),
+                volume.reserve.level(nowMs),
+                volume.share.level(nowMs));
     }
 
     /** A node counts as gone until a list names it: the same start keeps what is known, a newer drops it. */
@@ -823,7 +854,9 @@
 
     private boolean maySend(double nowMs, Node node, Item item) {
         boolean mayHold = item.volume.limit.mayHold(item.units());
-        return mayGoTo(nowMs, item, node) && myTurn(nowMs, item) && withinCold(nowMs, node, item)
+        return mayGoTo(nowMs, item, node)
+                && myTurn(nowMs, item)
+                && withinCold(nowMs, node, item)
                 && (item.attempts.isEmpty() ? withinLimit(nowMs, item) && mayHold : mayTryFurther(nowMs));
     }
 
@@ -835,7 +868,8 @@
         Attempt ran = item.mayHaveRun; // The repeat waits for a connection, then at the node.
         double waits = node.latencyMs + Math.max(silentMs(nowMs, node), standingMs(nowMs, node));
         double begins = nowMs + settings.may().connectTimeoutMs() + waits;
-        return item.kind.effect() == Effect.KEYED && begins < ran.sentMs() + item.kind.repeatWindowMs()
+        return item.kind.effect() == Effect.KEYED
+                && begins < ran.sentMs() + item.kind.repeatWindowMs()
                 && switch (item.kind.group()) {
                     case ALL -> true;
                     case ZONE -> node.zone == ran.node().zone;
@@ -875,9 +909,9 @@
     }
 
     /**
-     * Requests of mean size that this host may have out at a cold node. No more reaches a node than it
-     * finishes and what is out; so all hosts' may be what it does in the rest of the multiple, by the
-     * figure that is always safe, or by what its answers took, at one request after another.
+     * Requests of mean size that this host may have out at a cold node. No more reaches a node than it finishes and
+     * what is out; so all hosts' may be what it does in the rest of the multiple, by the figure that is always safe, or
+     * by what its answers took, at one request after another.
      */
     private double coldRest(double nowMs, Node node) {
         double room = rules.fallMultiple() - 1, ms = coldMs(nowMs, node);
@@ -895,18 +929,21 @@
     }
 
     /**
-     * Rule on cold nodes; a host that just started may have spent its part, and waits one window. Beyond the
-     * part, as much may be out as the rest of the multiple has room for; where that is less than a request,
-     * its fraction fills a turn while a request passes. Harm: work far above its stated units.
+     * Rule on cold nodes; a host that just started may have spent its part, and waits one window. Beyond the part, as
+     * much may be out as the rest of the multiple has room for; where that is less than a request, its fraction fills a
+     * turn while a request passes. Harm: work far above its stated units.
      */
     private boolean withinCold(double nowMs, Node node, Item item) {
         if (!cold(nowMs, node)) {
             return true;
         }
         double rest = coldRest(nowMs, node);
-        double out = item.units() + node.out.stream().mapToDouble(attempt -> attempt.item().units()).sum();
-        boolean paced = !node.suspect && (out <= settings.meanUnits() * rest
-                || node.out.isEmpty() && turn(nowMs, node) >= 1);
+        double out = item.units()
+                + node.out.stream()
+                        .mapToDouble(attempt -> attempt.item().units())
+                        .sum();
+        boolean paced =
+                !node.suspect && (out <= settings.meanUnits() * rest || node.out.isEmpty() && turn(nowMs, node) >= 1);
         paced |= node.coldSent.sum(nowMs) + item.units() <= coldPart(nowMs, node);
         return paced && nowMs >= startedMs + rules.fallMs();
     }
@@ -920,8 +957,8 @@
     // ---- Health ----
 
     /**
-     * The wait that the newest answer found at the node, aging: what other hosts have standing there. Acts
-     * where these are many; a few hosts see it in what they have out themselves.
+     * The wait that the newest answer found at the node, aging: what other hosts have standing there. Acts where these
+     * are many; a few hosts see it in what they have out themselves.
      */
     private double standingMs(double nowMs, Node node) {
         double aged = Math.pow(0.5, (nowMs - node.standingAtMs) / (EVIDENCE_SLOTS * slotMs));
@@ -935,7 +972,9 @@
 
     /** How much longer than usual a node has been silent while something is out there. */
     private static double silentMs(double nowMs, Node node) {
-        double since = node.out.isEmpty() ? nowMs : Math.max(node.heardMs, node.out.get(0).sentMs());
+        double since = node.out.isEmpty()
+                ? nowMs
+                : Math.max(node.heardMs, node.out.get(0).sentMs());
         return Math.max(0, nowMs - since - node.latencyMs);
     }
 
