--- a/src/main/java/petrelstand/Descriptors.java
+++ b/src/main/java/petrelstand/Descriptors.java
@@ -1,6 +1,6 @@
 package petrelstand;
 
-import petrelstand.http.Front;
+import petrelstand.http.HttpFront;
 
 /**
  * How a gateway shares out its descriptors: some kept back for the selector, the jars and the listeners, three fifths
@@ -21,12 +21,12 @@
      */
     static Descriptors half(int sockets, int rsync) {
         int rest = Math.max(sockets / 4, sockets / 2 - KEPT_HALF - rsync);
-        return new Descriptors(rest * 4 / 5 - Front.MOST_TOLD, rest / 5);
+        return new Descriptors(rest * 4 / 5 - HttpFront.MAX_CONNECTIONS_OVER_LIMIT, rest / 5);
     }
 
     /** The clients' part leaves room for those that are only told that there is none. */
     static Descriptors of(int sockets, int rsync) {
         int rest = Math.max(sockets / 2, sockets - KEPT - rsync);
-        return new Descriptors(rest * 3 / 5 - Front.MOST_TOLD, rest * 2 / 5);
+        return new Descriptors(rest * 3 / 5 - HttpFront.MAX_CONNECTIONS_OVER_LIMIT, rest * 2 / 5);
     }
 }
--- a/src/main/java/petrelstand/FleetPart.java
+++ b/src/main/java/petrelstand/FleetPart.java
@@ -10,7 +10,7 @@
 import petrelstand.core.Timers;
 import petrelstand.fleet.Fleet;
 import petrelstand.fleet.FleetMetrics;
-import petrelstand.http.Front;
+import petrelstand.http.HttpFront;
 import petrelstand.logging.JsonLog;
 
 /** The fleet's part of a gateway, put together; loaded only where the operator's file has {@code [fleet]}. */
@@ -41,13 +41,13 @@
         fleet.open();
     }
 
-    void start(Front front) {
+    void start(HttpFront front) {
         fleet.start();
         if (config.page()) {
-            front.offer("/members", fleet::page);
+            front.addPage("/members", fleet::page);
         }
         if (config.metrics()) {
-            front.offer("/metrics", () -> FleetMetrics.text(fleet));
+            front.addPage("/metrics", () -> FleetMetrics.text(fleet));
         }
     }
 
--- a/src/main/java/petrelstand/Gateway.java
+++ b/src/main/java/petrelstand/Gateway.java
@@ -22,10 +22,10 @@
 import petrelstand.decision.Policy;
 import petrelstand.decision.Scheduling.ListKind;
 import petrelstand.discovery.Watch;
-import petrelstand.http.Budgets;
-import petrelstand.http.Front;
-import petrelstand.http.NodePool;
-import petrelstand.http.Rehearsal;
+import petrelstand.http.BodyBudgets;
+import petrelstand.http.HttpFront;
+import petrelstand.http.JvmWarmUp;
+import petrelstand.http.NodeConnectionPool;
 import petrelstand.lifecycle.Lifecycle;
 import petrelstand.lifecycle.MemoryPlan;
 import petrelstand.net.Addresses;
@@ -75,7 +75,7 @@
 
     private final EventLoop loop;
     private final Broker broker;
-    private final Front front;
+    private final HttpFront front;
     private final Watch watch;
     private RsyncConfig rsync;
     private final RsyncFront rsyncFront;
@@ -109,8 +109,8 @@
         Descriptors parts = Descriptors.of(config.sockets(), transfers);
         MemoryPlan plan = memoryPlan(config, parts);
         log.accept(plan.line());
-        Budgets budgets = Budgets.of(plan);
-        NodePool pool = new NodePool(
+        BodyBudgets budgets = BodyBudgets.of(plan);
+        NodeConnectionPool pool = new NodeConnectionPool(
                 loop::connect,
                 clock::nowUs,
                 timers,
@@ -129,7 +129,7 @@
                 log);
         this.rsyncFront = rsync == null ? null : new RsyncFront(broker, timers, rsync, log);
         this.life = new Lifecycle(Lifecycle.Times.of(config.settings()));
-        this.front = new Front(broker, timers, plan.clients(), life, budgets);
+        this.front = new HttpFront(broker, timers, plan.clients(), life, budgets);
         this.retuning = new RetunePart(broker, front, pool, life, timers, clock::nowUs, log);
         this.operation = config.operator() == null
                 ? null
@@ -205,7 +205,7 @@
     }
 
     /** The pool, and beside it the nodes that speak the rsync protocol. */
-    private ServerSide withRsyncNodes(NodePool pool) {
+    private ServerSide withRsyncNodes(NodeConnectionPool pool) {
         double connectMs = config.settings().may().connectTimeoutMs();
         return new ByWire(pool, new RsyncNodes(loop::connect, clock::nowUs, timers, connectMs));
     }
@@ -218,10 +218,10 @@
             page.record(how.folder(), config.name(), counters, loop::execute, log);
         }
         if (how.metrics()) {
-            front.offer("/metrics", page.metrics()::text);
+            front.addPage("/metrics", page.metrics()::text);
         }
         if (how.page()) {
-            front.offer("/accounts", () -> page.json(clock.nowUs()));
+            front.addPage("/accounts", () -> page.json(clock.nowUs()));
         }
     }
 
@@ -307,7 +307,7 @@
         int played = 0;
         // On a machine that is too busy the yes is owed all the same.
         while (played < times && System.nanoTime() - begun < MOST_REHEARSED_NS) {
-            served += Rehearsal.play(config.settings(), REHEARSED);
+            served += JvmWarmUp.run(config.settings(), REHEARSED);
             played++;
             LockSupport.parkNanos(rests ? REST_NS : 0);
         }
@@ -447,7 +447,7 @@
             return;
         }
         broker.answerBy(life.lastAnswerUs());
-        log.accept("draining: " + broker.open() + " requests open, " + front.connections() + " connections");
+        log.accept("draining: " + broker.open() + " requests open, " + front.connectionCount() + " connections");
         if (rules != null) {
             rules.leave();
         }
@@ -461,7 +461,7 @@
         boolean done = life.evacuate(clock.nowUs());
         log.accept(
                 done
-                        ? "evacuate: " + broker.open() + " requests open, " + front.connections() + " connections"
+                        ? "evacuate: " + broker.open() + " requests open, " + front.connectionCount() + " connections"
                         : "evacuate: not before this process serves");
         live();
         return done;
@@ -488,7 +488,8 @@
             stopListening();
         }
         if (life.closesIdle(now)) {
-            front.closeIdle(life.spreads() ? Math.max(LEAST_CLOSED, front.connections() / SPREAD) : Integer.MAX_VALUE);
+            front.closeIdle(
+                    life.spreads() ? Math.max(LEAST_CLOSED, front.connectionCount() / SPREAD) : Integer.MAX_VALUE);
             if (ending && over(now)) {
                 end();
                 return;
@@ -511,10 +512,10 @@
 
     /** Whether all that was taken is answered, and no connection is waited for any more. */
     private boolean over(long now) {
-        boolean answered = broker.open() == 0 && front.answering() == 0 && !loop.isTaking();
+        boolean answered = broker.open() == 0 && front.answeringCount() == 0 && !loop.isTaking();
         answeredUs = !answered ? 0 : answeredUs == 0 ? now : answeredUs;
         return answered
-                && (front.owing() + (rsync == null ? 0 : rsyncFront.sessions()) == 0
+                && (front.connectionsDelayingExit() + (rsync == null ? 0 : rsyncFront.sessions()) == 0
                         || now >= answeredUs + LAST_LINGER_US);
     }
 
--- a/src/main/java/petrelstand/OperationPart.java
+++ b/src/main/java/petrelstand/OperationPart.java
@@ -13,8 +13,8 @@
 import petrelstand.core.Timers;
 import petrelstand.decision.Scheduling.Learned;
 import petrelstand.decision.Scheduling.Settings;
-import petrelstand.http.Front;
-import petrelstand.http.NodePool;
+import petrelstand.http.HttpFront;
+import petrelstand.http.NodeConnectionPool;
 import petrelstand.lifecycle.Lifecycle;
 import petrelstand.net.Addresses;
 import petrelstand.net.EventLoop;
@@ -35,8 +35,8 @@
     private final HotRestartPart hotRestart;
     private final Lifecycle life;
     private final Broker broker;
-    private final Front front;
-    private final NodePool pool;
+    private final HttpFront front;
+    private final NodeConnectionPool pool;
     private final Timers timers;
     private final LongSupplier clock;
     private final Consumer<String> log;
@@ -51,8 +51,8 @@
             int transfers,
             Lifecycle life,
             Broker broker,
-            Front front,
-            NodePool pool,
+            HttpFront front,
+            NodeConnectionPool pool,
             Timers timers,
             LongSupplier clock,
             LongSupplier anyThreadsClock,
@@ -78,7 +78,7 @@
                 anyThreadsClock,
                 this::other,
                 log);
-        Telemetry telemetry = new Telemetry(broker, counters, () -> (int) front.answering());
+        Telemetry telemetry = new Telemetry(broker, counters, () -> (int) front.answeringCount());
         this.door = new OperatorDoor(
                 timers,
                 clock,
@@ -157,8 +157,8 @@
         boolean both = other == Other.LISTENING;
         life.hotRestart(both);
         Descriptors parts = both ? Descriptors.half(sockets, transfers) : Descriptors.of(sockets, transfers);
-        front.bound(parts.clients());
-        pool.bound(parts.nodes());
+        front.setMaxConnections(parts.clients());
+        pool.setMaxConnections(parts.nodes());
     }
 
     void retune(Settings changed) {
--- a/src/main/java/petrelstand/RetunePart.java
+++ b/src/main/java/petrelstand/RetunePart.java
@@ -7,8 +7,8 @@
 import petrelstand.core.Broker;
 import petrelstand.core.Timers;
 import petrelstand.decision.Scheduling.Settings;
-import petrelstand.http.Front;
-import petrelstand.http.NodePool;
+import petrelstand.http.HttpFront;
+import petrelstand.http.NodeConnectionPool;
 import petrelstand.lifecycle.Lifecycle;
 import petrelstand.retuning.Retuning;
 import petrelstand.retuning.Retuning.Step;
@@ -16,8 +16,8 @@
 /** Brings other settings into a running gateway's parts, one step after another. On the loop's thread. */
 final class RetunePart {
     private final Broker broker;
-    private final Front front;
-    private final NodePool pool;
+    private final HttpFront front;
+    private final NodeConnectionPool pool;
     private final Lifecycle life;
     private final Timers timers;
     private final LongSupplier clock;
@@ -27,8 +27,8 @@
 
     RetunePart(
             Broker broker,
-            Front front,
-            NodePool pool,
+            HttpFront front,
+            NodeConnectionPool pool,
             Lifecycle life,
             Timers timers,
             LongSupplier clock,
@@ -55,8 +55,8 @@
         Step step = steps.get(0);
         closed = step.closed();
         broker.retune(step.settings());
-        front.retune(step.settings(), closed);
-        pool.retune(step.settings());
+        front.applySettings(step.settings(), closed);
+        pool.applySettings(step.settings());
         life.times(Lifecycle.Times.of(step.settings()));
         log.accept("settings: classes "
                 + String.join(
--- a/src/main/java/petrelstand/RulesPart.java
+++ b/src/main/java/petrelstand/RulesPart.java
@@ -41,7 +41,7 @@
 import petrelstand.core.Node;
 import petrelstand.core.Timers;
 import petrelstand.fleet.Fleet;
-import petrelstand.http.Front;
+import petrelstand.http.HttpFront;
 import petrelstand.store.DiskFolder;
 import petrelstand.store.KeptText;
 import petrelstand.store.StateFault;
@@ -182,7 +182,7 @@
     }
 
     /** Begins to ask for leases, on the loop; a voter begins to vote. */
-    void start(Front front) {
+    void start(HttpFront front) {
         long now = nowUs.getAsLong();
         long life = new java.security.SecureRandom().nextLong();
         holder = maker.holder(now, life, config, seed, this::load, this);
@@ -201,7 +201,7 @@
             recall();
         }
         if (config.page()) {
-            front.offer("/rules", () -> RulesPage.text(fleet.name(), nowUs.getAsLong(), holder, shown));
+            front.addPage("/rules", () -> RulesPage.text(fleet.name(), nowUs.getAsLong(), holder, shown));
         }
         tick();
     }
--- a/src/main/java/petrelstand/discovery/Watch.java
+++ b/src/main/java/petrelstand/discovery/Watch.java
@@ -14,11 +14,11 @@
 import petrelstand.config.NodeList;
 import petrelstand.core.Counters;
 import petrelstand.core.Timers;
-import petrelstand.http.Budget;
-import petrelstand.http.Call;
-import petrelstand.http.NodePool;
+import petrelstand.http.ByteBudget;
+import petrelstand.http.HttpProtocol;
+import petrelstand.http.NodeConnectionPool;
+import petrelstand.http.UpstreamCall;
 import petrelstand.http.UpstreamConnection;
-import petrelstand.http.Wire;
 import petrelstand.net.Addresses;
 import petrelstand.net.EventLoop;
 
@@ -43,7 +43,7 @@
 
     private static final int MOST_LIST = 1 << 20;
 
-    private final NodePool.Dialer dialer;
+    private final NodeConnectionPool.Dialer dialer;
     private final LongSupplier clock;
     private final Timers timers;
     private String address;
@@ -63,7 +63,7 @@
     private Timers.Timer rest;
 
     public Watch(
-            NodePool.Dialer dialer,
+            NodeConnectionPool.Dialer dialer,
             LongSupplier clock,
             Timers timers,
             String address,
@@ -114,7 +114,7 @@
         UpstreamConnection old = connection;
         connection = null;
         if (old != null) {
-            old.drop();
+            old.closeSilently();
         }
         next();
     }
@@ -139,7 +139,7 @@
     }
 
     /** One call, and the connection it had to open. */
-    private final class Round implements Call, EventLoop.Connector {
+    private final class Round implements UpstreamCall, EventLoop.Connector {
         private final long begunUs = clock.getAsLong();
         private final long waitMs;
         private Timers.Timer timeout;
@@ -192,7 +192,7 @@
 
         @Override
         public Connection connected(EndPoint endPoint) {
-            return new UpstreamConnection(endPoint, MOST_LIST, new Budget(MOST_LIST), (c, free) -> {
+            return new UpstreamConnection(endPoint, MOST_LIST, new ByteBudget(MOST_LIST), (c, free) -> {
                 if (!free && connection == c) {
                     connection = null;
                 }
@@ -201,7 +201,7 @@
                 public void onOpen() {
                     super.onOpen();
                     if (over) {
-                        drop();
+                        closeSilently();
                     } else {
                         connection = this;
                         on(this);
@@ -216,17 +216,17 @@
         }
 
         @Override
-        public ByteBuffer[] bytes() {
+        public ByteBuffer[] requestBytes() {
             // The wait, too, is counted from the beginning: a connection that came up late has taken its part of it.
             long leftMs = Math.max(0, waitMs - (clock.getAsLong() - begunUs) / 1000);
             String target = "/v1/endpoints" + (version >= 0 ? "?index=" + version + "&wait=" + leftMs : "");
             return new ByteBuffer[] {
-                Wire.request("GET", target, HttpFields.build().put(HttpHeader.HOST, host), 0)
+                HttpProtocol.requestHead("GET", target, HttpFields.build().put(HttpHeader.HOST, host), 0)
             };
         }
 
         @Override
-        public void answered(int status, HttpFields fields, ByteBuffer body) {
+        public void onAnswer(int status, HttpFields fields, ByteBuffer body) {
             if (status != 200) {
                 failed("answer " + status);
                 return;
@@ -254,8 +254,8 @@
         }
 
         @Override
-        public void broke(Break how) {
-            failed(how == Break.SPOILT ? "an answer that can't be read" : "the connection broke");
+        public void onFailure(Failure how) {
+            failed(how == Failure.SPOILT ? "an answer that can't be read" : "the connection broke");
         }
 
         private void late() {
@@ -266,7 +266,7 @@
                 if (over) {
                     return;
                 }
-                silent.drop();
+                silent.closeSilently();
             }
             failed("no answer");
         }
--- a/src/main/java/petrelstand/http/Body.java
+++ b/src/main/java/petrelstand/http/Body.java
@@ -13,12 +13,12 @@
     private static final byte[] NONE = {};
 
     private final int most;
-    private final Budget budget;
+    private final ByteBudget budget;
     private byte[] bytes = NONE;
     private int size;
     private long announced;
 
-    Body(int most, Budget budget) {
+    Body(int most, ByteBudget budget) {
         this.most = most;
         this.budget = budget;
     }
--- a/src/main/java/petrelstand/http/Budget.java
+++ b/src/main/java/petrelstand/http/ByteBudget.java
@@ -3,17 +3,17 @@
 /**
  * Bytes that many connections together may keep: each alone is bounded too, but all of them at once would be too much.
  */
-public final class Budget {
+public final class ByteBudget {
     private long left;
     /** What this one is a part of; null where it stands alone. */
-    private final Budget whole;
+    private final ByteBudget whole;
 
-    public Budget(long most) {
+    public ByteBudget(long most) {
         this(most, null);
     }
 
     /** A part of a whole that others take from too. */
-    Budget(long most, Budget whole) {
+    ByteBudget(long most, ByteBudget whole) {
         this.left = most;
         this.whole = whole;
     }
--- a/src/main/java/petrelstand/http/ClientConnection.java
+++ b/src/main/java/petrelstand/http/ClientConnection.java
@@ -40,7 +40,7 @@
     /** Ranks of those that may make room, the first to go first. */
     static final int RANKS = 4;
 
-    private final Front front;
+    private final HttpFront front;
     private final boolean full;
     private final boolean unwanted;
     private final long openedUs;
@@ -109,10 +109,10 @@
     private boolean persistent;
 
     /** One that is unwanted closes as it opens. */
-    ClientConnection(EndPoint endPoint, Front front, boolean full, boolean unwanted) {
+    ClientConnection(EndPoint endPoint, HttpFront front, boolean full, boolean unwanted) {
         super(endPoint);
         this.front = front;
-        this.body = new Body(Wire.MOST_BODY + INPUT_LARGE, front.requests());
+        this.body = new Body(HttpProtocol.MAX_BUFFERED_BODY_BYTES + INPUT_LARGE, front.requests());
         this.full = full;
         this.unwanted = unwanted;
         this.openedUs = front.broker().nowUs();
@@ -135,9 +135,9 @@
     /** Place among those that may make room: silent newcomers, kept ones, half requests, new ones; -1: none. */
     int rank(long nowUs) {
         if (idle()) {
-            return used ? 1 : nowUs >= openedUs + Front.SILENT_US ? 0 : 3;
+            return used ? 1 : nowUs >= openedUs + HttpFront.SILENT_US ? 0 : 3;
         }
-        return state == State.READING && begun && nowUs >= begunUs + Front.HALF_US ? 2 : -1;
+        return state == State.READING && begun && nowUs >= begunUs + HttpFront.HALF_US ? 2 : -1;
     }
 
     /** Closes to make room, but for what has just sent a whole request; half of one is told so first. */
@@ -191,7 +191,7 @@
             close();
             return;
         }
-        limit = front.timers().at(openedUs + (full ? Front.FULL_US : Front.REQUEST_US), this::late);
+        limit = front.timers().at(openedUs + (full ? HttpFront.FULL_US : HttpFront.REQUEST_US), this::late);
         fillInterested();
     }
 
@@ -223,7 +223,7 @@
     public void onFillable() {
         try {
             for (int read = 0; state != State.CLOSED; ) {
-                if (read >= Front.MOST_READ) {
+                if (read >= HttpFront.MOST_READ) {
                     readOn();
                     return;
                 }
@@ -321,8 +321,8 @@
 
     private HttpParser parser() {
         if (parser == null) {
-            parser = new MessageParser(this, Wire.MOST_HEADER);
-            parser.setHeaderCacheSize(Wire.NO_FIELD_CACHE);
+            parser = new MessageParser(this, HttpProtocol.MAX_HEAD_BYTES);
+            parser.setHeaderCacheSize(HttpProtocol.HEADER_CACHE_BYTES);
         }
         return parser;
     }
@@ -404,7 +404,7 @@
     public void startRequest(String newMethod, String uri, HttpVersion newVersion) {
         version = newVersion;
         method = newMethod;
-        target = Wire.pathOf(uri);
+        target = HttpProtocol.pathAndQuery(uri);
         bodyBytes = 0;
         fields = HttpFields.build();
         body.take();
@@ -421,17 +421,17 @@
 
     @Override
     public boolean headerComplete() {
-        if (!Wire.speaks(version)) {
+        if (!HttpProtocol.supportsVersion(version)) {
             malformed(505, "the version is neither 1.0 nor 1.1");
             return true;
         }
-        String wrong = Wire.wrongFraming(fields);
+        String wrong = HttpProtocol.framingError(fields);
         if (wrong != null) {
             malformed(400, wrong);
             return true;
         }
-        if (fields.getLongField(HttpHeader.CONTENT_LENGTH) > Wire.MOST_PASSED) {
-            malformed(413, "the body is over " + Wire.MOST_PASSED + " bytes");
+        if (fields.getLongField(HttpHeader.CONTENT_LENGTH) > HttpProtocol.MAX_STREAMED_BODY_BYTES) {
+            malformed(413, "the body is over " + HttpProtocol.MAX_STREAMED_BODY_BYTES + " bytes");
             return true;
         }
         if (fields.contains(HttpHeader.EXPECT, "100-continue")) {
@@ -449,7 +449,7 @@
     /** What is to come next has its time from now on. */
     private void allowMore() {
         stopLimit();
-        limit = front.timers().at(front.broker().nowUs() + Front.REQUEST_US, this::late);
+        limit = front.timers().at(front.broker().nowUs() + HttpFront.REQUEST_US, this::late);
     }
 
     @Override
@@ -468,7 +468,8 @@
             return true;
         }
         long length = fields.getLongField(HttpHeader.CONTENT_LENGTH);
-        boolean large = length > Wire.MOST_BODY && body.size() >= BEGINNING || body.size() > Wire.MOST_BODY;
+        boolean large = length > HttpProtocol.MAX_BUFFERED_BODY_BYTES && body.size() >= BEGINNING
+                || body.size() > HttpProtocol.MAX_BUFFERED_BODY_BYTES;
         return large && stream(length);
     }
 
@@ -480,7 +481,7 @@
         long now = front.broker().nowUs();
         bodyUs = bodyBytes == 0 ? now : bodyUs;
         bodyBytes += bytes;
-        if (bodyBytes < (now - bodyUs - Front.REQUEST_US) / 1_000_000.0 * Front.LEAST_RATE) {
+        if (bodyBytes < (now - bodyUs - HttpFront.REQUEST_US) / 1_000_000.0 * HttpFront.LEAST_RATE) {
             stopLimit();
             late();
             return false;
@@ -567,14 +568,14 @@
     private void refuseFull() {
         front.broker().counters().add("connections.full");
         front.rejected(target);
-        answer(503, null, Front.FULL_US, BufferUtil.EMPTY_BUFFER, true);
+        answer(503, null, HttpFront.FULL_US, BufferUtil.EMPTY_BUFFER, true);
     }
 
     /** All connections together keep as much of bodies as they may. */
     private void refuseNoRoom() {
         front.broker().counters().add("requests_no_room");
         front.rejected(target);
-        answer(503, null, Front.FULL_US, BufferUtil.EMPTY_BUFFER, true);
+        answer(503, null, HttpFront.FULL_US, BufferUtil.EMPTY_BUFFER, true);
     }
 
     private void malformed(DemandReader.Malformed e) {
@@ -600,10 +601,10 @@
             refused(front.life().retryAfterUs(now));
             return;
         }
-        String txn = fields.get(Wire.TXN);
+        String txn = fields.get(HttpProtocol.TXN_HEADER);
         // Guards against a second copy of another client's request: nodes count attempts by this id.
         if (!front.claim(txn)) {
-            throw new DemandReader.Malformed(409, Wire.TXN + " is that of an open request");
+            throw new DemandReader.Malformed(409, HttpProtocol.TXN_HEADER + " is that of an open request");
         }
         if (!front.inWork().take(bytes.length)) {
             front.release(txn);
@@ -618,7 +619,7 @@
                                 method,
                                 target,
                                 txn,
-                                fields.get(Wire.EFFECT_KEY),
+                                fields.get(HttpProtocol.IDEMPOTENCY_KEY_HEADER),
                                 fields.get(HttpHeader.CONTENT_TYPE),
                                 bytes,
                                 upload),
@@ -693,14 +694,15 @@
         lastAnswer = endsHere() || version == HttpVersion.HTTP_1_0 && pieces.length() < 0;
         writer = PieceWriter.of(
                 getEndPoint(),
-                Wire.response(200, version, pieces.fields().get(HttpHeader.CONTENT_TYPE), lastAnswer, pieces.length()));
+                HttpProtocol.responseMetaData(
+                        200, version, pieces.fields().get(HttpHeader.CONTENT_TYPE), lastAnswer, pieces.length()));
         pieces.take(this);
     }
 
     @Override
     public void piece(ByteBuffer piece) {
         stopLimit();
-        limit = front.timers().at(front.broker().nowUs() + Front.PIECE_US, this::close);
+        limit = front.timers().at(front.broker().nowUs() + HttpFront.PIECE_US, this::close);
         writer.write(
                 piece,
                 false,
@@ -767,8 +769,8 @@
         state = State.ANSWERING;
         exchange = null;
         boolean last = close || endsHere();
-        limit = front.timers().at(front.broker().nowUs() + Front.ANSWER_US, this::close);
-        ByteBuffer head = Wire.answer(status, type, retryAfterUs, last, content.remaining());
+        limit = front.timers().at(front.broker().nowUs() + HttpFront.ANSWER_US, this::close);
+        ByteBuffer head = HttpProtocol.answerHead(status, type, retryAfterUs, last, content.remaining());
         getEndPoint().write(nonBlocking(() -> written(last), this::notWritten), head, content);
     }
 
@@ -803,8 +805,8 @@
         giveBack();
         getEndPoint().shutdownOutput();
         lingerHeard = false;
-        lingerUntilUs = front.broker().nowUs() + (upload != null ? Front.LINGER_BODY_US : Front.LINGER_MOST_US);
-        limit = front.timers().at(front.broker().nowUs() + Front.LINGER_US, this::lingered);
+        lingerUntilUs = front.broker().nowUs() + (upload != null ? HttpFront.LINGER_BODY_US : HttpFront.LINGER_MOST_US);
+        limit = front.timers().at(front.broker().nowUs() + HttpFront.LINGER_US, this::lingered);
     }
 
     private void lingered() {
@@ -813,7 +815,7 @@
             close();
         } else {
             lingerHeard = false;
-            limit = front.timers().at(Math.min(now + Front.LINGER_US, lingerUntilUs), this::lingered);
+            limit = front.timers().at(Math.min(now + HttpFront.LINGER_US, lingerUntilUs), this::lingered);
         }
     }
 
--- a/src/main/java/petrelstand/http/DemandReader.java
+++ b/src/main/java/petrelstand/http/DemandReader.java
@@ -67,16 +67,18 @@
         RequestClass kind = settings.classes().get(requestClass);
         long volume = hex(parts[2]);
         long key = hex(parts[3]);
-        id(fields, Wire.TXN);
-        Integer plan = plans.get(needed(fields, Wire.PLAN));
+        id(fields, HttpProtocol.TXN_HEADER);
+        Integer plan = plans.get(needed(fields, HttpProtocol.PLAN_HEADER));
         if (plan == null) {
-            throw new Malformed(400, Wire.PLAN + " names no plan");
+            throw new Malformed(400, HttpProtocol.PLAN_HEADER + " names no plan");
         }
         if (kind.effect() == Effect.KEYED) {
-            id(fields, Wire.EFFECT_KEY);
+            id(fields, HttpProtocol.IDEMPOTENCY_KEY_HEADER);
         }
-        double leftMs = fields.contains(Wire.REMAINING) ? remaining(needed(fields, Wire.REMAINING)) : kind.deadlineMs();
-        Map<String, String> placement = placement(needed(fields, Wire.PLACEMENT));
+        double leftMs = fields.contains(HttpProtocol.REMAINING_MS_HEADER)
+                ? remaining(needed(fields, HttpProtocol.REMAINING_MS_HEADER))
+                : kind.deadlineMs();
+        Map<String, String> placement = placement(needed(fields, HttpProtocol.PLACEMENT_HEADER));
         double units = number("units", placement.get("units"));
         int shard = whole("shard", placement.get("shard"), -1);
         int hosts = whole("hosts", placement.getOrDefault("hosts", "0"), 0);
@@ -96,7 +98,7 @@
                 units,
                 shard,
                 Math.min(hosts, settings.hosts()),
-                "1".equals(fields.get(Wire.RESENT)),
+                "1".equals(fields.get(HttpProtocol.RESENT_HEADER)),
                 method.equals("PUT"),
                 leftUs);
     }
@@ -149,9 +151,9 @@
 
     /** Whole milliseconds, as the protocol has them; more digits than that are no time that a client waits. */
     private static double remaining(String text) throws Malformed {
-        double value = text.length() <= 9 ? number(Wire.REMAINING, text) : -1;
+        double value = text.length() <= 9 ? number(HttpProtocol.REMAINING_MS_HEADER, text) : -1;
         if (value < 0 || value != Math.rint(value)) {
-            throw new Malformed(400, Wire.REMAINING + " is not a time in whole milliseconds");
+            throw new Malformed(400, HttpProtocol.REMAINING_MS_HEADER + " is not a time in whole milliseconds");
         }
         return value;
     }
--- a/src/main/java/petrelstand/http/Flow.java
+++ b/src/main/java/petrelstand/http/Flow.java
@@ -57,7 +57,7 @@
     /** The client's side is gone. */
     void stop() {
         taker = null;
-        from.drop();
+        from.closeSilently();
     }
 
     void piece(ByteBuffer piece) {
--- a/src/main/java/petrelstand/http/Front.java
+++ b/src/main/java/petrelstand/http/HttpFront.java
@@ -18,7 +18,7 @@
 import petrelstand.lifecycle.MemoryPlan;
 
 /** The platform's front: its client connections, and what they share. */
-public final class Front {
+public final class HttpFront {
     /**
      * A request must have come whole within this time of its first byte, a connection's first one within this time of
      * its opening: a client that says nothing, or half a request, is owed an end within 3 s.
@@ -46,15 +46,15 @@
     /** Time that half a request is given where room is short. */
     static final long HALF_US = 1_000_000;
     /** Connections beyond the bound that are told so; more than these are closed at once. */
-    public static final int MOST_TOLD = 16;
+    public static final int MAX_CONNECTIONS_OVER_LIMIT = 16;
 
-    private final Budgets budgets;
+    private final BodyBudgets budgets;
     private final int mostByMemory;
     private final Broker broker;
     private final Timers timers;
     private DemandReader reader;
     private int mostConnections;
-    private final Set<ClientConnection> connections = new LinkedHashSet<>();
+    private final Set<ClientConnection> connectionCount = new LinkedHashSet<>();
     /** Ids of the requests that are not over, or have an attempt out. */
     private final Set<String> openIds = new HashSet<>();
     /** Takes what is read only to be dropped; on the loop's thread. */
@@ -68,7 +68,7 @@
      * Answers a path with a text made when it is asked for; for pages that an operator switched on. Where a part has
      * offered one there already, the texts follow each other.
      */
-    public void offer(String path, Supplier<String> page) {
+    public void addPage(String path, Supplier<String> page) {
         Map<String, Supplier<String>> more = new HashMap<>(pages);
         more.merge(path, page, (one, other) -> () -> one.get() + other.get());
         pages = Map.copyOf(more);
@@ -80,12 +80,12 @@
     }
 
     /** A front whose memory is not short. */
-    public Front(Broker broker, Timers timers, int mostConnections, Lifecycle life) {
-        this(broker, timers, mostConnections, life, Budgets.of(MemoryPlan.AMPLE));
+    public HttpFront(Broker broker, Timers timers, int mostConnections, Lifecycle life) {
+        this(broker, timers, mostConnections, life, BodyBudgets.of(MemoryPlan.AMPLE));
     }
 
     /** A front that does what the process's life says, with so many connections and the budgets' bytes at most. */
-    public Front(Broker broker, Timers timers, int mostConnections, Lifecycle life, Budgets budgets) {
+    public HttpFront(Broker broker, Timers timers, int mostConnections, Lifecycle life, BodyBudgets budgets) {
         this.budgets = budgets;
         this.mostByMemory = mostConnections;
         this.life = life;
@@ -102,15 +102,15 @@
      */
     public Connection accept(EndPoint endPoint) {
         broker.counters().add("connections.clients");
-        if (connections.size() >= mostConnections) {
+        if (connectionCount.size() >= mostConnections) {
             makeRoom();
         }
         ClientConnection connection = new ClientConnection(
                 endPoint,
                 this,
-                connections.size() >= mostConnections,
-                connections.size() >= mostConnections + MOST_TOLD);
-        connections.add(connection);
+                connectionCount.size() >= mostConnections,
+                connectionCount.size() >= mostConnections + MAX_CONNECTIONS_OVER_LIMIT);
+        connectionCount.add(connection);
         return connection;
     }
 
@@ -122,7 +122,7 @@
     private void makeRoom() {
         long now = broker.nowUs();
         for (int rank = 0; rank < ClientConnection.RANKS; rank++) {
-            for (ClientConnection connection : List.copyOf(connections)) {
+            for (ClientConnection connection : List.copyOf(connectionCount)) {
                 if (connection.rank(now) == rank && connection.giveWay()) {
                     broker.counters().add("connections.gave_way");
                     return;
@@ -153,15 +153,15 @@
      * At most so many connections from now on, and never more than at the start: memory bounds those. What is between
      * requests beyond it closes, the longest unused first.
      */
-    public void bound(int most) {
+    public void setMaxConnections(int most) {
         mostConnections = Math.min(most, mostByMemory);
-        for (int i = connections.size(); i > mostConnections; i--) {
+        for (int i = connectionCount.size(); i > mostConnections; i--) {
             makeRoom();
         }
     }
 
     /** Other settings from now on; requests of closed classes are no longer known. */
-    public void retune(Settings settings, Set<String> closed) {
+    public void applySettings(Settings settings, Set<String> closed) {
         reader = new DemandReader(settings, closed);
     }
 
@@ -171,25 +171,25 @@
     public void closeIdle(int most) {
         long now = broker.nowUs();
         int left = most;
-        for (ClientConnection connection : List.copyOf(connections)) {
+        for (ClientConnection connection : List.copyOf(connectionCount)) {
             if (left > 0 && connection.endIfIdle(now - SILENT_US, false)) {
                 left--;
             }
         }
     }
 
-    public int connections() {
-        return connections.size();
+    public int connectionCount() {
+        return connectionCount.size();
     }
 
     /** Connections for which the end of the process waits: not those that ended between requests and only read on. */
-    public long owing() {
-        return connections.stream().filter(ClientConnection::isOwing).count();
+    public long connectionsDelayingExit() {
+        return connectionCount.stream().filter(ClientConnection::isOwing).count();
     }
 
     /** Connections whose answer is not wholly written. */
-    public long answering() {
-        return connections.stream()
+    public long answeringCount() {
+        return connectionCount.stream()
                 .filter(c -> c.state() == ClientConnection.State.ANSWERING)
                 .count();
     }
@@ -206,17 +206,17 @@
         broker.rejected(end < 0 ? target : target.substring(1, end));
     }
 
-    Budget requests() {
-        return budgets.requests();
+    ByteBudget requests() {
+        return budgets.incomingRequests();
     }
 
     /** Bodies of requests that were taken and are not forgotten yet. */
-    Budget inWork() {
-        return budgets.inWork();
+    ByteBudget inWork() {
+        return budgets.activeRequests();
     }
 
-    Budget answers() {
-        return budgets.answersWritten();
+    ByteBudget answers() {
+        return budgets.outgoingAnswers();
     }
 
     Broker broker() {
@@ -233,12 +233,12 @@
 
     /** Moves to the end of the order in which idle connections are closed. */
     void used(ClientConnection connection) {
-        if (connections.remove(connection)) {
-            connections.add(connection);
+        if (connectionCount.remove(connection)) {
+            connectionCount.add(connection);
         }
     }
 
     void closed(ClientConnection connection) {
-        connections.remove(connection);
+        connectionCount.remove(connection);
     }
 }
--- a/src/main/java/petrelstand/http/Wire.java
+++ b/src/main/java/petrelstand/http/HttpProtocol.java
@@ -17,37 +17,37 @@
 import petrelstand.core.VolumeUse;
 
 /** Names of the platform's headers, and messages as bytes. */
-public final class Wire {
-    public static final String TXN = "X-Txn";
-    public static final String PLAN = "X-Qos-Policy";
-    public static final String REMAINING = "X-Remaining-Ms";
-    public static final String PLACEMENT = "X-Placement";
-    public static final String RESENT = "X-Resent";
-    public static final String EFFECT_KEY = "Idempotency-Key";
-    public static final String TURNED_AWAY = "X-Turned-Away";
-    public static final String PRESSURE = "X-Pressure";
+public final class HttpProtocol {
+    public static final String TXN_HEADER = "X-Txn";
+    public static final String PLAN_HEADER = "X-Qos-Policy";
+    public static final String REMAINING_MS_HEADER = "X-Remaining-Ms";
+    public static final String PLACEMENT_HEADER = "X-Placement";
+    public static final String RESENT_HEADER = "X-Resent";
+    public static final String IDEMPOTENCY_KEY_HEADER = "Idempotency-Key";
+    public static final String TURNED_AWAY_HEADER = "X-Turned-Away";
+    public static final String LOAD_HEADER = "X-Pressure";
     /** A volume's use, in percent of its plan's rate. */
-    public static final String VOLUME_USE = "X-Iops-Used";
+    public static final String VOLUME_USE_HEADER = "X-Iops-Used";
     /** Units that the node served the volume through other gateways. */
-    public static final String FROM_OTHERS = "X-Rho";
+    public static final String OTHER_GATEWAYS_UNITS_HEADER = "X-Rho";
     /** The largest body, by the protocol. */
-    public static final int MOST_BODY = 64 * 1024;
+    public static final int MAX_BUFFERED_BODY_BYTES = 64 * 1024;
     /** The largest body that passes in pieces: over twice the largest that is known to occur. */
-    static final long MOST_PASSED = 64L * 1024 * 1024;
+    static final long MAX_STREAMED_BODY_BYTES = 64L * 1024 * 1024;
 
-    static final int MOST_HEADER = 8 * 1024;
+    static final int MAX_HEAD_BYTES = 8 * 1024;
     /**
      * For parsers: none of the library's caches of header fields, 40 KB for each connection from its second message on.
      * The fields that all messages share are found without.
      */
-    public static final int NO_FIELD_CACHE = 0;
+    public static final int HEADER_CACHE_BYTES = 0;
     /** No figure of a load report can be larger. */
-    private static final double MOST_LOAD = 1e6;
+    private static final double MAX_LOAD_VALUE = 1e6;
 
-    private Wire() {}
+    private HttpProtocol() {}
 
     /** The versions that are spoken here. */
-    public static boolean speaks(HttpVersion version) {
+    public static boolean supportsVersion(HttpVersion version) {
         return version == HttpVersion.HTTP_1_1 || version == HttpVersion.HTTP_1_0;
     }
 
@@ -55,7 +55,7 @@
      * What is wrong with how a message says where it ends; null where nothing is. Two ways to find the end may find two
      * ends: a request could be hidden between them, and an answer cut short.
      */
-    public static String wrongFraming(HttpFields fields) {
+    public static String framingError(HttpFields fields) {
         int lengths = 0;
         int codings = 0;
         boolean chunked = true;
@@ -76,7 +76,7 @@
     }
 
     /** The path and query of a request's target, which may be a whole address. */
-    static String pathOf(String target) {
+    static String pathAndQuery(String target) {
         if (!target.startsWith("http://") && !target.startsWith("https://")) {
             return target;
         }
@@ -85,7 +85,8 @@
     }
 
     /** What the head of an answer in pieces says; a length of -1 is not known beforehand. */
-    static MetaData.Response response(int status, HttpVersion version, String type, boolean close, long length) {
+    static MetaData.Response responseMetaData(
+            int status, HttpVersion version, String type, boolean close, long length) {
         HttpFields.Mutable fields = HttpFields.build();
         if (type != null) {
             fields.put(HttpHeader.CONTENT_TYPE, type);
@@ -101,13 +102,13 @@
     }
 
     /** The head of an answer with a body of a length. */
-    public static ByteBuffer answer(int status, String type, long retryAfterUs, boolean close, int length) {
+    public static ByteBuffer answerHead(int status, String type, long retryAfterUs, boolean close, int length) {
         HttpFields.Mutable fields = HttpFields.build();
         if (type != null) {
             fields.put(HttpHeader.CONTENT_TYPE, type);
         }
         if (retryAfterUs > 0) {
-            fields.put(HttpHeader.RETRY_AFTER, seconds(retryAfterUs));
+            fields.put(HttpHeader.RETRY_AFTER, formatSeconds(retryAfterUs));
         }
         if (close) {
             fields.put(HttpHeader.CONNECTION, "close");
@@ -124,7 +125,7 @@
     }
 
     /** Seconds with up to three decimals, rounded up: a client that comes sooner is refused again. */
-    static String seconds(long us) {
+    static String formatSeconds(long us) {
         long ms = (us + 999) / 1000;
         return ms % 1000 == 0
                 ? Long.toString(ms / 1000)
@@ -132,14 +133,14 @@
     }
 
     /** What a request's head says; the target passes as the client wrote it, and a length of -1 is not known. */
-    static MetaData.Request head(String method, String target, HttpFields fields, long length) {
+    static MetaData.Request requestMetaData(String method, String target, HttpFields fields, long length) {
         return new MetaData.Request(method, HttpURI.build().pathQuery(target), HttpVersion.HTTP_1_1, fields, length);
     }
 
     /** The head of a request; the target passes as the client wrote it. */
-    public static ByteBuffer request(String method, String target, HttpFields fields, int length) {
-        MetaData.Request info = head(method, target, fields, length);
-        ByteBuffer head = BufferUtil.allocate(MOST_HEADER + 1024);
+    public static ByteBuffer requestHead(String method, String target, HttpFields fields, int length) {
+        MetaData.Request info = requestMetaData(method, target, fields, length);
+        ByteBuffer head = BufferUtil.allocate(MAX_HEAD_BYTES + 1024);
         try {
             new HttpGenerator().generateRequest(info, head, null, BufferUtil.EMPTY_BUFFER, true);
         } catch (IOException e) {
@@ -149,11 +150,13 @@
     }
 
     /** What an answer tells of its volume: a figure that cannot be read, or cannot be, is not told. */
-    static VolumeUse use(HttpFields fields) {
-        return new VolumeUse(count(fields.get(VOLUME_USE), VolumeUse.UNTOLD), count(fields.get(FROM_OTHERS), 0));
+    static VolumeUse parseVolumeUse(HttpFields fields) {
+        return new VolumeUse(
+                parseCount(fields.get(VOLUME_USE_HEADER), VolumeUse.UNTOLD),
+                parseCount(fields.get(OTHER_GATEWAYS_UNITS_HEADER), 0));
     }
 
-    private static int count(String text, int without) {
+    private static int parseCount(String text, int without) {
         if (text == null) {
             return without;
         }
@@ -166,14 +169,14 @@
     }
 
     /** A load report, "TEXT inflight=7, queue=2, util=0.61": what cannot be read, or cannot be, is left out. */
-    static Map<String, Double> load(String text) {
+    static Map<String, Double> parseLoadReport(String text) {
         Map<String, Double> load = new LinkedHashMap<>();
         if (text != null) {
             for (String part : text.strip().replaceFirst("^TEXT\\s+", "").split("[,\\s]+")) {
                 int split = part.indexOf('=');
                 try {
                     double value = split > 0 ? Double.parseDouble(part.substring(split + 1)) : -1;
-                    if (value >= 0 && value <= MOST_LOAD) {
+                    if (value >= 0 && value <= MAX_LOAD_VALUE) {
                         load.put(part.substring(0, split), value);
                     }
                 } catch (NumberFormatException e) {
--- a/src/main/java/petrelstand/http/Rehearsal.java
+++ b/src/main/java/petrelstand/http/JvmWarmUp.java
@@ -22,7 +22,7 @@
  * Plays requests through parts of their own, in memory, before the gateway says that it is ready: a virtual machine
  * that has not yet run this code takes ten times as long for the first requests.
  */
-public final class Rehearsal {
+public final class JvmWarmUp {
     private static final int NODES = 4;
     private static final int CLIENTS = 4;
     private static final long STEP_US = 7_000;
@@ -33,22 +33,23 @@
     private final List<MemoryEnd> nodeEnds = new ArrayList<>();
     private final Counters counters = new Counters();
     private final Broker broker;
-    private final Front front;
+    private final HttpFront front;
     private long nowUs = 1_000_000_000L;
 
-    private Rehearsal(Settings settings) {
+    private JvmWarmUp(Settings settings) {
         this.settings = settings;
-        NodePool pool = new NodePool(this::dial, () -> nowUs, timers, counters, settings, "backend.local", 64);
+        NodeConnectionPool pool =
+                new NodeConnectionPool(this::dial, () -> nowUs, timers, counters, settings, "backend.local", 64);
         this.broker = new Broker(settings, 1, () -> nowUs, timers, pool, counters, line -> {});
         Lifecycle life = new Lifecycle(Lifecycle.Times.of(0));
         life.serving(nowUs);
-        this.front = new Front(broker, timers, 64, life);
+        this.front = new HttpFront(broker, timers, 64, life);
     }
 
     /** Plays so many requests and returns how many of them were served. */
-    public static long play(Settings settings, int requests) {
-        Rehearsal rehearsal = new Rehearsal(settings);
-        rehearsal.play(requests);
+    public static long run(Settings settings, int requests) {
+        JvmWarmUp rehearsal = new JvmWarmUp(settings);
+        rehearsal.run(requests);
         return rehearsal.counters.get("answered.served");
     }
 
@@ -57,7 +58,7 @@
         return null;
     }
 
-    private void play(int requests) {
+    private void run(int requests) {
         List<Node> nodes = new ArrayList<>();
         for (int i = 0; i < NODES; i++) {
             nodes.add(new Node(
@@ -101,9 +102,9 @@
                 + String.format(
                         " /%s/%016x/%016x HTTP/1.1\r\nHost: b\r\nX-Txn: %x\r\n",
                         kind.name(), number % 9, number, number)
-                + Wire.PLAN + ": "
+                + HttpProtocol.PLAN_HEADER + ": "
                 + settings.plans().get(number % settings.plans().size()).name() + "\r\n"
-                + (kind.effect() == Effect.KEYED ? Wire.EFFECT_KEY + ": k" + number + "\r\n" : "")
+                + (kind.effect() == Effect.KEYED ? HttpProtocol.IDEMPOTENCY_KEY_HEADER + ": k" + number + "\r\n" : "")
                 + "X-Remaining-Ms: 400\r\nX-Placement: units=1,shard=" + number % NODES + ",hosts=1\r\n"
                 + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
--- a/src/main/java/petrelstand/http/NodePool.java
+++ b/src/main/java/petrelstand/http/NodeConnectionPool.java
@@ -27,7 +27,7 @@
 import petrelstand.net.EventLoop;
 
 /** The side that faces the storage nodes: attempts over a bounded pool of connections, one attempt on each. */
-public final class NodePool implements ServerSide {
+public final class NodeConnectionPool implements ServerSide {
     /** How a connection out is started; the event loop's way but in tests. */
     public interface Dialer {
         SocketChannel connect(InetSocketAddress address, EventLoop.Connector connector) throws IOException;
@@ -61,13 +61,13 @@
     private long reuseUs;
     private int mostOpen;
     private final int mostByMemory;
-    private final Budget answers;
+    private final ByteBudget answers;
     private final Map<String, ArrayDeque<UpstreamConnection>> idle = new HashMap<>();
-    private int open;
+    private int connectionCount;
     private boolean sweeping;
 
     /** A pool whose memory is not short. */
-    public NodePool(
+    public NodeConnectionPool(
             Dialer dialer,
             LongSupplier clock,
             Timers timers,
@@ -75,11 +75,11 @@
             Settings settings,
             String host,
             int mostOpen) {
-        this(dialer, clock, timers, counters, settings, host, mostOpen, Budgets.of(MemoryPlan.AMPLE));
+        this(dialer, clock, timers, counters, settings, host, mostOpen, BodyBudgets.of(MemoryPlan.AMPLE));
     }
 
     /** A pool of so many connections at most, and the budgets' bytes of answers. */
-    public NodePool(
+    public NodeConnectionPool(
             Dialer dialer,
             LongSupplier clock,
             Timers timers,
@@ -87,8 +87,8 @@
             Settings settings,
             String host,
             int mostOpen,
-            Budgets budgets) {
-        this.answers = budgets.answersRead();
+            BodyBudgets budgets) {
+        this.answers = budgets.incomingAnswers();
         this.mostByMemory = mostOpen;
         this.dialer = dialer;
         this.clock = clock;
@@ -96,26 +96,26 @@
         this.counters = counters;
         this.host = host;
         this.mostOpen = mostOpen;
-        retune(settings);
+        applySettings(settings);
     }
 
     /** Other settings from now on. */
-    public void retune(Settings settings) {
+    public void applySettings(Settings settings) {
         connectUs = (long) (settings.may().connectTimeoutMs() * 1000);
         reuseUs = (long) (settings.may().idleCloseMs() * 1000 * REUSE_PART);
     }
 
     /** At most so many connections from now on, and never more than at the start; idle ones beyond it close. */
-    public void bound(int most) {
+    public void setMaxConnections(int most) {
         mostOpen = Math.min(most, mostByMemory);
-        while (open > mostOpen && dropOldestIdle()) {
+        while (connectionCount > mostOpen && dropOldestIdle()) {
             counters.add("connections.gave_way");
         }
     }
 
     /** Connections open or coming up. */
-    public int open() {
-        return open;
+    public int connectionCount() {
+        return connectionCount;
     }
 
     @Override
@@ -146,7 +146,7 @@
     public void forget(Node node) {
         ArrayDeque<UpstreamConnection> kept = idle.remove(node.address());
         if (kept != null) {
-            List.copyOf(kept).forEach(UpstreamConnection::drop);
+            List.copyOf(kept).forEach(UpstreamConnection::closeSilently);
         }
     }
 
@@ -165,9 +165,9 @@
                 leg.on(connection);
                 return;
             }
-            connection.drop();
+            connection.closeSilently();
         }
-        if (open >= mostOpen && !dropOldestIdle()) {
+        if (connectionCount >= mostOpen && !dropOldestIdle()) {
             counters.add("connections.none_left");
             leg.notConnected();
             return;
@@ -195,14 +195,14 @@
             }
         }
         if (oldest != null) {
-            oldest.drop();
+            oldest.closeSilently();
         }
         return oldest != null;
     }
 
     private void dial(Leg leg) {
         counters.add("connections.nodes");
-        open++;
+        connectionCount++;
         Dial dial = new Dial(leg);
         leg.dial = dial;
         dial.timeout = timers.at(clock.getAsLong() + connectUs, () -> dial.fail());
@@ -227,7 +227,7 @@
         @Override
         public Connection connected(EndPoint endPoint) {
             UpstreamConnection connection =
-                    new UpstreamConnection(endPoint, MOST_ANSWER, answers, NodePool.this::changed) {
+                    new UpstreamConnection(endPoint, MOST_ANSWER, answers, NodeConnectionPool.this::changed) {
                         @Override
                         public void onOpen() {
                             super.onOpen();
@@ -239,7 +239,7 @@
 
         private void up(UpstreamConnection connection) {
             if (done) {
-                connection.drop();
+                connection.closeSilently();
                 return;
             }
             done = true;
@@ -267,7 +267,7 @@
                 return false;
             }
             done = true;
-            open--;
+            connectionCount--;
             if (timeout != null) {
                 timeout.cancel();
             }
@@ -291,7 +291,7 @@
             idle.computeIfAbsent(address, a -> new ArrayDeque<>()).addLast(connection);
             sweepLater();
         } else if (addresses.remove(connection) != null) {
-            open--;
+            connectionCount--;
             ArrayDeque<UpstreamConnection> kept = idle.get(address);
             if (kept != null && kept.remove(connection) && kept.isEmpty()) {
                 idle.remove(address);
@@ -312,7 +312,7 @@
         long now = clock.getAsLong();
         for (ArrayDeque<UpstreamConnection> kept : List.copyOf(idle.values())) {
             while (!kept.isEmpty() && now - kept.peekFirst().idleSinceUs() > reuseUs) {
-                kept.peekFirst().drop();
+                kept.peekFirst().closeSilently();
             }
         }
         if (!idle.isEmpty()) {
@@ -321,7 +321,7 @@
     }
 
     /** A call on its way: waiting for its connection, or on it. */
-    private abstract class Leg implements Call {
+    private abstract class Leg implements UpstreamCall {
         private String address;
         private Dial dial;
         private UpstreamConnection connection;
@@ -337,7 +337,7 @@
          * until the client's time is up.
          */
         @Override
-        public void partial() {
+        public void onPartialAnswer() {
             watch(connection.received());
             timers.at(clock.getAsLong() + GATHER_US, () -> connection.beginPieces(this));
         }
@@ -382,7 +382,7 @@
             if (dial != null) {
                 dial.stop();
             } else if (connection != null) {
-                connection.drop();
+                connection.closeSilently();
             }
         }
     }
@@ -407,16 +407,16 @@
         }
 
         @Override
-        public void written() {
+        public void onRequestWritten() {
             attempt.written();
         }
 
         @Override
-        public Rest rest() {
+        public StreamedBody streamedBody() {
             return ask.upload() == null
                     ? null
-                    : new Rest(
-                            Wire.head(
+                    : new StreamedBody(
+                            HttpProtocol.requestMetaData(
                                     ask.method(),
                                     ask.target(),
                                     fields(),
@@ -426,7 +426,7 @@
         }
 
         @Override
-        public void streams() {
+        public void onBodyStreaming() {
             attempt.streams();
             watchPieces();
         }
@@ -437,37 +437,41 @@
         }
 
         @Override
-        public boolean flows(Flow flow) {
+        public boolean acceptAnswerStream(Flow flow) {
             watchPieces();
-            attempt.reports(Wire.use(flow.fields()));
-            attempt.ended(Outcome.SERVED, flow, Wire.load(flow.fields().get(Wire.PRESSURE)));
+            attempt.reports(HttpProtocol.parseVolumeUse(flow.fields()));
+            attempt.ended(
+                    Outcome.SERVED,
+                    flow,
+                    HttpProtocol.parseLoadReport(flow.fields().get(HttpProtocol.LOAD_HEADER)));
             return true;
         }
 
         @Override
-        public ByteBuffer[] bytes() {
+        public ByteBuffer[] requestBytes() {
             return new ByteBuffer[] {
-                Wire.request(ask.method(), ask.target(), fields(), ask.body().length), ByteBuffer.wrap(ask.body())
+                HttpProtocol.requestHead(ask.method(), ask.target(), fields(), ask.body().length),
+                ByteBuffer.wrap(ask.body())
             };
         }
 
         private HttpFields fields() {
             HttpFields.Mutable fields =
-                    HttpFields.build().put(HttpHeader.HOST, host).put(Wire.TXN, ask.txn());
+                    HttpFields.build().put(HttpHeader.HOST, host).put(HttpProtocol.TXN_HEADER, ask.txn());
             if (ask.effectKey() != null) {
-                fields.put(Wire.EFFECT_KEY, ask.effectKey());
+                fields.put(HttpProtocol.IDEMPOTENCY_KEY_HEADER, ask.effectKey());
             }
             if (ask.type() != null) {
                 fields.put(HttpHeader.CONTENT_TYPE, ask.type());
             }
             long leftMs = Math.max(0, (attempt.untilUs() - clock.getAsLong()) / 1000);
-            return fields.put(Wire.REMAINING, Long.toString(leftMs));
+            return fields.put(HttpProtocol.REMAINING_MS_HEADER, Long.toString(leftMs));
         }
 
         @Override
-        public void answered(int status, HttpFields fields, ByteBuffer body) {
-            Map<String, Double> load = Wire.load(fields.get(Wire.PRESSURE));
-            attempt.reports(Wire.use(fields));
+        public void onAnswer(int status, HttpFields fields, ByteBuffer body) {
+            Map<String, Double> load = HttpProtocol.parseLoadReport(fields.get(HttpProtocol.LOAD_HEADER));
+            attempt.reports(HttpProtocol.parseVolumeUse(fields));
             Outcome outcome = outcome(status, fields);
             Object answer =
                     outcome == Outcome.SERVED ? new Message.Answer(fields.get(HttpHeader.CONTENT_TYPE), body) : null;
@@ -475,7 +479,7 @@
         }
 
         @Override
-        public void broke(Break how) {
+        public void onFailure(Failure how) {
             counters.add("connections.broke." + how.name().toLowerCase(Locale.ROOT));
             attempt.ended(outcome(how), null, null);
         }
@@ -495,14 +499,14 @@
         if (status == 200) {
             return Outcome.SERVED;
         }
-        if (!"1".equals(fields.get(Wire.TURNED_AWAY))) {
+        if (!"1".equals(fields.get(HttpProtocol.TURNED_AWAY_HEADER))) {
             return Outcome.ERROR;
         }
         return status == 503 ? Outcome.REJECTED : status == 504 ? Outcome.OVER : Outcome.ERROR;
     }
 
     /** A spoilt answer is the node's failure; a node that sends one is there, which a reset would put in doubt. */
-    static Outcome outcome(Call.Break how) {
+    static Outcome outcome(UpstreamCall.Failure how) {
         return switch (how) {
             case UNWRITTEN -> Outcome.NOT_CONNECTED;
             case ENDED -> Outcome.RESET;
@@ -528,21 +532,22 @@
         }
 
         @Override
-        public ByteBuffer[] bytes() {
+        public ByteBuffer[] requestBytes() {
             return new ByteBuffer[] {
-                Wire.request("GET", "/status/load", HttpFields.build().put(HttpHeader.HOST, host), 0)
+                HttpProtocol.requestHead(
+                        "GET", "/status/load", HttpFields.build().put(HttpHeader.HOST, host), 0)
             };
         }
 
         @Override
-        public void answered(int status, HttpFields fields, ByteBuffer body) {
+        public void onAnswer(int status, HttpFields fields, ByteBuffer body) {
             String text =
                     java.nio.charset.StandardCharsets.US_ASCII.decode(body).toString();
-            end(status == 200 ? Outcome.SERVED : Outcome.REJECTED, Wire.load(text));
+            end(status == 200 ? Outcome.SERVED : Outcome.REJECTED, HttpProtocol.parseLoadReport(text));
         }
 
         @Override
-        public void broke(Break how) {
+        public void onFailure(Failure how) {
             end(outcome(how), Map.of());
         }
 
--- a/src/main/java/petrelstand/http/PieceWriter.java
+++ b/src/main/java/petrelstand/http/PieceWriter.java
@@ -16,7 +16,7 @@
  * head says. A piece's bytes are the giver's again once it was told so; nothing is copied and nothing kept.
  */
 final class PieceWriter {
-    private static final int HEAD = Wire.MOST_HEADER + 1024;
+    private static final int HEAD = HttpProtocol.MAX_HEAD_BYTES + 1024;
     private static final int TRAILER = 64;
 
     private final EndPoint to;
--- a/src/main/java/petrelstand/http/Call.java
+++ b/src/main/java/petrelstand/http/UpstreamCall.java
@@ -5,9 +5,9 @@
 import org.eclipse.jetty.http.MetaData;
 
 /** One request on an upstream connection, and who hears of its answer. */
-public interface Call {
+public interface UpstreamCall {
     /** How a connection ended before a whole answer came. */
-    enum Break {
+    enum Failure {
         /** Before the request's last byte had left: it never ran. */
         UNWRITTEN,
         /** After that, by a close or a reset. */
@@ -17,33 +17,33 @@
     }
 
     /** The request's bytes: head and body, or its beginning where it passes in pieces. */
-    ByteBuffer[] bytes();
+    ByteBuffer[] requestBytes();
 
     /** The rest of a body that passes in pieces, with the head that goes before it; null where the bytes are all. */
-    default Rest rest() {
+    default StreamedBody streamedBody() {
         return null;
     }
 
     /** A body in pieces: its head, its beginning and where the rest comes from. */
-    record Rest(MetaData.Request head, ByteBuffer beginning, Upload upload) {}
+    record StreamedBody(MetaData.Request head, ByteBuffer beginning, Upload upload) {}
 
     /** A large answer begins; true where it is taken in pieces, and then nothing else is told of it here. */
-    default boolean flows(Flow flow) {
+    default boolean acceptAnswerStream(Flow flow) {
         return false;
     }
 
     /** The client's body is being written to the node from here on, and cannot be had again. */
-    default void streams() {}
+    default void onBodyStreaming() {}
 
     /** A whole answer came. */
-    void answered(int status, HttpFields fields, ByteBuffer body);
+    void onAnswer(int status, HttpFields fields, ByteBuffer body);
 
     /** Part of an answer came; told once a call at most. */
-    default void partial() {}
+    default void onPartialAnswer() {}
 
     /** The connection ended first. */
-    void broke(Break how);
+    void onFailure(Failure how);
 
     /** The last byte of the request was written. */
-    default void written() {}
+    default void onRequestWritten() {}
 }
--- a/src/main/java/petrelstand/http/UpstreamConnection.java
+++ b/src/main/java/petrelstand/http/UpstreamConnection.java
@@ -29,7 +29,7 @@
 
     private static final int READ = 4096;
     /** An answer with a body over this passes in pieces, where its call takes them: it is timed by its first bytes. */
-    static final int PIECES_FROM = Wire.MOST_BODY;
+    static final int PIECES_FROM = HttpProtocol.MAX_BUFFERED_BODY_BYTES;
     /** A body over this is read in larger pieces. */
     private static final int READ_LARGE = 32 * 1024;
     /** Interim answers (1xx) that may come ahead of the real one. */
@@ -45,13 +45,13 @@
     private int enlarged;
 
     private State state = State.IDLE;
-    private Call call;
+    private UpstreamCall call;
     private int status;
     private int interim;
     private HttpFields.Mutable fields;
     private final int mostBody;
     private final Body body;
-    private final Budget budget;
+    private final ByteBudget budget;
     private HttpVersion version;
     private boolean sawEnd;
     private boolean persistent;
@@ -70,7 +70,7 @@
 
     /** A body over the bound, or for which the budget has no room, ends the connection. */
     public UpstreamConnection(
-            EndPoint endPoint, int mostBody, Budget budget, BiConsumer<UpstreamConnection, Boolean> owner) {
+            EndPoint endPoint, int mostBody, ByteBudget budget, BiConsumer<UpstreamConnection, Boolean> owner) {
         super(endPoint);
         this.mostBody = mostBody;
         this.body = new Body(mostBody, budget);
@@ -97,7 +97,7 @@
     }
 
     /** Sends a call; the connection must be idle. */
-    public void send(Call next) {
+    public void send(UpstreamCall next) {
         if (state != State.IDLE) {
             throw new IllegalStateException("call on a connection that is " + state);
         }
@@ -105,23 +105,23 @@
         call = next;
         toldPartial = false;
         interim = 0;
-        Call.Rest rest = next.rest();
+        UpstreamCall.StreamedBody rest = next.streamedBody();
         if (rest != null) {
             new Streaming(rest).begin();
         } else {
-            getEndPoint().write(nonBlocking(this::sent, cause -> end(false)), next.bytes());
+            getEndPoint().write(nonBlocking(this::sent, cause -> end(false)), next.requestBytes());
         }
     }
 
     /** A request whose body passes in pieces: what the client's side gives is written, and then more is asked for. */
     private final class Streaming implements Upload.Sink {
-        private final Call of = call;
-        private final Call.Rest rest;
+        private final UpstreamCall of = call;
+        private final UpstreamCall.StreamedBody rest;
         private final PieceWriter writer;
         private boolean asking;
         private boolean askAgain;
 
-        Streaming(Call.Rest rest) {
+        Streaming(UpstreamCall.StreamedBody rest) {
             this.rest = rest;
             this.writer = PieceWriter.of(getEndPoint(), rest.head());
         }
@@ -141,7 +141,7 @@
             try {
                 while (askAgain && call == of && state == State.SENDING) {
                     askAgain = false;
-                    of.streams();
+                    of.onBodyStreaming();
                     if (call == of) {
                         rest.upload().next(this);
                     }
@@ -166,7 +166,7 @@
     private void sent() {
         if (state == State.SENDING) {
             state = State.WAITING;
-            call.written();
+            call.onRequestWritten();
         }
     }
 
@@ -182,7 +182,7 @@
         } catch (IOException e) {
             // It is closed below.
         }
-        drop();
+        closeSilently();
         return false;
     }
 
@@ -196,7 +196,7 @@
         return streamed;
     }
 
-    boolean has(Call which) {
+    boolean has(UpstreamCall which) {
         return call == which && state != State.CLOSED;
     }
 
@@ -221,7 +221,7 @@
     }
 
     /** Ends a call whose answer has stopped since so many bytes; false once it ended. What has come is read first. */
-    boolean goesOn(Call of, long since) {
+    boolean goesOn(UpstreamCall of, long since) {
         if (call == of && readAll() && call == of && received == since) {
             end(true);
         }
@@ -254,7 +254,7 @@
                 } else if (filled == 0) {
                     if (call != null && !whole && !toldPartial && !parser().isStart()) {
                         toldPartial = true;
-                        call.partial();
+                        call.onPartialAnswer();
                     }
                     finish();
                     if (state == State.IDLE) {
@@ -327,8 +327,8 @@
 
     private HttpParser parser() {
         if (parser == null) {
-            parser = new MessageParser(this, Wire.MOST_HEADER);
-            parser.setHeaderCacheSize(Wire.NO_FIELD_CACHE);
+            parser = new MessageParser(this, HttpProtocol.MAX_HEAD_BYTES);
+            parser.setHeaderCacheSize(HttpProtocol.HEADER_CACHE_BYTES);
         }
         return parser;
     }
@@ -344,7 +344,7 @@
             end(true);
             return;
         }
-        Call done = call;
+        UpstreamCall done = call;
         call = null;
         Flow flowed = flow;
         flow = null;
@@ -356,12 +356,12 @@
             giveBack();
             owner.accept(this, true);
         } else {
-            drop();
+            closeSilently();
         }
         if (flowed != null) {
             flowed.whole();
         } else {
-            done.answered(status, headers, content);
+            done.onAnswer(status, headers, content);
         }
     }
 
@@ -390,12 +390,12 @@
     @Override
     public boolean headerComplete() {
         boolean framed = fields.contains(HttpHeader.CONTENT_LENGTH) || fields.contains(HttpHeader.TRANSFER_ENCODING);
-        if (!Wire.speaks(version)
+        if (!HttpProtocol.supportsVersion(version)
                 || status == 101
                 || status < 200 && (framed || ++interim > MOST_INTERIM)
                 || status == 200 && !framed && !fields.contains(HttpHeader.CONNECTION, "close")
-                || Wire.wrongFraming(fields) != null
-                || fields.getLongField(HttpHeader.CONTENT_LENGTH) > Wire.MOST_PASSED) {
+                || HttpProtocol.framingError(fields) != null
+                || fields.getLongField(HttpHeader.CONTENT_LENGTH) > HttpProtocol.MAX_STREAMED_BODY_BYTES) {
             end(true);
             return true;
         }
@@ -417,7 +417,7 @@
     }
 
     /** Begins to pass on what is here of a large answer, if it has not begun by itself. */
-    void beginPieces(Call of) {
+    void beginPieces(UpstreamCall of) {
         long length = fields == null ? -1 : fields.getLongField(HttpHeader.CONTENT_LENGTH);
         boolean large = length > PIECES_FROM || fields != null && length < 0;
         if (call == of
@@ -440,11 +440,11 @@
             return true;
         }
         Flow begun = new Flow(fields, length, this);
-        if (!call.flows(begun)) {
+        if (!call.acceptAnswerStream(begun)) {
             return false;
         }
         if (!begun.isTaken()) {
-            drop();
+            closeSilently();
             return true;
         }
         flow = begun;
@@ -494,21 +494,22 @@
     /** Closes; a call that is out hears how. */
     private void end(boolean spoilt) {
         if (state != State.CLOSED) {
-            Call.Break how =
-                    state != State.WAITING ? Call.Break.UNWRITTEN : spoilt ? Call.Break.SPOILT : Call.Break.ENDED;
-            Call broken = call;
+            UpstreamCall.Failure how = state != State.WAITING
+                    ? UpstreamCall.Failure.UNWRITTEN
+                    : spoilt ? UpstreamCall.Failure.SPOILT : UpstreamCall.Failure.ENDED;
+            UpstreamCall broken = call;
             Flow cut = flow;
-            drop();
+            closeSilently();
             if (cut != null) {
                 cut.cut();
             } else if (broken != null) {
-                broken.broke(how);
+                broken.onFailure(how);
             }
         }
     }
 
     /** Closes without a word to the call that is out. */
-    public void drop() {
+    public void closeSilently() {
         if (state != State.CLOSED) {
             state = State.CLOSED;
             call = null;
--- a/src/main/java/petrelstand/operation/OperatorConnection.java
+++ b/src/main/java/petrelstand/operation/OperatorConnection.java
@@ -13,7 +13,7 @@
 import org.eclipse.jetty.io.EndPoint;
 import org.eclipse.jetty.util.BufferUtil;
 import petrelstand.core.Timers;
-import petrelstand.http.Wire;
+import petrelstand.http.HttpProtocol;
 import petrelstand.net.LoopConnection;
 import petrelstand.net.MessageParser;
 
@@ -43,7 +43,7 @@
     OperatorConnection(EndPoint endPoint, OperatorDoor door) {
         super(endPoint);
         this.door = door;
-        parser.setHeaderCacheSize(Wire.NO_FIELD_CACHE);
+        parser.setHeaderCacheSize(HttpProtocol.HEADER_CACHE_BYTES);
     }
 
     @Override
@@ -95,8 +95,8 @@
 
     @Override
     public boolean headerComplete() {
-        String wrong = Wire.wrongFraming(fields);
-        if (!Wire.speaks(version)) {
+        String wrong = HttpProtocol.framingError(fields);
+        if (!HttpProtocol.supportsVersion(version)) {
             answer(505, "the version is neither 1.0 nor 1.1");
         } else if (wrong != null) {
             answer(400, wrong);
@@ -156,7 +156,7 @@
         getEndPoint()
                 .write(
                         nonBlocking(this::linger, cause -> close()),
-                        Wire.answer(status, "text/plain", 0, true, content.remaining()),
+                        HttpProtocol.answerHead(status, "text/plain", 0, true, content.remaining()),
                         content);
     }
 
--- a/src/main/java/petrelstand/rsync/RsyncNodes.java
+++ b/src/main/java/petrelstand/rsync/RsyncNodes.java
@@ -10,7 +10,7 @@
 import petrelstand.core.ServerSide;
 import petrelstand.core.Timers;
 import petrelstand.decision.Scheduling.Outcome;
-import petrelstand.http.NodePool;
+import petrelstand.http.NodeConnectionPool;
 import petrelstand.net.Addresses;
 import petrelstand.net.EventLoop;
 
@@ -19,12 +19,12 @@
     /** Connect time-outs within which a node must have opened the module. */
     private static final int OPENING_TIMES = 4;
 
-    private final NodePool.Dialer dialer;
+    private final NodeConnectionPool.Dialer dialer;
     private final LongSupplier clock;
     private final Timers timers;
     private final long connectUs;
 
-    public RsyncNodes(NodePool.Dialer dialer, LongSupplier clock, Timers timers, double connectTimeoutMs) {
+    public RsyncNodes(NodeConnectionPool.Dialer dialer, LongSupplier clock, Timers timers, double connectTimeoutMs) {
         this.dialer = dialer;
         this.clock = clock;
         this.timers = timers;
--- a/src/test/java/petrelstand/CrossingsTest.java
+++ b/src/test/java/petrelstand/CrossingsTest.java
@@ -280,7 +280,7 @@
                 - count("connections.gave_way")
                 - count("connections.full")
                 - count("connections.closed_at_once");
-        assertTrue(left <= bound + petrelstand.http.Front.MOST_TOLD, left + " of " + bound);
+        assertTrue(left <= bound + petrelstand.http.HttpFront.MAX_CONNECTIONS_OVER_LIMIT, left + " of " + bound);
     }
 
     // ---- The end of the process ----
--- a/src/test/java/petrelstand/DescriptorsTest.java
+++ b/src/test/java/petrelstand/DescriptorsTest.java
@@ -3,14 +3,14 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
-import petrelstand.http.Front;
+import petrelstand.http.HttpFront;
 
 class DescriptorsTest {
     @Test
     void allPartsFitTheConfiguredFigureAndClientsHaveAThird() {
         for (int sockets = 256; sockets <= 1024; sockets++) {
             Descriptors parts = Descriptors.of(sockets, 0);
-            int told = Front.MOST_TOLD;
+            int told = HttpFront.MAX_CONNECTIONS_OVER_LIMIT;
             assertTrue(parts.clients() + told + parts.nodes() + 64 <= sockets, "over " + sockets);
             assertTrue(parts.clients() >= sockets / 3, "clients have " + parts.clients() + " of " + sockets);
             assertTrue(parts.nodes() >= sockets / 4, "nodes have " + parts.nodes() + " of " + sockets);
--- a/src/test/java/petrelstand/http/BudgetsTest.java
+++ b/src/test/java/petrelstand/http/BudgetsTest.java
@@ -13,32 +13,34 @@
 
 /** Bodies of each kind within their bound, and all kinds together within theirs. */
 class BudgetsTest {
-    private final Budgets budgets = Budgets.of(new MemoryPlan(10, 10, 100, 50, 40, 50));
+    private final BodyBudgets budgets = BodyBudgets.of(new MemoryPlan(10, 10, 100, 50, 40, 50));
 
     @Test
     void noKindHoldsMoreThanItsOwnBound() {
-        assertTrue(budgets.answersRead().take(40));
-        assertFalse(budgets.answersRead().take(1));
-        assertTrue(budgets.requests().take(1), "what one kind is refused the others have");
+        assertTrue(budgets.incomingAnswers().take(40));
+        assertFalse(budgets.incomingAnswers().take(1));
+        assertTrue(budgets.incomingRequests().take(1), "what one kind is refused the others have");
     }
 
     @Test
     void allKindsTogetherHoldNoMoreThanTheWholeAndGiveItBack() {
-        assertTrue(budgets.inWork().take(60) && budgets.requests().take(40));
-        assertFalse(budgets.answersWritten().take(1));
-        assertEquals(50, budgets.answersWritten().left(), "what was refused is not taken");
-        budgets.inWork().give(60);
-        assertTrue(budgets.answersWritten().take(50));
-        assertEquals(100, budgets.inWork().left());
-        assertFalse(budgets.inWork().take(11));
+        assertTrue(
+                budgets.activeRequests().take(60) && budgets.incomingRequests().take(40));
+        assertFalse(budgets.outgoingAnswers().take(1));
+        assertEquals(50, budgets.outgoingAnswers().left(), "what was refused is not taken");
+        budgets.activeRequests().give(60);
+        assertTrue(budgets.outgoingAnswers().take(50));
+        assertEquals(100, budgets.activeRequests().left());
+        assertFalse(budgets.activeRequests().take(11));
     }
 
     /** A body belongs to its request until nothing of that is out any more, and counts as long. */
     @Test
     void bodiesOfRequestsInWorkAreBoundedAndGiveTheirRoomBack() {
         Harness world = new Harness();
-        Budgets small = new Budgets(new Budget(1 << 20), new Budget(100_000), new Budget(1 << 20), new Budget(1 << 20));
-        NodePool pool = new NodePool(
+        BodyBudgets small = new BodyBudgets(
+                new ByteBudget(1 << 20), new ByteBudget(100_000), new ByteBudget(1 << 20), new ByteBudget(1 << 20));
+        NodeConnectionPool pool = new NodeConnectionPool(
                 world::dial,
                 () -> world.nowUs,
                 world.timers,
@@ -49,7 +51,7 @@
                 small);
         Lifecycle life = new Lifecycle(Lifecycle.Times.of(5_000_000));
         life.serving(world.nowUs);
-        Front front = new Front(world.broker(pool), world.timers, 10, life, small);
+        HttpFront front = new HttpFront(world.broker(pool), world.timers, 10, life, small);
         world.list(Harness.node("s-00000001", 3, NodeState.READY, 0));
         MemoryEnd first = MemoryEnd.open(front::accept);
         first.put(write("w1"));
@@ -61,7 +63,7 @@
         assertEquals(1, front.openIds(), "the refused one's id is free again");
         node.put("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
         assertTrue(first.taken().startsWith("HTTP/1.1 200"));
-        assertEquals(100_000, small.inWork().left());
+        assertEquals(100_000, small.activeRequests().left());
     }
 
     private static String write(String txn) {
--- a/src/test/java/petrelstand/http/FrontSearchTest.java
+++ b/src/test/java/petrelstand/http/FrontSearchTest.java
@@ -102,9 +102,9 @@
         }
 
         private final Harness world;
-        private final NodePool pool;
+        private final NodeConnectionPool pool;
         private final Lifecycle life = new Lifecycle(Lifecycle.Times.of(5_000_000));
-        private final Front front;
+        private final HttpFront front;
         private final List<Client> clients = new ArrayList<>();
         private final Map<String, Client> clientOf = new HashMap<>();
         /** Ends at the node, with the id that each has out, if any. */
@@ -116,9 +116,9 @@
 
         World(boolean cancels) {
             world = new Harness(Harness.SETTINGS.replace("caps.cancel=true", "caps.cancel=" + cancels));
-            pool = new NodePool(
+            pool = new NodeConnectionPool(
                     world::dial, () -> world.nowUs, world.timers, world.counters, world.settings, "backend.local", 6);
-            front = new Front(world.broker(pool), world.timers, 5, life);
+            front = new HttpFront(world.broker(pool), world.timers, 5, life);
             life.serving(world.nowUs);
             world.list(Harness.node("s-00000001", 3, NodeState.READY, 0));
             clients.add(new Client());
@@ -140,11 +140,11 @@
             look();
             assertEquals(0, world.broker.open(), "open requests");
             assertEquals(0, front.openIds(), "ids");
-            assertEquals(0, front.connections(), "connections");
+            assertEquals(0, front.connectionCount(), "connections");
             assertEquals(8L * 1024 * 1024, front.requests().left(), "room for requests");
             assertEquals(16L * 1024 * 1024, front.answers().left(), "room for answers");
             assertEquals(36L * 1024 * 1024, front.inWork().left(), "room for requests in work");
-            assertEquals(0, pool.open(), "connections to the node");
+            assertEquals(0, pool.connectionCount(), "connections to the node");
             for (Client client : clients) {
                 client.look();
                 assertTrue(
--- a/src/test/java/petrelstand/http/FrontTest.java
+++ b/src/test/java/petrelstand/http/FrontTest.java
@@ -25,10 +25,10 @@
 /** The platform's front and the pool towards the nodes, on connections in memory. */
 class FrontTest {
     private final Harness world = new Harness();
-    private final NodePool pool = new NodePool(
+    private final NodeConnectionPool pool = new NodeConnectionPool(
             world::dial, () -> world.nowUs, world.timers, world.counters, world.settings, "backend.local", 40);
     private final Lifecycle life = new Lifecycle(Lifecycle.Times.of(5_000_000));
-    private final Front front = new Front(world.broker(pool), world.timers, 50, life);
+    private final HttpFront front = new HttpFront(world.broker(pool), world.timers, 50, life);
     private final HeldEnd client = HeldEnd.open(front::accept);
 
     {
@@ -86,9 +86,9 @@
     @Test
     void whatAnAnswerTellsOfItsVolumeReachesTheModule() {
         Harness four = new Harness(Harness.SETTINGS.replace("balancers=1", "balancers=4"));
-        NodePool its = new NodePool(
+        NodeConnectionPool its = new NodeConnectionPool(
                 four::dial, () -> four.nowUs, four.timers, four.counters, four.settings, "backend.local", 40);
-        Front front = new Front(four.broker(its), four.timers, 50, life);
+        HttpFront front = new HttpFront(four.broker(its), four.timers, 50, life);
         four.list(Harness.node("s-00000001", 3, NodeState.READY, 0));
         HeldEnd end = HeldEnd.open(front::accept);
         end.put(read(1, "").replace("hosts=1", "hosts=4"));
@@ -229,9 +229,9 @@
     void aReloadAndADrainInOneTurnLeaveTheNodeAlone() {
         for (boolean drainFirst : new boolean[] {true, false}) {
             Harness other = new Harness();
-            NodePool its = new NodePool(
+            NodeConnectionPool its = new NodeConnectionPool(
                     other::dial, () -> other.nowUs, other.timers, other.counters, other.settings, "backend.local", 40);
-            Front front = new Front(other.broker(its), other.timers, 50, life);
+            HttpFront front = new HttpFront(other.broker(its), other.timers, 50, life);
             other.list(Harness.node("s-00000001", 3, NodeState.READY, 0));
             HeldEnd end = HeldEnd.open(front::accept);
             end.put(read(1, ""));
@@ -268,7 +268,7 @@
         world.run(600_000);
         front.closeIdle(9);
         assertTrue(client.isOutputShutdown() && client.isOpen());
-        assertEquals(0, front.owing(), "the end of the process does not wait for it");
+        assertEquals(0, front.connectionsDelayingExit(), "the end of the process does not wait for it");
         client.put(read(2, ""));
         world.run(400_000);
         client.put(read(3, ""));
@@ -332,7 +332,7 @@
             assertEquals(gone + 1, world.counters.get("client_gone"), bytes + " bytes ahead");
             assertEquals(0, world.broker.open());
         }
-        assertEquals(0, front.connections() - 1);
+        assertEquals(0, front.connectionCount() - 1);
         assertEquals(8L * 1024 * 1024, front.requests().left(), "what waited gave its room back");
     }
 
@@ -390,9 +390,9 @@
     @Test
     void whatNobodyWaitsForIsNotBegunOnAConnectionThatComesUpLate() {
         Harness other = new Harness(Harness.SETTINGS.replace("caps.cancel=true", "caps.cancel=false"));
-        NodePool its = new NodePool(
+        NodeConnectionPool its = new NodeConnectionPool(
                 other::dial, () -> other.nowUs, other.timers, other.counters, other.settings, "backend.local", 40);
-        Front front = new Front(other.broker(its), other.timers, 50, life);
+        HttpFront front = new HttpFront(other.broker(its), other.timers, 50, life);
         other.list(Harness.node("s-00000001", 3, NodeState.READY, 0));
         MemoryEnd gone = MemoryEnd.open(front::accept);
         gone.put(read(1, ""));
@@ -414,9 +414,9 @@
                 listed.asGone(),
                 Harness.node("s-00000001", 3, NodeState.READY, world.nowUs / 1000.0))) {
             Harness other = new Harness();
-            NodePool its = new NodePool(
+            NodeConnectionPool its = new NodeConnectionPool(
                     other::dial, () -> other.nowUs, other.timers, other.counters, other.settings, "backend.local", 40);
-            Front front = new Front(other.broker(its), other.timers, 50, life);
+            HttpFront front = new HttpFront(other.broker(its), other.timers, 50, life);
             other.list(listed);
             MemoryEnd end = MemoryEnd.open(front::accept);
             end.put(read(1, ""));
@@ -508,14 +508,14 @@
         client.put(write("x").replace("Content-Length: 1", "Content-Length: 67108865"));
         assertEquals(List.of("413"), statuses(client.taken()));
         byte[] part = new byte[200_000];
-        long until = world.nowUs + Front.LINGER_MOST_US;
-        while (world.nowUs < until - Front.LINGER_US) {
+        long until = world.nowUs + HttpFront.LINGER_MOST_US;
+        while (world.nowUs < until - HttpFront.LINGER_US) {
             client.putBytes(part);
-            world.run(Front.LINGER_US / 2);
+            world.run(HttpFront.LINGER_US / 2);
             assertTrue(client.isOpen(), "closed while it sends, so that a reset may lose the error");
         }
         client.putBytes(part);
-        world.run(Front.LINGER_US);
+        world.run(HttpFront.LINGER_US);
         assertFalse(client.isOpen(), "a client that sends without end is let go");
     }
 
@@ -528,9 +528,9 @@
         world.run(600_000);
         assertFalse(client.isOpen());
         assertEquals(List.of("408"), statuses(half.taken()));
-        world.run(Front.LINGER_US);
+        world.run(HttpFront.LINGER_US);
         assertFalse(half.isOpen());
-        assertEquals(0, front.connections());
+        assertEquals(0, front.connectionCount());
     }
 
     @Test
@@ -546,12 +546,12 @@
         for (int i = 0; i < 49; i++) {
             MemoryEnd.open(front::accept);
         }
-        world.run(Front.SILENT_US);
+        world.run(HttpFront.SILENT_US);
         for (int i = 0; i < 40; i++) {
             MemoryEnd.open(front::accept);
         }
         assertTrue(client.isOpen());
-        assertEquals(50, front.connections());
+        assertEquals(50, front.connectionCount());
     }
 
     @Test
@@ -559,7 +559,7 @@
         for (int i = 0; i < 200; i++) {
             MemoryEnd.open(front::accept).put("GET ");
         }
-        assertEquals(66, front.connections());
+        assertEquals(66, front.connectionCount());
     }
 
     /** An answer is the whole of what its head says, made for this request, or the attempt has failed. */
@@ -595,7 +595,7 @@
             assertEquals(1, fresh.world.counters.get("outcome.error"), answer);
             assertFalse(node.isOpen(), answer);
             assertEquals(List.of(), statuses(fresh.client.taken()), answer);
-            assertEquals(fresh.world.dialed.size(), fresh.pool.open(), answer);
+            assertEquals(fresh.world.dialed.size(), fresh.pool.connectionCount(), answer);
         }
     }
 
@@ -645,11 +645,11 @@
         MemoryEnd node = world.up();
         node.put("HTTP/1.1 200 OK\r\nContent-Length: 50000\r\n\r\n");
         for (int i = 0; i < 5; i++) {
-            world.run(NodePool.STALL_US - 1000);
+            world.run(NodeConnectionPool.STALL_US - 1000);
             node.put("part");
         }
         assertTrue(node.isOpen());
-        world.run(2 * NodePool.STALL_US);
+        world.run(2 * NodeConnectionPool.STALL_US);
         assertEquals(1, world.counters.get("outcome.error"));
         assertFalse(node.isOpen());
     }
@@ -695,18 +695,18 @@
         MemoryEnd node = world.up();
         node.put("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\npart");
         assertEquals("", client.taken());
-        world.run(NodePool.GATHER_US);
+        world.run(NodeConnectionPool.GATHER_US);
         assertTrue(client.taken().endsWith("Content-Length: 100000\r\n\r\npart"));
         for (int i = 0; i < 3; i++) {
-            world.run(NodePool.PIECE_STALL_US - 1);
+            world.run(NodeConnectionPool.PIECE_STALL_US - 1);
             node.put("part");
             assertEquals("part", client.taken());
         }
-        world.run(2 * NodePool.PIECE_STALL_US);
+        world.run(2 * NodeConnectionPool.PIECE_STALL_US);
         assertFalse(node.isOpen());
         assertFalse(client.isOpen());
         assertEquals(1, world.broker.figures().count("tile-read", End.FAILED));
-        assertEquals(0, front.answering());
+        assertEquals(0, front.answeringCount());
         MemoryEnd second = MemoryEnd.open(front::accept);
         second.put(read(2, ""));
         MemoryEnd other = world.up();
@@ -733,7 +733,7 @@
 
     @Test
     void theBudgetOfABodyComesBackWholeAndBoundsWhatIsKept() {
-        Budget budget = new Budget(100_000);
+        ByteBudget budget = new ByteBudget(100_000);
         Body one = new Body(80_000, budget);
         Body two = new Body(80_000, budget);
         one.announced(70_000);
@@ -797,7 +797,7 @@
         String large = write("").replace("Content-Length: 0", "Content-Length: 200000") + "z".repeat(20_000);
         client.put(large);
         MemoryEnd node = world.up();
-        world.run(Front.REQUEST_US);
+        world.run(HttpFront.REQUEST_US);
         assertEquals(List.of("408"), statuses(client.taken()));
         assertFalse(node.isOpen());
         HeldEnd slow = HeldEnd.open(front::accept);
@@ -819,7 +819,7 @@
         assertEquals(List.of("503"), statuses(client.taken()));
         for (int i = 0; i < 20; i++) {
             client.putBytes(new byte[4_000]);
-            world.run(Front.LINGER_US - 1);
+            world.run(HttpFront.LINGER_US - 1);
         }
         assertTrue(client.isOpen());
         assertEquals("", client.taken());
@@ -841,7 +841,7 @@
         client.putEnd();
         assertFalse(node.isOpen());
         assertEquals(0, world.broker.open());
-        assertEquals(0, pool.open());
+        assertEquals(0, pool.connectionCount());
         assertEquals(1, world.counters.get("client_gone"));
     }
 
@@ -883,7 +883,7 @@
         assertEquals(0, world.counters.get("outcome.not_connected"));
         world.run(1);
         assertEquals(1, world.counters.get("outcome.not_connected"));
-        assertEquals(world.dialed.size() - 1, pool.open());
+        assertEquals(world.dialed.size() - 1, pool.connectionCount());
     }
 
     @Test
@@ -893,7 +893,7 @@
         Harness.Dialed first = world.dialed.remove(0);
         world.run(2_000_000);
         assertFalse(MemoryEnd.open(first.connector()::connected).isOpen());
-        assertEquals(0, pool.open());
+        assertEquals(0, pool.connectionCount());
     }
 
     @Test
@@ -1005,7 +1005,7 @@
         assertTrue(answer.contains("Connection: close\r\n") && answer.endsWith("kept"));
         client.putEnd();
         assertFalse(client.isOpen());
-        assertEquals(0, front.answering());
+        assertEquals(0, front.answeringCount());
     }
 
     @Test
@@ -1013,7 +1013,7 @@
         for (int i = 0; i < 60; i++) {
             MemoryEnd.open(front::accept);
         }
-        assertEquals(50, front.connections());
+        assertEquals(50, front.connectionCount());
         assertFalse(client.isOpen());
     }
 
@@ -1043,23 +1043,24 @@
         world.run(250_000);
         assertEquals(List.of("SERVED {util=0.61, queue=2.0}", "TIMED_OUT {}"), ends);
         assertFalse(end.isOpen());
-        assertEquals(0, pool.open());
+        assertEquals(0, pool.connectionCount());
     }
 
     @Test
     void loadReportsAndWaitsAreReadAndWrittenAsTheProtocolSays() {
         assertEquals(
                 "{inflight=7.0, util=0.61}",
-                Wire.load("TEXT inflight=7, queue=x, util=0.61").toString());
+                HttpProtocol.parseLoadReport("TEXT inflight=7, queue=x, util=0.61")
+                        .toString());
         assertEquals(
                 "{}",
-                Wire.load("TEXT inflight=NaN, queue=-3, util=Infinity, qps=1e300, =1, \u0001\u0002")
+                HttpProtocol.parseLoadReport("TEXT inflight=NaN, queue=-3, util=Infinity, qps=1e300, =1, \u0001\u0002")
                         .toString());
-        assertEquals("{}", Wire.load(null).toString());
+        assertEquals("{}", HttpProtocol.parseLoadReport(null).toString());
         assertEquals(
                 List.of("0.001", "0.35", "2", "1.5"),
                 java.util.stream.Stream.of(1L, 350_000L, 2_000_000L, 1_500_000L)
-                        .map(Wire::seconds)
+                        .map(HttpProtocol::formatSeconds)
                         .toList());
     }
 
@@ -1114,7 +1115,7 @@
         for (int i = 0; i < asked && asked < 10; i++) {
             test.world.run(1_500_000);
         }
-        test.world.run(asked < 10 ? Front.REQUEST_US : 0);
+        test.world.run(asked < 10 ? HttpFront.REQUEST_US : 0);
         got.append(test.client.taken());
         assertEquals(0, test.world.broker.open());
         if (open && asked < 10) {
--- a/src/test/java/petrelstand/http/IdleConnectionMemoryTest.java
+++ b/src/test/java/petrelstand/http/IdleConnectionMemoryTest.java
@@ -26,10 +26,10 @@
     private static final String LONG_FIELD = "X-Long: " + "x".repeat(7000) + "\r\n";
 
     private final Harness world = new Harness();
-    private final NodePool pool = new NodePool(
+    private final NodeConnectionPool pool = new NodeConnectionPool(
             world::dial, () -> world.nowUs, world.timers, world.counters, world.settings, "backend.local", CONNECTIONS);
     private final Lifecycle life = new Lifecycle(Lifecycle.Times.of(5_000_000));
-    private final Front front = new Front(world.broker(pool), world.timers, 2 * CONNECTIONS, life);
+    private final HttpFront front = new HttpFront(world.broker(pool), world.timers, 2 * CONNECTIONS, life);
 
     {
         life.serving(world.nowUs);
@@ -69,7 +69,7 @@
         for (int i = 0; i < CONNECTIONS; i++) {
             clients.add(asked(i % 2 == 0 ? "" : LONG_FIELD));
         }
-        assertEquals(CONNECTIONS + 1, front.connections());
+        assertEquals(CONNECTIONS + 1, front.connectionCount());
         assertWithinBound(before, clients, "client");
     }
 
@@ -77,12 +77,12 @@
     void aNodesRestingConnectionKeepsNeitherParserNorBuffer() {
         List<MemoryEnd> nodes = new ArrayList<>(CONNECTIONS);
         List<UpstreamConnection> connections = new ArrayList<>(CONNECTIONS);
-        Budget budget = new Budget(1 << 20);
+        ByteBudget budget = new ByteBudget(1 << 20);
         long before = used();
         for (int i = 0; i < CONNECTIONS; i++) {
             nodes.add(MemoryEnd.open(end -> {
                 UpstreamConnection connection =
-                        new UpstreamConnection(end, NodePool.MOST_ANSWER, budget, (c, free) -> {});
+                        new UpstreamConnection(end, NodeConnectionPool.MOST_ANSWER, budget, (c, free) -> {});
                 connections.add(connection);
                 return connection;
             }));
@@ -101,19 +101,19 @@
     }
 
     /** A call that keeps the body that it was answered. */
-    private record OneCall(String[] answered) implements Call {
+    private record OneCall(String[] answered) implements UpstreamCall {
         @Override
-        public ByteBuffer[] bytes() {
+        public ByteBuffer[] requestBytes() {
             return new ByteBuffer[] {BufferUtil.toBuffer("GET / HTTP/1.1\r\nHost: b\r\n\r\n")};
         }
 
         @Override
-        public void answered(int status, HttpFields fields, ByteBuffer body) {
+        public void onAnswer(int status, HttpFields fields, ByteBuffer body) {
             answered[0] = BufferUtil.toString(body);
         }
 
         @Override
-        public void broke(Break how) {
+        public void onFailure(Failure how) {
             answered[0] = how.name();
         }
     }
@@ -123,7 +123,8 @@
     void aNodesRestingConnectionThatWasSentBytesIsNotUsedAgain() {
         List<UpstreamConnection> connections = new ArrayList<>();
         HeldEnd node = HeldEnd.open(end -> {
-            connections.add(new UpstreamConnection(end, NodePool.MOST_ANSWER, new Budget(1 << 20), (c, free) -> {}));
+            connections.add(new UpstreamConnection(
+                    end, NodeConnectionPool.MOST_ANSWER, new ByteBudget(1 << 20), (c, free) -> {}));
             return connections.get(0);
         });
         String[] answered = new String[1];
--- a/src/test/java/petrelstand/http/RehearsalTest.java
+++ b/src/test/java/petrelstand/http/RehearsalTest.java
@@ -8,6 +8,6 @@
 class RehearsalTest {
     @Test
     void theRehearsalServesWhatItPlays() {
-        assertEquals(60, Rehearsal.play(new Harness().settings, 60));
+        assertEquals(60, JvmWarmUp.run(new Harness().settings, 60));
     }
 }
