--- a/src/main/java/petrelstand/FleetPart.java
+++ b/src/main/java/petrelstand/FleetPart.java
@@ -29,7 +29,7 @@
         this.config = config;
         this.fleet = new Fleet(config, gateway.name(), gateway.seed(), timers, nowUs, loop, counters, log);
         if (log instanceof JsonLog json) {
-            json.view(fleet::version);
+            json.setViewVersion(fleet::version);
         }
     }
 
--- a/src/main/java/petrelstand/Gateway.java
+++ b/src/main/java/petrelstand/Gateway.java
@@ -21,16 +21,16 @@
 import petrelstand.core.Timers;
 import petrelstand.decision.Policy;
 import petrelstand.decision.Scheduling.ListKind;
-import petrelstand.discovery.Watch;
+import petrelstand.discovery.NodeListWatcher;
 import petrelstand.http.Budgets;
 import petrelstand.http.Front;
 import petrelstand.http.NodePool;
 import petrelstand.http.Rehearsal;
 import petrelstand.lifecycle.Lifecycle;
 import petrelstand.lifecycle.MemoryPlan;
-import petrelstand.net.Addresses;
-import petrelstand.net.Clock;
 import petrelstand.net.EventLoop;
+import petrelstand.net.LoopClock;
+import petrelstand.net.SocketAddresses;
 import petrelstand.report.AccountsPage;
 import petrelstand.rsync.ByWire;
 import petrelstand.rsync.RsyncFront;
@@ -66,7 +66,7 @@
     /** Of the 6 s that a process has from its start to its yes. */
     private static final long MOST_REHEARSED_NS = 1_800_000_000L;
 
-    private final Clock clock = new Clock();
+    private final LoopClock clock = new LoopClock();
     private final Timers timers = new Timers();
     private final Counters counters = new Counters();
     private final Consumer<String> log;
@@ -76,7 +76,7 @@
     private final EventLoop loop;
     private final Broker broker;
     private final Front front;
-    private final Watch watch;
+    private final NodeListWatcher watch;
     private RsyncConfig rsync;
     private final RsyncFront rsyncFront;
     private final StateKeeper keeper;
@@ -148,7 +148,7 @@
                         log,
                         this::evacuate,
                         this::rejoin);
-        this.watch = new Watch(
+        this.watch = new NodeListWatcher(
                 loop::connect,
                 clock::nowUs,
                 timers,
@@ -342,7 +342,7 @@
     }
 
     private void listen(String address, Function<EndPoint, Connection> to) {
-        listen((on, at) -> listeners.add(on.listen(Addresses.parse(at), operation != null, to)), address);
+        listen((on, at) -> listeners.add(on.listen(SocketAddresses.parse(at), operation != null, to)), address);
     }
 
     /** Opens a listener on the loop. */
@@ -391,7 +391,7 @@
         config = changed;
         log.accept("reload: discovery at " + changed.discovery()
                 + (later.isEmpty() ? "" : "; only a restart takes the changed " + String.join(", ", later)));
-        watch.move(changed.discovery());
+        watch.changeAddress(changed.discovery());
     }
 
     /** SIGHUP with a file that is wrong: all stays as it was. On the loop's thread. */
@@ -502,7 +502,7 @@
     }
 
     private void stopListening() {
-        listeners.forEach(loop::unlisten);
+        listeners.forEach(loop::stopListening);
         listeners.clear();
         if (rsyncFront != null) {
             rsyncFront.closeIdle();
@@ -511,7 +511,7 @@
 
     /** Whether all that was taken is answered, and no connection is waited for any more. */
     private boolean over(long now) {
-        boolean answered = broker.open() == 0 && front.answering() == 0 && !loop.isTaking();
+        boolean answered = broker.open() == 0 && front.answering() == 0 && !loop.hasPendingAccepts();
         answeredUs = !answered ? 0 : answeredUs == 0 ? now : answeredUs;
         return answered
                 && (front.owing() + (rsync == null ? 0 : rsyncFront.sessions()) == 0
--- a/src/main/java/petrelstand/Main.java
+++ b/src/main/java/petrelstand/Main.java
@@ -112,7 +112,7 @@
     private static Terminator guard(Gateway gateway) {
         Terminator terminator = new Terminator();
         Thread.currentThread().setUncaughtExceptionHandler(terminator);
-        gateway.loop().whenBroken(terminator);
+        gateway.loop().setFatalErrorHandler(terminator);
         Watchdog.start(gateway.loop(), terminator);
         return terminator;
     }
--- a/src/main/java/petrelstand/OperationPart.java
+++ b/src/main/java/petrelstand/OperationPart.java
@@ -16,8 +16,8 @@
 import petrelstand.http.Front;
 import petrelstand.http.NodePool;
 import petrelstand.lifecycle.Lifecycle;
-import petrelstand.net.Addresses;
 import petrelstand.net.EventLoop;
+import petrelstand.net.SocketAddresses;
 import petrelstand.operation.OperatorDoor;
 import petrelstand.operation.OperatorDoor.Answer;
 import petrelstand.operation.OperatorDoor.Call;
@@ -133,7 +133,7 @@
 
     /** Listens at the operators' address, to the end of the process, and looks for one that takes this one's place. */
     void open(EventLoop loop, String address) throws IOException {
-        loop.listen(Addresses.parse(address), door::accept);
+        loop.listen(SocketAddresses.parse(address), door::accept);
         hotRestart.listens(broker);
     }
 
--- a/src/main/java/petrelstand/Watchdog.java
+++ b/src/main/java/petrelstand/Watchdog.java
@@ -28,15 +28,15 @@
     }
 
     private void run() {
-        StallDetector detector = new StallDetector(System.nanoTime(), loop.turns());
+        StallDetector detector = new StallDetector(System.nanoTime(), loop.iterations());
         while (true) {
             LockSupport.parkNanos(StallDetector.PERIOD_NS);
             terminator.finish();
-            if (detector.observe(System.nanoTime(), loop.turns())) {
+            if (detector.observe(System.nanoTime(), loop.iterations())) {
                 terminator.end(
                         ExitStatus.LOOP_STALLED,
                         "the loop has not turned for " + StallDetector.LIMIT_NS / StallDetector.PERIOD_NS
-                                + " s; it is at " + loop.place());
+                                + " s; it is at " + loop.currentStackFrame());
             }
             if (detector.mayBeIdle()) {
                 loop.wake();
--- a/src/main/java/petrelstand/discovery/Watch.java
+++ b/src/main/java/petrelstand/discovery/NodeListWatcher.java
@@ -19,15 +19,15 @@
 import petrelstand.http.NodePool;
 import petrelstand.http.UpstreamConnection;
 import petrelstand.http.Wire;
-import petrelstand.net.Addresses;
 import petrelstand.net.EventLoop;
+import petrelstand.net.SocketAddresses;
 
 /**
  * Follows the node list: one call after another, each waiting at the agent for something newer. The next call goes out
  * at once after an answer, and a call that got none is given up for a new one. Whatever two calls in a row fail of, the
  * third goes out 5.4 s after the first at the latest: a change counts as told 6 s after discovery could be reached.
  */
-public final class Watch {
+public final class NodeListWatcher {
     /** How long a call waits at the agent where calls are answered. */
     static final long WAIT_MS = 2_000;
     /** How long it waits after a failure, a start or a move: what was missed is there, so an answer comes at once. */
@@ -62,7 +62,7 @@
     /** The rest after a failed call. */
     private Timers.Timer rest;
 
-    public Watch(
+    public NodeListWatcher(
             NodePool.Dialer dialer,
             LongSupplier clock,
             Timers timers,
@@ -95,7 +95,7 @@
      * loops side by side, where a failed call was resting, and against a connection to the old address that comes up
      * late.
      */
-    public void move(String newAddress) {
+    public void changeAddress(String newAddress) {
         if (newAddress.equals(address)) {
             return;
         }
@@ -132,7 +132,7 @@
         }
         round.limit(SLACK_US);
         try {
-            round.dialed = dialer.connect(Addresses.parse(address), round);
+            round.dialed = dialer.connect(SocketAddresses.parse(address), round);
         } catch (IOException | RuntimeException e) {
             round.failed("no connection, " + e);
         }
@@ -278,7 +278,7 @@
                     soon = SOON_CALLS;
                     log.accept("discovery: " + why + "; asking again");
                 }
-                rest = last ? null : timers.at(clock.getAsLong() + REST_US, Watch.this::next);
+                rest = last ? null : timers.at(clock.getAsLong() + REST_US, NodeListWatcher.this::next);
             }
         }
     }
--- a/src/main/java/petrelstand/fleet/Link.java
+++ b/src/main/java/petrelstand/fleet/Link.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Consumer;
 import petrelstand.members.Message.Envelope;
-import petrelstand.net.Addresses;
+import petrelstand.net.SocketAddresses;
 
 /**
  * The fleet's datagrams. A thread of its own waits for them, checks their marks and decodes them; whole messages wait
@@ -58,7 +58,7 @@
         keys(keys);
         channel = DatagramChannel.open();
         try {
-            channel.bind(Addresses.parse(listen));
+            channel.bind(SocketAddresses.parse(listen));
             channel.configureBlocking(false);
             selector = Selector.open();
             channel.register(selector, SelectionKey.OP_READ);
@@ -101,7 +101,7 @@
             }
             InetSocketAddress target = addresses.get(address);
             if (target == null) {
-                target = Addresses.parse(address);
+                target = SocketAddresses.parse(address);
                 addresses.put(address, target);
             }
             return channel.send(ByteBuffer.wrap(datagram), target);
--- a/src/main/java/petrelstand/fleet/RulesClient.java
+++ b/src/main/java/petrelstand/fleet/RulesClient.java
@@ -14,7 +14,7 @@
 import petrelstand.agreement.Talk;
 import petrelstand.consensus.Parcel;
 import petrelstand.consensus.Wire;
-import petrelstand.net.Addresses;
+import petrelstand.net.SocketAddresses;
 
 /**
  * Proposes and orders from outside, with the fleet's key: asks the gateways at the addresses that it knows, one of
@@ -34,7 +34,7 @@
     /** Speaks from a free port of an address by which the gateways reach this machine. */
     public RulesClient(String fleet, List<byte[]> keys, List<String> gateways, String own) throws IOException {
         this.fleet = fleet;
-        this.gateways = gateways.stream().map(Addresses::parse).toList();
+        this.gateways = gateways.stream().map(SocketAddresses::parse).toList();
         this.seal = new Seal(keys);
         this.socket = new DatagramSocket(0, InetAddress.getByName(own));
         this.own = own + ":" + socket.getLocalPort();
--- a/src/main/java/petrelstand/http/ClientConnection.java
+++ b/src/main/java/petrelstand/http/ClientConnection.java
@@ -18,8 +18,8 @@
 import petrelstand.core.Figures.End;
 import petrelstand.core.Timers;
 import petrelstand.decision.Scheduling.Outcome;
+import petrelstand.net.HttpMessageParser;
 import petrelstand.net.LoopConnection;
-import petrelstand.net.MessageParser;
 
 /**
  * A client's connection. It reads one request at a time; bytes of the next wait in the buffer until the answer is
@@ -321,7 +321,7 @@
 
     private HttpParser parser() {
         if (parser == null) {
-            parser = new MessageParser(this, Wire.MOST_HEADER);
+            parser = new HttpMessageParser(this, Wire.MOST_HEADER);
             parser.setHeaderCacheSize(Wire.NO_FIELD_CACHE);
         }
         return parser;
@@ -437,7 +437,7 @@
         if (fields.contains(HttpHeader.EXPECT, "100-continue")) {
             getEndPoint()
                     .write(
-                            nonBlocking(() -> {}, cause -> close()),
+                            nonBlockingCallback(() -> {}, cause -> close()),
                             BufferUtil.toBuffer("HTTP/1.1 100 Continue\r\n\r\n"));
         }
         if (fields.getLongField(HttpHeader.CONTENT_LENGTH) > 0 || fields.contains(HttpHeader.TRANSFER_ENCODING)) {
@@ -769,7 +769,7 @@
         boolean last = close || endsHere();
         limit = front.timers().at(front.broker().nowUs() + Front.ANSWER_US, this::close);
         ByteBuffer head = Wire.answer(status, type, retryAfterUs, last, content.remaining());
-        getEndPoint().write(nonBlocking(() -> written(last), this::notWritten), head, content);
+        getEndPoint().write(nonBlockingCallback(() -> written(last), this::notWritten), head, content);
     }
 
     private void releaseAnswer() {
--- a/src/main/java/petrelstand/http/NodePool.java
+++ b/src/main/java/petrelstand/http/NodePool.java
@@ -23,8 +23,8 @@
 import petrelstand.decision.Scheduling.Outcome;
 import petrelstand.decision.Scheduling.Settings;
 import petrelstand.lifecycle.MemoryPlan;
-import petrelstand.net.Addresses;
 import petrelstand.net.EventLoop;
+import petrelstand.net.SocketAddresses;
 
 /** The side that faces the storage nodes: attempts over a bounded pool of connections, one attempt on each. */
 public final class NodePool implements ServerSide {
@@ -207,7 +207,7 @@
         leg.dial = dial;
         dial.timeout = timers.at(clock.getAsLong() + connectUs, () -> dial.fail());
         try {
-            dial.channel = dialer.connect(Addresses.parse(leg.address), dial);
+            dial.channel = dialer.connect(SocketAddresses.parse(leg.address), dial);
         } catch (IOException | RuntimeException e) {
             dial.fail();
         }
--- a/src/main/java/petrelstand/http/PieceWriter.java
+++ b/src/main/java/petrelstand/http/PieceWriter.java
@@ -76,7 +76,7 @@
             }
         }
         to.write(
-                LoopConnection.nonBlocking(
+                LoopConnection.nonBlockingCallback(
                         () -> {
                             // The head's room is not needed again; what follows may be more of this piece's frame.
                             head = generator.isCommitted() ? BufferUtil.EMPTY_BUFFER : head;
--- a/src/main/java/petrelstand/http/Rehearsal.java
+++ b/src/main/java/petrelstand/http/Rehearsal.java
@@ -16,7 +16,7 @@
 import petrelstand.decision.Scheduling.Settings;
 import petrelstand.lifecycle.Lifecycle;
 import petrelstand.net.EventLoop;
-import petrelstand.net.MemoryEnd;
+import petrelstand.net.MemoryEndPoint;
 
 /**
  * Plays requests through parts of their own, in memory, before the gateway says that it is ready: a virtual machine
@@ -30,7 +30,7 @@
     private final Timers timers = new Timers();
     private final Settings settings;
     private final List<EventLoop.Connector> dialed = new ArrayList<>();
-    private final List<MemoryEnd> nodeEnds = new ArrayList<>();
+    private final List<MemoryEndPoint> nodeEnds = new ArrayList<>();
     private final Counters counters = new Counters();
     private final Broker broker;
     private final Front front;
@@ -64,16 +64,16 @@
                     "s-0000000" + i, "127.0.0.1:" + (9000 + i), new NodeEntry(i, 0, i, NodeState.READY, 1, 0)));
         }
         broker.nodes(ListKind.WHOLE, nodes);
-        List<MemoryEnd> clients = new ArrayList<>();
+        List<MemoryEndPoint> clients = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
-            clients.add(MemoryEnd.open(front::accept));
+            clients.add(MemoryEndPoint.open(front::accept));
         }
         for (int i = 0; i < requests; i++) {
-            MemoryEnd client = clients.get(i % CLIENTS);
-            client.put(request(i));
+            MemoryEndPoint client = clients.get(i % CLIENTS);
+            client.send(request(i));
             if (i % CLIENTS == CLIENTS - 1) {
                 answer();
-                clients.forEach(MemoryEnd::taken);
+                clients.forEach(MemoryEndPoint::takeReceived);
             }
             nowUs += STEP_US;
             timers.run(nowUs);
@@ -84,12 +84,12 @@
     private void answer() {
         List<EventLoop.Connector> coming = List.copyOf(dialed);
         dialed.clear();
-        coming.forEach(connector -> nodeEnds.add(MemoryEnd.open(connector::connected)));
-        for (MemoryEnd node : List.copyOf(nodeEnds)) {
+        coming.forEach(connector -> nodeEnds.add(MemoryEndPoint.open(connector::connected)));
+        for (MemoryEndPoint node : List.copyOf(nodeEnds)) {
             if (!node.isOpen()) {
                 nodeEnds.remove(node);
-            } else if (!node.taken().isEmpty()) {
-                node.put("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Type: text/plain\r\n\r\ndone");
+            } else if (!node.takeReceived().isEmpty()) {
+                node.send("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Type: text/plain\r\n\r\ndone");
             }
         }
     }
--- a/src/main/java/petrelstand/http/UpstreamConnection.java
+++ b/src/main/java/petrelstand/http/UpstreamConnection.java
@@ -11,8 +11,8 @@
 import org.eclipse.jetty.http.HttpVersion;
 import org.eclipse.jetty.io.EndPoint;
 import org.eclipse.jetty.util.BufferUtil;
+import petrelstand.net.HttpMessageParser;
 import petrelstand.net.LoopConnection;
-import petrelstand.net.MessageParser;
 
 /**
  * An HTTP/1.1 connection to a node or to discovery, one call at a time. Only a whole, well-formed answer that ends
@@ -109,7 +109,7 @@
         if (rest != null) {
             new Streaming(rest).begin();
         } else {
-            getEndPoint().write(nonBlocking(this::sent, cause -> end(false)), next.bytes());
+            getEndPoint().write(nonBlockingCallback(this::sent, cause -> end(false)), next.bytes());
         }
     }
 
@@ -327,7 +327,7 @@
 
     private HttpParser parser() {
         if (parser == null) {
-            parser = new MessageParser(this, Wire.MOST_HEADER);
+            parser = new HttpMessageParser(this, Wire.MOST_HEADER);
             parser.setHeaderCacheSize(Wire.NO_FIELD_CACHE);
         }
         return parser;
--- a/src/main/java/petrelstand/logging/JsonLog.java
+++ b/src/main/java/petrelstand/logging/JsonLog.java
@@ -19,7 +19,7 @@
 public final class JsonLog implements Consumer<String> {
     private static final String PROVIDER = "slf4j.provider";
     private final Logger logger;
-    private LongSupplier view;
+    private LongSupplier setViewVersion;
 
     /** Must be made before anything has asked SLF4J for a logger: the provider is chosen once. */
     public JsonLog() {
@@ -44,8 +44,8 @@
     }
 
     /** Every line from now on carries the version of a view, read on whatever thread the line comes from. */
-    public void view(LongSupplier version) {
-        view = version;
+    public void setViewVersion(LongSupplier version) {
+        setViewVersion = version;
     }
 
     @Override
@@ -54,6 +54,6 @@
         String component = colon > 0 ? line.substring(0, colon) : "gateway";
         LoggingEventBuilder event =
                 logger.atInfo().addKeyValue("component", component.split(" ")[0]);
-        (view == null ? event : event.addKeyValue("view", view.getAsLong())).log(line);
+        (setViewVersion == null ? event : event.addKeyValue("view", setViewVersion.getAsLong())).log(line);
     }
 }
--- a/src/main/java/petrelstand/net/EventLoop.java
+++ b/src/main/java/petrelstand/net/EventLoop.java
@@ -53,7 +53,7 @@
     /** Those of them that a listener which ends takes in a turn. */
     private static final int LAST_IN_A_TURN = 16;
 
-    private final Clock clock;
+    private final LoopClock clock;
     private final Timers timers;
     private final LoopExecutor executor;
     private final Map<SocketAddress, Function<EndPoint, Connection>> fronts = new HashMap<>();
@@ -62,13 +62,13 @@
     /** Listeners that are being closed. */
     private int unlistening;
     /** Written by the loop's thread alone. */
-    private volatile long turns;
+    private volatile long iterations;
 
-    public EventLoop(Clock clock, Timers timers) {
+    public EventLoop(LoopClock clock, Timers timers) {
         this(clock, timers, new LoopExecutor());
     }
 
-    private EventLoop(Clock clock, Timers timers, LoopExecutor executor) {
+    private EventLoop(LoopClock clock, Timers timers, LoopExecutor executor) {
         super(executor, new LoopScheduler(clock, timers), 1);
         this.clock = clock;
         this.timers = timers;
@@ -86,13 +86,13 @@
      * Who hears of an exception or error that has ended the loop's thread, of errors that Jetty would swallow, and of
      * an end of the thread that nobody asked for. Before the start.
      */
-    public void whenBroken(Thread.UncaughtExceptionHandler handler) {
+    public void setFatalErrorHandler(Thread.UncaughtExceptionHandler handler) {
         executor.whenBroken = handler;
     }
 
     /** How often the loop has turned; from any thread. */
-    public long turns() {
-        return turns;
+    public long iterations() {
+        return iterations;
     }
 
     /** Makes a loop that waits turn; from any thread. */
@@ -101,7 +101,7 @@
     }
 
     /** The place in the code where the loop's thread is, for people; from any thread. */
-    public String place() {
+    public String currentStackFrame() {
         Thread thread = executor.thread;
         StackTraceElement[] trace = thread == null ? new StackTraceElement[0] : thread.getStackTrace();
         return trace.length == 0 ? "no place" : trace[0].toString();
@@ -148,7 +148,7 @@
      * that what there is no room for is closed before the next come. A listener that closes while it is registered
      * stays open to the system until the next select, and what comes up meanwhile would be reset.
      */
-    public void unlisten(ServerSocketChannel server) {
+    public void stopListening(ServerSocketChannel server) {
         unlistening++;
         executor.execute(() -> {
             try {
@@ -165,7 +165,7 @@
     }
 
     /** Whether connections that the system has accepted have yet to become some here. */
-    public boolean isTaking() {
+    public boolean hasPendingAccepts() {
         return unlistening > 0 || !accepting.isEmpty();
     }
 
@@ -181,7 +181,7 @@
 
     @Override
     protected void onAcceptFailed(SelectableChannel channel, Throwable cause) {
-        Errors.rethrow(cause);
+        FatalErrors.rethrowIfError(cause);
         accepting.remove(channel);
     }
 
@@ -234,7 +234,7 @@
 
     /**
      * Runs what must not end the loop: Jetty would take an exception here for a broken selector and close it, and with
-     * it every connection. An error is another matter, see {@link Errors}.
+     * it every connection. An error is another matter, see {@link FatalErrors}.
      */
     private static void guarded(Runnable task) {
         try {
@@ -242,7 +242,7 @@
         } catch (RuntimeException e) {
             fault(e);
         } catch (Error e) {
-            Errors.tell(e);
+            FatalErrors.report(e);
             throw e;
         }
     }
@@ -257,7 +257,7 @@
         try {
             return super.doAccept(server);
         } catch (Error e) {
-            Errors.tell(e);
+            FatalErrors.report(e);
             throw e;
         }
     }
@@ -267,7 +267,7 @@
         try {
             take(channel);
         } catch (Error e) {
-            Errors.tell(e);
+            FatalErrors.report(e);
             throw e;
         }
     }
@@ -310,7 +310,7 @@
             try {
                 return super.onSelected();
             } catch (Error e) {
-                Errors.tell(e);
+                FatalErrors.report(e);
                 throw e;
             }
         }
@@ -362,7 +362,7 @@
 
     @Override
     protected void connectionFailed(SelectableChannel channel, Throwable cause, Object attachment) {
-        Errors.rethrow(cause);
+        FatalErrors.rethrowIfError(cause);
         if (attachment instanceof Connector connector) {
             connector.connectFailed(cause);
         }
@@ -386,13 +386,13 @@
             try {
                 return turn(selector);
             } catch (Error e) {
-                Errors.tell(e);
+                FatalErrors.report(e);
                 throw e;
             }
         }
 
         private int turn(Selector selector) throws IOException {
-            turns++;
+            iterations++;
             executor.selector = selector;
             guarded(() -> timers.run(clock.nowUs()));
             executor.runAll();
@@ -407,7 +407,7 @@
 
         @Override
         protected void onSelectFailed(Throwable cause) {
-            Errors.rethrow(cause);
+            FatalErrors.rethrowIfError(cause);
         }
     }
 
@@ -462,10 +462,10 @@
 
     /** Jetty's own timeouts, on the loop's timers. */
     private static final class LoopScheduler extends AbstractLifeCycle implements Scheduler {
-        private final Clock clock;
+        private final LoopClock clock;
         private final Timers timers;
 
-        LoopScheduler(Clock clock, Timers timers) {
+        LoopScheduler(LoopClock clock, Timers timers) {
             this.clock = clock;
             this.timers = timers;
         }
--- a/src/main/java/petrelstand/net/Errors.java
+++ b/src/main/java/petrelstand/net/FatalErrors.java
@@ -7,24 +7,24 @@
  * had ended the thread. In a serving process that handler ends the process; without one the error is printed, and goes
  * where it would have gone.
  */
-public final class Errors {
+public final class FatalErrors {
     /** Causes of causes that are looked at. */
     private static final int MOST_CAUSES = 8;
 
-    private Errors() {}
+    private FatalErrors() {}
 
     /** Tells the thread's handler of uncaught exceptions; allocates nothing. */
-    static void tell(Error error) {
+    static void report(Error error) {
         Thread thread = Thread.currentThread();
         thread.getUncaughtExceptionHandler().uncaughtException(thread, error);
     }
 
     /** Throws the error that a failure is, or was caused by; returns where there is none. */
-    public static void rethrow(Throwable failure) {
+    public static void rethrowIfError(Throwable failure) {
         Throwable cause = failure;
         for (int depth = 0; cause != null && depth < MOST_CAUSES; depth++) {
             if (cause instanceof Error error) {
-                tell(error);
+                report(error);
                 throw error;
             }
             cause = cause.getCause();
--- a/src/main/java/petrelstand/net/Clock.java
+++ b/src/main/java/petrelstand/net/LoopClock.java
@@ -6,11 +6,11 @@
  * than 0 even where it lies before the process's start. A clock that began at 0 would make a node that started just
  * before the gateway look as if it had started long ago.
  */
-public final class Clock {
+public final class LoopClock {
     private final long offsetUs;
     private long nowUs;
 
-    public Clock() {
+    public LoopClock() {
         offsetUs = System.currentTimeMillis() * 1000 - System.nanoTime() / 1000;
         turn();
     }
--- a/src/main/java/petrelstand/net/LoopConnection.java
+++ b/src/main/java/petrelstand/net/LoopConnection.java
@@ -6,7 +6,7 @@
 
 /** A connection whose callbacks all run on the loop's thread: Jetty takes them to be non-blocking. */
 public abstract class LoopConnection extends AbstractConnection {
-    private final Callback fillable = nonBlocking(this::guardedFillable, this::onFillInterestedFailed);
+    private final Callback fillable = nonBlockingCallback(this::guardedFillable, this::onFillInterestedFailed);
 
     protected LoopConnection(EndPoint endPoint) {
         super(endPoint, Runnable::run);
@@ -20,7 +20,7 @@
             EventLoop.fault(e);
             close();
         } catch (Error e) {
-            Errors.tell(e);
+            FatalErrors.report(e);
             throw e;
         }
     }
@@ -31,21 +31,21 @@
     }
 
     /** A callback that the loop runs itself. */
-    public static Callback nonBlocking(Runnable succeeded, java.util.function.Consumer<Throwable> failed) {
+    public static Callback nonBlockingCallback(Runnable succeeded, java.util.function.Consumer<Throwable> failed) {
         return new Callback() {
             @Override
             public void succeeded() {
                 try {
                     succeeded.run();
                 } catch (Error e) {
-                    Errors.tell(e);
+                    FatalErrors.report(e);
                     throw e;
                 }
             }
 
             @Override
             public void failed(Throwable cause) {
-                Errors.rethrow(cause);
+                FatalErrors.rethrowIfError(cause);
                 failed.accept(cause);
             }
 
--- a/src/main/java/petrelstand/net/MemoryEnd.java
+++ b/src/main/java/petrelstand/net/MemoryEndPoint.java
@@ -8,18 +8,18 @@
 import org.eclipse.jetty.io.EndPoint;
 
 /** An end point in memory whose callbacks run at once: for the rehearsal before a start, and for tests. */
-public class MemoryEnd extends ByteArrayEndPoint {
-    protected MemoryEnd() {
+public class MemoryEndPoint extends ByteArrayEndPoint {
+    protected MemoryEndPoint() {
         setGrowOutput(true);
     }
 
     /** Makes a connection on an end in memory and opens it. */
-    public static MemoryEnd open(Function<EndPoint, Connection> maker) {
-        return open(new MemoryEnd(), maker);
+    public static MemoryEndPoint open(Function<EndPoint, Connection> maker) {
+        return open(new MemoryEndPoint(), maker);
     }
 
     /** Makes a connection on an end and opens it. */
-    protected static <E extends MemoryEnd> E open(E end, Function<EndPoint, Connection> maker) {
+    protected static <E extends MemoryEndPoint> E open(E end, Function<EndPoint, Connection> maker) {
         Connection connection = maker.apply(end);
         end.setConnection(connection);
         end.onOpen();
@@ -33,24 +33,24 @@
     }
 
     /** The other side sends. */
-    public void put(String text) {
-        putBytes(text.getBytes(StandardCharsets.UTF_8));
+    public void send(String text) {
+        sendBytes(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    public void putBytes(byte[] bytes) {
+    public void sendBytes(byte[] bytes) {
         if (isOpen()) {
             addInputAndExecute(ByteBuffer.wrap(bytes));
         }
     }
 
     /** The other side ends its sending. */
-    public void putEnd() {
+    public void sendEof() {
         addInputEOF();
         getFillInterest().fillable();
     }
 
     /** What was written since the last call. */
-    public String taken() {
+    public String takeReceived() {
         return takeOutputString(StandardCharsets.ISO_8859_1);
     }
 }
--- a/src/main/java/petrelstand/net/Addresses.java
+++ b/src/main/java/petrelstand/net/SocketAddresses.java
@@ -5,8 +5,8 @@
 import java.net.UnknownHostException;
 
 /** Addresses as they are written, "ip:port". */
-public final class Addresses {
-    private Addresses() {}
+public final class SocketAddresses {
+    private SocketAddresses() {}
 
     /** The host must be an IP address: a name would be looked up, which blocks the loop. */
     public static InetSocketAddress parse(String text) {
--- a/src/main/java/petrelstand/operation/OperatorConnection.java
+++ b/src/main/java/petrelstand/operation/OperatorConnection.java
@@ -14,8 +14,8 @@
 import org.eclipse.jetty.util.BufferUtil;
 import petrelstand.core.Timers;
 import petrelstand.http.Wire;
+import petrelstand.net.HttpMessageParser;
 import petrelstand.net.LoopConnection;
-import petrelstand.net.MessageParser;
 
 /** An operator's connection: one call, one answer, and the end. */
 final class OperatorConnection extends LoopConnection implements HttpParser.RequestHandler {
@@ -30,7 +30,7 @@
     private static final int MOST_BODY = 4096;
 
     private final OperatorDoor door;
-    private final HttpParser parser = new MessageParser(this, MOST_HEAD);
+    private final HttpParser parser = new HttpMessageParser(this, MOST_HEAD);
     private final ByteBuffer input = BufferUtil.allocate(1024);
     private State state = State.READING;
     private Timers.Timer limit;
@@ -103,7 +103,7 @@
         } else if (fields.contains(HttpHeader.EXPECT, "100-continue")) {
             getEndPoint()
                     .write(
-                            nonBlocking(() -> {}, cause -> close()),
+                            nonBlockingCallback(() -> {}, cause -> close()),
                             BufferUtil.toBuffer("HTTP/1.1 100 Continue\r\n\r\n"));
         }
         return state != State.READING;
@@ -155,7 +155,7 @@
         limit = door.timers().at(door.nowUs() + OperatorDoor.CALL_US, this::close);
         getEndPoint()
                 .write(
-                        nonBlocking(this::linger, cause -> close()),
+                        nonBlockingCallback(this::linger, cause -> close()),
                         Wire.answer(status, "text/plain", 0, true, content.remaining()),
                         content);
     }
--- a/src/main/java/petrelstand/rsync/RsyncNodes.java
+++ b/src/main/java/petrelstand/rsync/RsyncNodes.java
@@ -11,8 +11,8 @@
 import petrelstand.core.Timers;
 import petrelstand.decision.Scheduling.Outcome;
 import petrelstand.http.NodePool;
-import petrelstand.net.Addresses;
 import petrelstand.net.EventLoop;
+import petrelstand.net.SocketAddresses;
 
 /** The side that faces the rsync nodes: one new connection an attempt, since a daemon serves one transfer on each. */
 public final class RsyncNodes implements ServerSide {
@@ -37,7 +37,7 @@
         attempt.handle(dial);
         dial.timeout = timers.at(clock.getAsLong() + connectUs, dial::late);
         try {
-            dial.channel = dialer.connect(Addresses.parse(attempt.node().address()), dial);
+            dial.channel = dialer.connect(SocketAddresses.parse(attempt.node().address()), dial);
         } catch (IOException | RuntimeException e) {
             dial.fail();
         }
--- a/src/main/java/petrelstand/rsync/Session.java
+++ b/src/main/java/petrelstand/rsync/Session.java
@@ -104,7 +104,7 @@
         writing = true;
         getEndPoint()
                 .write(
-                        nonBlocking(
+                        nonBlockingCallback(
                                 () -> {
                                     writing = false;
                                     if (!closed) {
--- a/src/test/java/petrelstand/discovery/WatchTest.java
+++ b/src/test/java/petrelstand/discovery/NodeListWatcherTest.java
@@ -8,17 +8,17 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import petrelstand.config.NodeList;
-import petrelstand.net.MemoryEnd;
+import petrelstand.net.MemoryEndPoint;
 import petrelstand.testing.Harness;
 import petrelstand.testing.HeldEnd;
 
 /** The watch loop, against an agent that the test plays. */
-class WatchTest {
+class NodeListWatcherTest {
     private final Harness world = new Harness();
     private final List<NodeList> heard = new ArrayList<>();
 
-    private Watch watch(long version) {
-        Watch watch = new Watch(
+    private NodeListWatcher watch(long version) {
+        NodeListWatcher watch = new NodeListWatcher(
                 world::dial,
                 () -> world.nowUs,
                 world.timers,
@@ -42,45 +42,46 @@
     @Test
     void aVersionOfZeroIsWatchedFrom() {
         watch(0);
-        assertTrue(world.up().taken().startsWith("GET /v1/endpoints?index=0&wait=1 HTTP/1.1"));
+        assertTrue(world.up().takeReceived().startsWith("GET /v1/endpoints?index=0&wait=1 HTTP/1.1"));
     }
 
     @Test
     void withoutAListTheWholeIsAskedFor() {
         watch(-1);
-        assertTrue(world.up().taken().startsWith("GET /v1/endpoints HTTP/1.1"));
+        assertTrue(world.up().takeReceived().startsWith("GET /v1/endpoints HTTP/1.1"));
     }
 
     @Test
     void theNextCallFollowsAnAnswerAtOnce() {
         watch(41);
-        MemoryEnd agent = world.up();
-        agent.taken();
-        agent.put(list(43, false));
-        assertTrue(agent.taken().startsWith("GET /v1/endpoints?index=43&wait=200"));
+        MemoryEndPoint agent = world.up();
+        agent.takeReceived();
+        agent.send(list(43, false));
+        assertTrue(agent.takeReceived().startsWith("GET /v1/endpoints?index=43&wait=200"));
         assertEquals(1, heard.size());
     }
 
     /** Answers, without news, the calls that wait shortly; the agent's end, with a call of the usual wait out. */
     private HeldEnd settled() {
         HeldEnd agent = world.up();
-        for (int i = 0; i < Watch.SOON_CALLS; i++) {
-            assertTrue(agent.taken().contains(i == 0 ? "&wait=1 " : "&wait=200 "));
-            agent.put(list(41, false));
+        for (int i = 0; i < NodeListWatcher.SOON_CALLS; i++) {
+            assertTrue(agent.takeReceived().contains(i == 0 ? "&wait=1 " : "&wait=200 "));
+            agent.send(list(41, false));
         }
-        assertTrue(agent.taken().startsWith("GET /v1/endpoints?index=41&wait=2000 "));
+        assertTrue(agent.takeReceived().startsWith("GET /v1/endpoints?index=41&wait=2000 "));
         return agent;
     }
 
     @Test
     void aSilentAgentGetsANewCallOnANewConnectionWithin200Ms() {
         watch(41);
-        MemoryEnd silent = settled();
+        MemoryEndPoint silent = settled();
         world.run(2_599_999);
         assertTrue(silent.isOpen());
         world.run(200_000);
         assertFalse(silent.isOpen());
-        assertTrue(world.up().taken().startsWith("GET /v1/endpoints?index=41&wait=1"), "99 of its 200 ms are over");
+        assertTrue(
+                world.up().takeReceived().startsWith("GET /v1/endpoints?index=41&wait=1"), "99 of its 200 ms are over");
     }
 
     /** Ways in which a call comes to nothing; the connection of the one before is there or not. */
@@ -98,7 +99,7 @@
         /**
          * Fails a call on a kept connection or, without one, on that being dialed; the connection, where it lives on.
          */
-        MemoryEnd on(WatchTest test, MemoryEnd kept) {
+        MemoryEndPoint on(NodeListWatcherTest test, MemoryEndPoint kept) {
             Harness world = test.world;
             if (kept == null && this == REFUSED) {
                 world.dialed.remove(0).connector().connectFailed(new java.io.IOException("refused"));
@@ -109,20 +110,20 @@
                 return null;
             }
             if (kept == null && this == UP_LATE_AND_SILENT) {
-                world.run(Watch.SLACK_US - 20_000);
+                world.run(NodeListWatcher.SLACK_US - 20_000);
                 world.up();
                 return null;
             }
-            MemoryEnd end = kept == null ? world.up() : kept;
+            MemoryEndPoint end = kept == null ? world.up() : kept;
             switch (this) {
-                case RESET -> end.putEnd();
-                case ANSWER_503 -> end.put("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
-                case UNREADABLE -> end.put("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]");
-                case CUT_AND_SILENT -> end.put("HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{\"version\":42,");
+                case RESET -> end.sendEof();
+                case ANSWER_503 -> end.send("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
+                case UNREADABLE -> end.send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]");
+                case CUT_AND_SILENT -> end.send("HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{\"version\":42,");
                 case DRIBBLES -> {
-                    end.put("HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n");
+                    end.send("HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n");
                     for (int i = 0; i < 260 && end.isOpen(); i++) {
-                        end.put(" ");
+                        end.send(" ");
                         world.run(10_000);
                     }
                 }
@@ -142,7 +143,7 @@
         for (int failedBefore = 0; failedBefore < 6; failedBefore++) {
             for (Fault first : Fault.values()) {
                 for (Fault second : Fault.values()) {
-                    long us = new WatchTest().unheardUs(failedBefore, first, second);
+                    long us = new NodeListWatcherTest().unheardUs(failedBefore, first, second);
                     assertTrue(us <= 5_500_000, failedBefore + " " + first + " " + second + " " + us);
                     worstUs = Math.max(worstUs, us);
                 }
@@ -155,30 +156,30 @@
     /** From the first call's going out, when the news was there, until the news was heard. */
     private long unheardUs(int failedBefore, Fault first, Fault second) {
         watch(41);
-        MemoryEnd kept = settled();
+        MemoryEndPoint kept = settled();
         for (int i = 0; i < failedBefore; i++) {
             kept = Fault.RESET.on(this, kept);
-            world.run(Watch.REST_US);
+            world.run(NodeListWatcher.REST_US);
         }
         long from = world.nowUs;
         for (Fault fault : List.of(first, second)) {
             kept = fault.on(this, kept);
             if (kept != null) {
-                kept.taken();
+                kept.takeReceived();
             }
             for (int i = 0; i < 400 && !isCalledAgain(kept); i++) {
                 world.run(10_000);
             }
         }
-        MemoryEnd agent = kept == null ? world.up() : kept;
+        MemoryEndPoint agent = kept == null ? world.up() : kept;
         assertTrue(heard.stream().allMatch(list -> list.version() == 41));
-        agent.put(list(42, false));
+        agent.send(list(42, false));
         assertEquals(42, heard.get(heard.size() - 1).version());
         return world.nowUs - from;
     }
 
-    private boolean isCalledAgain(MemoryEnd kept) {
-        return kept == null ? !world.dialed.isEmpty() : kept.taken().contains("GET ");
+    private boolean isCalledAgain(MemoryEndPoint kept) {
+        return kept == null ? !world.dialed.isEmpty() : kept.takeReceived().contains("GET ");
     }
 
     /**
@@ -188,9 +189,9 @@
     @Test
     void aSilenceThatComesLateAtAnyMomentOfAWaitIsOverInTime() {
         long worstUs = 0;
-        for (long atUs = 13_000_000; atUs <= 13_000_000 + 2 * 1000 * Watch.WAIT_MS; atUs += 250_000) {
+        for (long atUs = 13_000_000; atUs <= 13_000_000 + 2 * 1000 * NodeListWatcher.WAIT_MS; atUs += 250_000) {
             for (Fault second : Fault.values()) {
-                worstUs = Math.max(worstUs, new WatchTest().unheardAfterSilenceUs(atUs, second));
+                worstUs = Math.max(worstUs, new NodeListWatcherTest().unheardAfterSilenceUs(atUs, second));
             }
         }
         assertTrue(worstUs <= 3_700_000, "worst: " + worstUs);
@@ -201,26 +202,26 @@
     private long unheardAfterSilenceUs(long atUs, Fault second) {
         long begunUs = world.nowUs;
         watch(41);
-        MemoryEnd agent = settled();
-        while (world.nowUs + 1000 * Watch.WAIT_MS <= begunUs + atUs) {
-            world.run(1000 * Watch.WAIT_MS);
-            agent.put(list(41, false));
-            assertTrue(agent.taken().contains("&wait=2000 "));
+        MemoryEndPoint agent = settled();
+        while (world.nowUs + 1000 * NodeListWatcher.WAIT_MS <= begunUs + atUs) {
+            world.run(1000 * NodeListWatcher.WAIT_MS);
+            agent.send(list(41, false));
+            assertTrue(agent.takeReceived().contains("&wait=2000 "));
         }
         world.run(begunUs + atUs - world.nowUs);
         long silentUs = world.nowUs;
         for (int i = 0; i < 400 && world.dialed.isEmpty(); i++) {
             world.run(10_000);
         }
-        MemoryEnd kept = second.on(this, null);
+        MemoryEndPoint kept = second.on(this, null);
         if (kept != null) {
-            kept.taken();
+            kept.takeReceived();
         }
         for (int i = 0; i < 400 && !isCalledAgain(kept); i++) {
             world.run(10_000);
         }
-        MemoryEnd next = kept == null ? world.up() : kept;
-        next.put(list(42, false));
+        MemoryEndPoint next = kept == null ? world.up() : kept;
+        next.send(list(42, false));
         assertEquals(42, heard.get(heard.size() - 1).version());
         return world.nowUs - silentUs;
     }
@@ -241,12 +242,12 @@
                             .replaceAll("([\\]}])", space + "$1")
                             .replace("127.0.0.1:" + space, "127.0.0.1:")
                     + "\n";
-            WatchTest test = new WatchTest();
+            NodeListWatcherTest test = new NodeListWatcherTest();
             test.watch(41);
             HeldEnd agent = test.settled();
             String answer = "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
             for (char c : answer.toCharArray()) {
-                agent.put(String.valueOf(c));
+                agent.send(String.valueOf(c));
             }
             assertEquals(same, test.heard.get(test.heard.size() - 1), body);
         }
@@ -268,7 +269,7 @@
     @Test
     void whatIsGivenUpWhileItComesUpIsClosed() throws java.io.IOException {
         List<java.nio.channels.SocketChannel> channels = new ArrayList<>();
-        Watch watch = new Watch(
+        NodeListWatcher watch = new NodeListWatcher(
                 (address, connector) -> {
                     channels.add(java.nio.channels.SocketChannel.open());
                     return channels.get(channels.size() - 1);
@@ -284,7 +285,7 @@
                 world.log::add);
         watch.start();
         world.run(2_000_000);
-        watch.move(NEW);
+        watch.changeAddress(NEW);
         assertEquals(4, channels.size());
         assertEquals(
                 1,
@@ -305,15 +306,15 @@
     @Test
     void aMalformedListIsNotTakenAndAskedForAgain() {
         watch(41);
-        MemoryEnd agent = world.up();
-        agent.put("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]");
-        agent.taken();
+        MemoryEndPoint agent = world.up();
+        agent.send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]");
+        agent.takeReceived();
         world.run(150_000);
-        assertTrue(agent.taken().startsWith("GET /v1/endpoints?index=41"));
+        assertTrue(agent.takeReceived().startsWith("GET /v1/endpoints?index=41"));
         assertEquals(List.of(), heard);
-        agent.put("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
+        agent.send("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
         world.run(150_000);
-        assertTrue(agent.taken().startsWith("GET /v1/endpoints?index=41"));
+        assertTrue(agent.takeReceived().startsWith("GET /v1/endpoints?index=41"));
     }
 
     private static final String NEW = "127.0.0.3:8600";
@@ -321,34 +322,34 @@
     private void atNewAddress() {
         assertEquals(
                 "/" + NEW, world.dialed.get(world.dialed.size() - 1).address().toString());
-        assertTrue(world.up().taken().startsWith("GET /v1/endpoints?index=41&wait=200"));
+        assertTrue(world.up().takeReceived().startsWith("GET /v1/endpoints?index=41&wait=200"));
         world.run(700_000);
         assertEquals(0, world.dialed.size(), "one call at a time");
     }
 
     @Test
     void aMoveClosesTheOldCallAndGoesOnFromTheSameVersionAtOnce() {
-        Watch watch = watch(41);
-        MemoryEnd old = world.up();
-        watch.move(NEW);
+        NodeListWatcher watch = watch(41);
+        MemoryEndPoint old = world.up();
+        watch.changeAddress(NEW);
         assertFalse(old.isOpen());
         atNewAddress();
     }
 
     @Test
     void aMoveWhileAFailedCallRestsLeavesOneLoop() {
-        Watch watch = watch(41);
+        NodeListWatcher watch = watch(41);
         world.dialed.remove(0).connector().connectFailed(new java.io.IOException("refused"));
-        watch.move(NEW);
+        watch.changeAddress(NEW);
         atNewAddress();
     }
 
     @Test
     void aMoveWhileTheOldConnectionComesUpLeavesIt() {
-        Watch watch = watch(41);
+        NodeListWatcher watch = watch(41);
         Harness.Dialed old = world.dialed.remove(0);
-        watch.move(NEW);
-        assertFalse(MemoryEnd.open(old.connector()::connected).isOpen());
+        watch.changeAddress(NEW);
+        assertFalse(MemoryEndPoint.open(old.connector()::connected).isOpen());
         atNewAddress();
     }
 
@@ -358,21 +359,21 @@
      */
     @Test
     void aMoveThatCrossesAnAnswerOfTheOldAgentHearsItFirst() {
-        Watch watch = watch(41);
+        NodeListWatcher watch = watch(41);
         HeldEnd old = settled();
         heard.clear();
         old.putUnread(list(42, false));
-        watch.move(NEW);
+        watch.changeAddress(NEW);
         assertEquals(List.of(42L), heard.stream().map(NodeList::version).toList());
         assertFalse(old.isOpen());
-        assertEquals("", old.taken());
+        assertEquals("", old.takeReceived());
         assertEquals(1, world.dialed.size());
         world.run(50_000);
-        MemoryEnd agent = world.up();
-        assertTrue(agent.taken().startsWith("GET /v1/endpoints?index=42&wait=150 "));
-        agent.put(list(43, false));
+        MemoryEndPoint agent = world.up();
+        assertTrue(agent.takeReceived().startsWith("GET /v1/endpoints?index=42&wait=150 "));
+        agent.send(list(43, false));
         assertEquals(List.of(42L, 43L), heard.stream().map(NodeList::version).toList());
-        assertTrue(agent.taken().startsWith("GET /v1/endpoints?index=43&"));
+        assertTrue(agent.takeReceived().startsWith("GET /v1/endpoints?index=43&"));
     }
 
     @Test
@@ -381,11 +382,11 @@
                 "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]",
                 "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n",
                 "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{")) {
-            WatchTest test = new WatchTest();
-            Watch watch = test.watch(41);
+            NodeListWatcherTest test = new NodeListWatcherTest();
+            NodeListWatcher watch = test.watch(41);
             HeldEnd old = test.settled();
             old.putUnread(last);
-            watch.move(NEW);
+            watch.changeAddress(NEW);
             assertFalse(old.isOpen());
             test.atNewAddress();
         }
@@ -397,34 +398,34 @@
      */
     @Test
     void aMoveInAnOutageAsksTheNewAgentShortlyWhateverFailedBefore() {
-        Watch watch = watch(41);
+        NodeListWatcher watch = watch(41);
         HeldEnd kept = settled();
         for (int i = 0; i < 5; i++) {
             Fault.RESET.on(this, i == 0 ? kept : null);
-            world.run(Watch.REST_US);
+            world.run(NodeListWatcher.REST_US);
         }
         world.dialed.clear();
-        watch.move(NEW);
-        assertTrue(world.up().taken().contains("&wait=200 "));
+        watch.changeAddress(NEW);
+        assertTrue(world.up().takeReceived().contains("&wait=200 "));
     }
 
     @Test
     void aMoveToTheSameAddressKeepsTheCall() {
-        Watch watch = watch(41);
-        MemoryEnd agent = world.up();
-        watch.move(Harness.ADDRESS);
+        NodeListWatcher watch = watch(41);
+        MemoryEndPoint agent = world.up();
+        watch.changeAddress(Harness.ADDRESS);
         assertTrue(agent.isOpen());
         assertEquals(0, world.dialed.size());
     }
 
     @Test
     void severalMovesBeforeAnyConnectionComesUpEndAtTheLast() {
-        Watch watch = watch(41);
-        watch.move("127.0.0.4:8600");
-        watch.move(NEW);
+        NodeListWatcher watch = watch(41);
+        watch.changeAddress("127.0.0.4:8600");
+        watch.changeAddress(NEW);
         assertEquals(3, world.dialed.size());
-        MemoryEnd.open(world.dialed.remove(0).connector()::connected);
-        MemoryEnd.open(world.dialed.remove(0).connector()::connected);
+        MemoryEndPoint.open(world.dialed.remove(0).connector()::connected);
+        MemoryEndPoint.open(world.dialed.remove(0).connector()::connected);
         atNewAddress();
     }
 }
--- a/src/test/java/petrelstand/http/BudgetsTest.java
+++ b/src/test/java/petrelstand/http/BudgetsTest.java
@@ -8,7 +8,7 @@
 import petrelstand.decision.Scheduling.NodeState;
 import petrelstand.lifecycle.Lifecycle;
 import petrelstand.lifecycle.MemoryPlan;
-import petrelstand.net.MemoryEnd;
+import petrelstand.net.MemoryEndPoint;
 import petrelstand.testing.Harness;
 
 /** Bodies of each kind within their bound, and all kinds together within theirs. */
@@ -51,16 +51,16 @@
         life.serving(world.nowUs);
         Front front = new Front(world.broker(pool), world.timers, 10, life, small);
         world.list(Harness.node("s-00000001", 3, NodeState.READY, 0));
-        MemoryEnd first = MemoryEnd.open(front::accept);
-        first.put(write("w1"));
-        MemoryEnd node = world.up();
-        MemoryEnd second = MemoryEnd.open(front::accept);
-        second.put(write("w2"));
-        assertTrue(second.taken().startsWith("HTTP/1.1 503"));
+        MemoryEndPoint first = MemoryEndPoint.open(front::accept);
+        first.send(write("w1"));
+        MemoryEndPoint node = world.up();
+        MemoryEndPoint second = MemoryEndPoint.open(front::accept);
+        second.send(write("w2"));
+        assertTrue(second.takeReceived().startsWith("HTTP/1.1 503"));
         assertEquals(1, world.counters.get("requests_no_room"));
         assertEquals(1, front.openIds(), "the refused one's id is free again");
-        node.put("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
-        assertTrue(first.taken().startsWith("HTTP/1.1 200"));
+        node.send("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
+        assertTrue(first.takeReceived().startsWith("HTTP/1.1 200"));
         assertEquals(100_000, small.inWork().left());
     }
 
--- a/src/test/java/petrelstand/http/FrontSearchTest.java
+++ b/src/test/java/petrelstand/http/FrontSearchTest.java
@@ -80,7 +80,7 @@
 
             void put(String text) {
                 if (!over) {
-                    end.put(text);
+                    end.send(text);
                 }
             }
 
@@ -94,7 +94,7 @@
             }
 
             void look() {
-                Matcher status = Pattern.compile("HTTP/1.1 (\\d+) ").matcher(end.taken());
+                Matcher status = Pattern.compile("HTTP/1.1 (\\d+) ").matcher(end.takeReceived());
                 while (status.find()) {
                     answers++;
                 }
@@ -132,7 +132,7 @@
             for (Client client : clients) {
                 if (!client.over) {
                     client.over = true;
-                    client.end.putEnd();
+                    client.end.sendEof();
                 }
             }
             look();
@@ -156,7 +156,7 @@
         /** What the node's ends got since the last look, and whether it was right to send it. */
         private void look() {
             for (HeldEnd end : order) {
-                Matcher id = ID.matcher(end.taken());
+                Matcher id = ID.matcher(end.takeReceived());
                 if (!end.isOpen()) {
                     nodes.put(end, "");
                 }
@@ -235,7 +235,7 @@
                 case END, RESET -> {
                     if (!client.over) {
                         client.over = true;
-                        client.end.putEnd();
+                        client.end.sendEof();
                     }
                 }
                 case UP -> {
@@ -260,14 +260,14 @@
                     if (!order.isEmpty()) {
                         HeldEnd end = order.get(pick % order.size());
                         if (end.isOpen()) {
-                            end.putEnd();
+                            end.sendEof();
                             nodes.put(end, "");
                         }
                     }
                 }
                 case CHATTER -> {
                     if (!order.isEmpty() && order.get(pick % order.size()).isOpen()) {
-                        order.get(pick % order.size()).put("HTTP/1.1 ");
+                        order.get(pick % order.size()).send("HTTP/1.1 ");
                     }
                 }
                 case DRAIN -> list(NodeState.DRAINING, 0);
@@ -293,7 +293,7 @@
                 if (whole) {
                     nodes.put(end, "");
                 }
-                end.put(text);
+                end.send(text);
             }
         }
     }
--- a/src/test/java/petrelstand/http/FrontTest.java
+++ b/src/test/java/petrelstand/http/FrontTest.java
@@ -18,7 +18,7 @@
 import petrelstand.decision.Scheduling.ListKind;
 import petrelstand.decision.Scheduling.NodeState;
 import petrelstand.lifecycle.Lifecycle;
-import petrelstand.net.MemoryEnd;
+import petrelstand.net.MemoryEndPoint;
 import petrelstand.testing.Harness;
 import petrelstand.testing.HeldEnd;
 
@@ -69,14 +69,14 @@
     @Test
     void aRequestPassesUnchangedAndSoDoesTheAnswersBody() {
         listOne();
-        client.put(write("depth=17"));
-        MemoryEnd node = world.up();
-        String sent = node.taken();
+        client.send(write("depth=17"));
+        MemoryEndPoint node = world.up();
+        String sent = node.takeReceived();
         assertTrue(sent.startsWith("PUT /survey-write/00000003b4d60021/7f3a9c21e0b4d655 HTTP/1.1\r\n"));
         assertTrue(sent.contains("X-Txn: w1\r\n") && sent.contains("Idempotency-Key: k-77\r\n"));
         assertTrue(sent.contains("X-Remaining-Ms: 2000\r\n") && sent.endsWith("\r\n\r\ndepth=17"));
-        node.put(ok("stored 17"));
-        String answer = client.taken();
+        node.send(ok("stored 17"));
+        String answer = client.takeReceived();
         assertTrue(answer.startsWith("HTTP/1.1 200") && answer.endsWith("\r\n\r\nstored 17"));
     }
 
@@ -91,18 +91,18 @@
         Front front = new Front(four.broker(its), four.timers, 50, life);
         four.list(Harness.node("s-00000001", 3, NodeState.READY, 0));
         HeldEnd end = HeldEnd.open(front::accept);
-        end.put(read(1, "").replace("hosts=1", "hosts=4"));
-        MemoryEnd node = four.up();
+        end.send(read(1, "").replace("hosts=1", "hosts=4"));
+        MemoryEndPoint node = four.up();
         double before = partOfUse(four);
-        node.put("HTTP/1.1 200 OK\r\nX-Iops-Used: 6400\r\nX-Rho: 12\r\nContent-Length: 0\r\n\r\n");
+        node.send("HTTP/1.1 200 OK\r\nX-Iops-Used: 6400\r\nX-Rho: 12\r\nContent-Length: 0\r\n\r\n");
         double told = partOfUse(four);
         assertTrue(told < before, told + " after " + before);
         for (String untold : List.of("X-Iops-Used: many", "X-Iops-Used: -3", "X-Iops-Used: 1e9", "X-Rho: 7")) {
-            end.put(read(2, "").replace("hosts=1", "hosts=4"));
-            node.put("HTTP/1.1 200 OK\r\n" + untold + "\r\nContent-Length: 0\r\n\r\n");
+            end.send(read(2, "").replace("hosts=1", "hosts=4"));
+            node.send("HTTP/1.1 200 OK\r\n" + untold + "\r\nContent-Length: 0\r\n\r\n");
             assertEquals(told, partOfUse(four), untold);
         }
-        assertEquals(5, statuses(end.taken()).size());
+        assertEquals(5, statuses(end.takeReceived()).size());
     }
 
     private static double partOfUse(Harness world) {
@@ -112,9 +112,10 @@
     @Test
     void theQueryPassesAsItWasWritten() {
         listOne();
-        client.put(read(1, ""));
-        assertTrue(
-                world.up().taken().startsWith("GET /tile-read/00000003b4d60021/7f3a9c21e0b4d655?v=%41&n=1 HTTP/1.1"));
+        client.send(read(1, ""));
+        assertTrue(world.up()
+                .takeReceived()
+                .startsWith("GET /tile-read/00000003b4d60021/7f3a9c21e0b4d655?v=%41&n=1 HTTP/1.1"));
     }
 
     @Test
@@ -122,14 +123,14 @@
         listOne();
         String both = read(1, "") + read(2, "");
         for (char c : both.toCharArray()) {
-            client.put(String.valueOf(c));
+            client.send(String.valueOf(c));
         }
-        MemoryEnd node = world.up();
-        assertTrue(node.taken().contains("X-Txn: t1\r\n"));
-        node.put(ok("one"));
-        assertTrue(node.taken().contains("X-Txn: t2\r\n"));
-        node.put(ok("two"));
-        String answers = client.taken();
+        MemoryEndPoint node = world.up();
+        assertTrue(node.takeReceived().contains("X-Txn: t1\r\n"));
+        node.send(ok("one"));
+        assertTrue(node.takeReceived().contains("X-Txn: t2\r\n"));
+        node.send(ok("two"));
+        String answers = client.takeReceived();
         assertTrue(answers.indexOf("one") > 0 && answers.indexOf("two") > answers.indexOf("one"));
         assertEquals(0, world.dialed.size());
     }
@@ -140,35 +141,35 @@
     @Test
     void theTimeOfARequestSentAheadCountsFromItsOwnLastByte() {
         listOne();
-        client.put(read(1, "") + read(2, ""));
-        MemoryEnd node = world.up();
-        node.taken();
+        client.send(read(1, "") + read(2, ""));
+        MemoryEndPoint node = world.up();
+        node.takeReceived();
         world.run(600_000);
-        client.put(read(3, "").substring(0, 100));
+        client.send(read(3, "").substring(0, 100));
         world.run(300_000);
-        client.put(read(3, "").substring(100) + read(4, ""));
+        client.send(read(3, "").substring(100) + read(4, ""));
         world.run(100_000);
-        node.put(ok("one"));
-        assertTrue(node.taken().contains("X-Remaining-Ms: 400\r\n"), "the second came a second ago");
+        node.send(ok("one"));
+        assertTrue(node.takeReceived().contains("X-Remaining-Ms: 400\r\n"), "the second came a second ago");
         world.run(100_000);
-        node.put(ok("two"));
-        assertTrue(node.taken().contains("X-Remaining-Ms: 1200\r\n"), "the third came whole 200 ms ago");
-        node.put(ok("three"));
-        assertTrue(node.taken().contains("X-Txn: t4\r\n"));
-        node.put(ok("four"));
-        assertEquals(List.of("200", "200", "200", "200"), statuses(client.taken()));
-        client.put(read(5, ""));
-        assertTrue(node.taken().contains("X-Remaining-Ms: 1400\r\n"));
+        node.send(ok("two"));
+        assertTrue(node.takeReceived().contains("X-Remaining-Ms: 1200\r\n"), "the third came whole 200 ms ago");
+        node.send(ok("three"));
+        assertTrue(node.takeReceived().contains("X-Txn: t4\r\n"));
+        node.send(ok("four"));
+        assertEquals(List.of("200", "200", "200", "200"), statuses(client.takeReceived()));
+        client.send(read(5, ""));
+        assertTrue(node.takeReceived().contains("X-Remaining-Ms: 1400\r\n"));
     }
 
     @Test
     void aRequestSentAheadWhoseTimeIsUpIsAnsweredAtOnceAndNotSentOn() {
         listOne();
-        client.put(read(1, "") + read(2, "") + read(3, ""));
-        MemoryEnd node = world.up();
-        node.taken();
+        client.send(read(1, "") + read(2, "") + read(3, ""));
+        MemoryEndPoint node = world.up();
+        node.takeReceived();
         world.run(1_402_000);
-        assertEquals(3, statuses(client.taken()).size());
+        assertEquals(3, statuses(client.takeReceived()).size());
         assertEquals(1, world.counters.get("sent"));
         assertEquals(0, world.broker.open());
     }
@@ -182,20 +183,20 @@
         listOne();
         String chunked = write("").replace("Content-Length: 0", "Transfer-Encoding: chunked")
                 + "3\r\ndep\r\n5;x=y\r\nth=17\r\n0\r\n\r\n";
-        MemoryEnd node = null;
+        MemoryEndPoint node = null;
         for (String request : List.of(write("depth=17"), chunked)) {
             for (int cut = 1; cut < request.length(); cut++) {
-                client.put(request.substring(0, cut));
+                client.send(request.substring(0, cut));
                 world.run(1_000_000);
-                assertEquals("", node == null ? "" : node.taken(), "cut at " + cut);
-                client.put(request.substring(cut));
+                assertEquals("", node == null ? "" : node.takeReceived(), "cut at " + cut);
+                client.send(request.substring(cut));
                 node = world.dialed.isEmpty() ? node : world.up();
-                String sent = node.taken();
+                String sent = node.takeReceived();
                 assertTrue(
                         sent.contains("X-Remaining-Ms: 2000\r\n") && sent.endsWith("\r\n\r\ndepth=17"),
                         "cut at " + cut);
-                node.put(ok("stored"));
-                assertTrue(client.taken().endsWith("stored"), "cut at " + cut);
+                node.send(ok("stored"));
+                assertTrue(client.takeReceived().endsWith("stored"), "cut at " + cut);
             }
         }
     }
@@ -207,18 +208,18 @@
     void aFurtherAttemptTellsItsNodeWhatIsLeftToTheClient() {
         world.list(
                 Harness.node("s-00000001", 3, NodeState.READY, 0), Harness.node("s-00000002", 3, NodeState.READY, 0));
-        client.put(read(1, ""));
-        MemoryEnd first = world.up();
-        assertTrue(first.taken().contains("X-Remaining-Ms: 1400\r\n"));
+        client.send(read(1, ""));
+        MemoryEndPoint first = world.up();
+        assertTrue(first.takeReceived().contains("X-Remaining-Ms: 1400\r\n"));
         world.run(100_000);
-        first.put("HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
+        first.send("HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
         for (int i = 0; i < 600 && world.dialed.isEmpty(); i++) {
             world.run(1_000);
         }
         world.run(200_000);
         long begunUs = world.nowUs;
         Matcher told =
-                Pattern.compile("X-Remaining-Ms: (\\d+)\r\n").matcher(world.up().taken());
+                Pattern.compile("X-Remaining-Ms: (\\d+)\r\n").matcher(world.up().takeReceived());
         assertTrue(told.find());
         long leftMs = (1_000_000_000L + 1_400_000 - begunUs) / 1000;
         assertTrue(leftMs <= 1_100 && Long.parseLong(told.group(1)) <= leftMs, told.group(1) + " of " + leftMs);
@@ -234,7 +235,7 @@
             Front front = new Front(other.broker(its), other.timers, 50, life);
             other.list(Harness.node("s-00000001", 3, NodeState.READY, 0));
             HeldEnd end = HeldEnd.open(front::accept);
-            end.put(read(1, ""));
+            end.send(read(1, ""));
             Harness.Dialed before = other.dialed.remove(0);
             List<Node> drains = List.of(Harness.node("s-00000001", 3, NodeState.DRAINING, 0));
             if (drainFirst) {
@@ -245,12 +246,12 @@
             if (!drainFirst) {
                 other.broker.nodes(ListKind.CHANGES, drains);
             }
-            assertEquals("", HeldEnd.open(before.connector()::connected).taken());
-            end.put(read(2, ""));
+            assertEquals("", HeldEnd.open(before.connector()::connected).takeReceived());
+            end.send(read(2, ""));
             other.run(2_000_000);
             assertEquals(0, other.dialed.size());
             assertEquals(0, other.broker.figures().tries());
-            assertEquals(2, statuses(end.taken()).size());
+            assertEquals(2, statuses(end.takeReceived()).size());
         }
     }
 
@@ -260,40 +261,40 @@
     @Test
     void anIdleConnectionThatEndsReadsWhatCrossesItsEndAndSendsNothingOn() {
         listOne();
-        client.put(read(1, ""));
-        MemoryEnd node = world.up();
-        node.put(ok("one"));
-        client.taken();
+        client.send(read(1, ""));
+        MemoryEndPoint node = world.up();
+        node.send(ok("one"));
+        client.takeReceived();
         life.terminate(world.nowUs);
         world.run(600_000);
         front.closeIdle(9);
         assertTrue(client.isOutputShutdown() && client.isOpen());
         assertEquals(0, front.owing(), "the end of the process does not wait for it");
-        client.put(read(2, ""));
+        client.send(read(2, ""));
         world.run(400_000);
-        client.put(read(3, ""));
+        client.send(read(3, ""));
         world.run(499_000);
         assertTrue(client.isOpen(), "bytes came, so it listens on");
         world.run(502_000);
         assertFalse(client.isOpen());
-        assertEquals("", client.taken());
+        assertEquals("", client.takeReceived());
         assertEquals(1, world.counters.get("sent"));
     }
 
     @Test
     void aRequestThatArrivedUnreadByTheEndOfAnIdleConnectionIsStillTaken() {
         listOne();
-        client.put(read(1, ""));
-        MemoryEnd node = world.up();
-        node.put(ok("one"));
-        client.taken();
+        client.send(read(1, ""));
+        MemoryEndPoint node = world.up();
+        node.send(ok("one"));
+        client.takeReceived();
         client.putUnread(read(2, ""));
         life.terminate(world.nowUs);
         world.run(600_000);
         front.closeIdle(9);
         assertFalse(client.isOutputShutdown());
-        node.put(ok("two"));
-        assertTrue(client.taken().endsWith("two"));
+        node.send(ok("two"));
+        assertTrue(client.takeReceived().endsWith("two"));
         assertTrue(client.isOutputShutdown());
     }
 
@@ -305,15 +306,15 @@
         world.late(3_000_000);
         assertEquals(1, world.broker.open());
         HeldEnd half = HeldEnd.open(front::accept);
-        half.put(read(2, "").substring(0, 80));
+        half.send(read(2, "").substring(0, 80));
         half.putUnread(read(2, "").substring(80));
         world.late(3_000_000);
         assertEquals(2, world.counters.get("taken.tile-read"));
         HeldEnd slow = HeldEnd.open(front::accept);
-        slow.put(read(3, "").substring(0, 80));
+        slow.send(read(3, "").substring(0, 80));
         slow.putUnread("X");
         world.late(3_000_000);
-        assertEquals(List.of("408"), statuses(slow.taken()), "half a request is half a request");
+        assertEquals(List.of("408"), statuses(slow.takeReceived()), "half a request is half a request");
     }
 
     /** Guards against a client whose end lies behind bytes that nobody reads: its request would be sent on. */
@@ -322,13 +323,13 @@
         listOne();
         for (int bytes : new int[] {0, 5_000, 200_000, ClientConnection.MOST_AHEAD + 100_000}) {
             long gone = world.counters.get("client_gone");
-            MemoryEnd end = MemoryEnd.open(front::accept);
-            end.put(read(bytes, ""));
+            MemoryEndPoint end = MemoryEndPoint.open(front::accept);
+            end.send(read(bytes, ""));
             world.dialed.clear();
             for (int sent = 0; sent < bytes; sent += 5_000) {
-                end.put("x".repeat(5_000));
+                end.send("x".repeat(5_000));
             }
-            end.putEnd();
+            end.sendEof();
             assertEquals(gone + 1, world.counters.get("client_gone"), bytes + " bytes ahead");
             assertEquals(0, world.broker.open());
         }
@@ -341,16 +342,16 @@
         listOne();
         for (int bytes : new int[] {20_000, 90_000, 250_000}) {
             long gone = world.counters.get("client_gone");
-            MemoryEnd end = MemoryEnd.open(front::accept);
-            end.put(write("")
+            MemoryEndPoint end = MemoryEndPoint.open(front::accept);
+            end.send(write("")
                     .replace("X-Txn: w1", "X-Txn: w" + bytes)
                     .replace("shard=-1", "shard=3")
                     .replace("Content-Length: 0", "Content-Length: 900000"));
             for (int sent = 0; sent < bytes; sent += 5_000) {
-                end.put("x".repeat(5_000));
+                end.send("x".repeat(5_000));
             }
             assertEquals(1, world.broker.open());
-            end.putEnd();
+            end.sendEof();
             assertEquals(gone + 1, world.counters.get("client_gone"), bytes + " bytes of the body");
         }
         assertEquals(8L * 1024 * 1024, front.requests().left());
@@ -360,27 +361,27 @@
     @Test
     void requestsSentAheadAreAnsweredInTurnUpToTheBoundAndEndTheConnectionBeyondIt() {
         listOne();
-        client.put(read(1, ""));
-        MemoryEnd node = world.up();
+        client.send(read(1, ""));
+        MemoryEndPoint node = world.up();
         int ahead = 0;
         StringBuilder more = new StringBuilder();
         while (more.length() < 60_000) {
             more.append(read(100 + ++ahead, ""));
         }
-        client.put(more.toString());
+        client.send(more.toString());
         for (int i = 0; i <= ahead; i++) {
-            node.put(ok("x"));
+            node.send(ok("x"));
         }
-        assertEquals(ahead + 1, statuses(client.taken()).size());
+        assertEquals(ahead + 1, statuses(client.takeReceived()).size());
         assertFalse(client.isOutputShutdown());
-        client.put(read(1, ""));
+        client.send(read(1, ""));
         for (int sent = 0; sent < 2 * ClientConnection.MOST_AHEAD; sent += more.length()) {
-            client.put(more.toString());
+            client.send(more.toString());
         }
-        node.put(ok("last"));
-        assertTrue(client.taken().endsWith("last"));
+        node.send(ok("last"));
+        assertTrue(client.takeReceived().endsWith("last"));
         assertTrue(client.isOutputShutdown());
-        client.putEnd();
+        client.sendEof();
         assertEquals(8L * 1024 * 1024, front.requests().left());
     }
 
@@ -394,15 +395,15 @@
                 other::dial, () -> other.nowUs, other.timers, other.counters, other.settings, "backend.local", 40);
         Front front = new Front(other.broker(its), other.timers, 50, life);
         other.list(Harness.node("s-00000001", 3, NodeState.READY, 0));
-        MemoryEnd gone = MemoryEnd.open(front::accept);
-        gone.put(read(1, ""));
-        gone.putEnd();
-        MemoryEnd node = other.up();
-        assertEquals("", node.taken());
+        MemoryEndPoint gone = MemoryEndPoint.open(front::accept);
+        gone.send(read(1, ""));
+        gone.sendEof();
+        MemoryEndPoint node = other.up();
+        assertEquals("", node.takeReceived());
         assertTrue(node.isOpen(), "it is there for the next");
-        MemoryEnd next = MemoryEnd.open(front::accept);
-        next.put(read(2, ""));
-        assertTrue(node.taken().contains("X-Txn: t2\r\n"));
+        MemoryEndPoint next = MemoryEndPoint.open(front::accept);
+        next.send(read(2, ""));
+        assertTrue(node.takeReceived().contains("X-Txn: t2\r\n"));
     }
 
     /** Guards against a connect time-out over the drain's grace: settings may have any. */
@@ -418,10 +419,10 @@
                     other::dial, () -> other.nowUs, other.timers, other.counters, other.settings, "backend.local", 40);
             Front front = new Front(other.broker(its), other.timers, 50, life);
             other.list(listed);
-            MemoryEnd end = MemoryEnd.open(front::accept);
-            end.put(read(1, ""));
+            MemoryEndPoint end = MemoryEndPoint.open(front::accept);
+            end.send(read(1, ""));
             other.broker.nodes(ListKind.CHANGES, List.of(change));
-            assertEquals("", other.up().taken(), change.toString());
+            assertEquals("", other.up().takeReceived(), change.toString());
             assertEquals(1, other.counters.get("outcome.not_connected"));
         }
     }
@@ -476,10 +477,10 @@
             {"431", good.replace("7f3a9c21e0b4d655", "7".repeat(9000))},
         };
         for (String[] one : cases) {
-            MemoryEnd end = MemoryEnd.open(front::accept);
-            end.put(one[1]);
-            assertEquals(List.of(one[0]), statuses(end.taken()), one[1]);
-            end.putEnd();
+            MemoryEndPoint end = MemoryEndPoint.open(front::accept);
+            end.send(one[1]);
+            assertEquals(List.of(one[0]), statuses(end.takeReceived()), one[1]);
+            end.sendEof();
             assertFalse(end.isOpen(), one[1]);
         }
         assertEquals(0, world.counters.get("taken.tile-read") + world.counters.get("taken.survey-write"));
@@ -489,32 +490,32 @@
     @Test
     void anIdThatAnOpenRequestCarriesIsAnErrorUntilThatOneIsOver() {
         listOne();
-        client.put(read(1, ""));
-        MemoryEnd node = world.up();
-        MemoryEnd other = MemoryEnd.open(front::accept);
-        other.put(read(1, ""));
-        assertEquals(List.of("409"), statuses(other.taken()));
-        node.put(ok("one"));
-        assertEquals(List.of("200"), statuses(client.taken()));
+        client.send(read(1, ""));
+        MemoryEndPoint node = world.up();
+        MemoryEndPoint other = MemoryEndPoint.open(front::accept);
+        other.send(read(1, ""));
+        assertEquals(List.of("409"), statuses(other.takeReceived()));
+        node.send(ok("one"));
+        assertEquals(List.of("200"), statuses(client.takeReceived()));
         assertEquals(0, front.openIds());
-        MemoryEnd later = MemoryEnd.open(front::accept);
-        later.put(read(1, ""));
-        node.put(ok("again"));
-        assertEquals(List.of("200"), statuses(later.taken()));
+        MemoryEndPoint later = MemoryEndPoint.open(front::accept);
+        later.send(read(1, ""));
+        node.send(ok("again"));
+        assertEquals(List.of("200"), statuses(later.takeReceived()));
     }
 
     @Test
     void aHugeBodyIsDroppedAsItComesAndItsErrorStays() {
-        client.put(write("x").replace("Content-Length: 1", "Content-Length: 67108865"));
-        assertEquals(List.of("413"), statuses(client.taken()));
+        client.send(write("x").replace("Content-Length: 1", "Content-Length: 67108865"));
+        assertEquals(List.of("413"), statuses(client.takeReceived()));
         byte[] part = new byte[200_000];
         long until = world.nowUs + Front.LINGER_MOST_US;
         while (world.nowUs < until - Front.LINGER_US) {
-            client.putBytes(part);
+            client.sendBytes(part);
             world.run(Front.LINGER_US / 2);
             assertTrue(client.isOpen(), "closed while it sends, so that a reset may lose the error");
         }
-        client.putBytes(part);
+        client.sendBytes(part);
         world.run(Front.LINGER_US);
         assertFalse(client.isOpen(), "a client that sends without end is let go");
     }
@@ -522,12 +523,12 @@
     @Test
     void aSilentClientIsClosedAndHalfARequestIsToldWithin3Seconds() {
         HeldEnd half = HeldEnd.open(front::accept);
-        half.put(read(1, "").substring(0, 60));
+        half.send(read(1, "").substring(0, 60));
         world.run(2_400_000);
         assertTrue(client.isOpen() && half.isOpen());
         world.run(600_000);
         assertFalse(client.isOpen());
-        assertEquals(List.of("408"), statuses(half.taken()));
+        assertEquals(List.of("408"), statuses(half.takeReceived()));
         world.run(Front.LINGER_US);
         assertFalse(half.isOpen());
         assertEquals(0, front.connections());
@@ -535,20 +536,20 @@
 
     @Test
     void aKeptConnectionMayStayIdleForLong() {
-        client.put(read(1, ""));
+        client.send(read(1, ""));
         world.run(60_000_000);
         assertTrue(client.isOpen());
     }
 
     @Test
     void silentNewcomersMakeRoomBeforeKeptConnections() {
-        client.put(read(1, ""));
+        client.send(read(1, ""));
         for (int i = 0; i < 49; i++) {
-            MemoryEnd.open(front::accept);
+            MemoryEndPoint.open(front::accept);
         }
         world.run(Front.SILENT_US);
         for (int i = 0; i < 40; i++) {
-            MemoryEnd.open(front::accept);
+            MemoryEndPoint.open(front::accept);
         }
         assertTrue(client.isOpen());
         assertEquals(50, front.connections());
@@ -557,7 +558,7 @@
     @Test
     void connectionsFarBeyondTheBoundCloseAtOnce() {
         for (int i = 0; i < 200; i++) {
-            MemoryEnd.open(front::accept).put("GET ");
+            MemoryEndPoint.open(front::accept).send("GET ");
         }
         assertEquals(66, front.connections());
     }
@@ -588,13 +589,13 @@
         for (String answer : spoilt) {
             FrontTest fresh = new FrontTest();
             fresh.listOne();
-            fresh.client.put(read(1, ""));
-            MemoryEnd node = fresh.world.up();
-            node.taken();
-            node.put(answer);
+            fresh.client.send(read(1, ""));
+            MemoryEndPoint node = fresh.world.up();
+            node.takeReceived();
+            node.send(answer);
             assertEquals(1, fresh.world.counters.get("outcome.error"), answer);
             assertFalse(node.isOpen(), answer);
-            assertEquals(List.of(), statuses(fresh.client.taken()), answer);
+            assertEquals(List.of(), statuses(fresh.client.takeReceived()), answer);
             assertEquals(fresh.world.dialed.size(), fresh.pool.open(), answer);
         }
     }
@@ -614,10 +615,10 @@
                 "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n".repeat(3) + ok)) {
             FrontTest fresh = new FrontTest();
             fresh.listOne();
-            fresh.client.put(read(1, ""));
-            MemoryEnd node = fresh.world.up();
-            node.put(answer);
-            String served = fresh.client.taken();
+            fresh.client.send(read(1, ""));
+            MemoryEndPoint node = fresh.world.up();
+            node.send(answer);
+            String served = fresh.client.takeReceived();
             assertTrue(served.startsWith("HTTP/1.1 200") && served.endsWith("\r\n\r\ngood"), answer);
             boolean reusable = answer.endsWith(ok) && !answer.startsWith(ok + "H") || answer.equals(chunked);
             assertEquals(reusable, node.isOpen(), answer);
@@ -628,25 +629,25 @@
     @Test
     void whatFollowsAnAnswerLaterIsNoAnswerToTheNextRequest() {
         listOne();
-        client.put(read(1, ""));
-        MemoryEnd node = world.up();
-        node.put(ok("one"));
+        client.send(read(1, ""));
+        MemoryEndPoint node = world.up();
+        node.send(ok("one"));
         node.addInput(org.eclipse.jetty.util.BufferUtil.toBuffer(ok("one")));
-        client.put(read(2, ""));
+        client.send(read(2, ""));
         assertFalse(node.isOpen());
-        world.up().put(ok("two"));
-        assertTrue(client.taken().endsWith("two"));
+        world.up().send(ok("two"));
+        assertTrue(client.takeReceived().endsWith("two"));
     }
 
     @Test
     void anAnswerThatBeginsAndStopsEndsAsAnErrorAndOneThatGoesOnIsAwaited() {
         listOne();
-        client.put(read(1, ""));
-        MemoryEnd node = world.up();
-        node.put("HTTP/1.1 200 OK\r\nContent-Length: 50000\r\n\r\n");
+        client.send(read(1, ""));
+        MemoryEndPoint node = world.up();
+        node.send("HTTP/1.1 200 OK\r\nContent-Length: 50000\r\n\r\n");
         for (int i = 0; i < 5; i++) {
             world.run(NodePool.STALL_US - 1000);
-            node.put("part");
+            node.send("part");
         }
         assertTrue(node.isOpen());
         world.run(2 * NodePool.STALL_US);
@@ -657,9 +658,9 @@
     @Test
     void aRequestThatItsNodeKnowsToBeOverIsRefusedWithoutAnotherAttempt() {
         listOne();
-        client.put(read(1, ""));
-        world.up().put("HTTP/1.1 504 Over\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
-        assertEquals(List.of("503"), statuses(client.taken()));
+        client.send(read(1, ""));
+        world.up().send("HTTP/1.1 504 Over\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
+        assertEquals(List.of("503"), statuses(client.takeReceived()));
         assertEquals(1, world.counters.get("sent"));
     }
 
@@ -669,52 +670,52 @@
     @Test
     void anAnswerThatEndsWithItsConnectionIsWholeWhereItsNodeSaysSo() {
         listOne();
-        client.put(read(1, ""));
-        MemoryEnd node = world.up();
-        node.put("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nto the ");
-        assertEquals("", client.taken());
-        node.put("end");
-        node.putEnd();
-        assertTrue(client.taken().endsWith("Content-Length: 10\r\n\r\nto the end"));
+        client.send(read(1, ""));
+        MemoryEndPoint node = world.up();
+        node.send("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nto the ");
+        assertEquals("", client.takeReceived());
+        node.send("end");
+        node.sendEof();
+        assertTrue(client.takeReceived().endsWith("Content-Length: 10\r\n\r\nto the end"));
         assertFalse(node.isOpen());
-        client.put(read(2, ""));
-        world.up().put("HTTP/1.1 200 OK\r\n\r\nto the ");
+        client.send(read(2, ""));
+        world.up().send("HTTP/1.1 200 OK\r\n\r\nto the ");
         assertEquals(1, world.counters.get("outcome.error"));
-        MemoryEnd large = world.up();
-        large.put("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + "z".repeat(70_000));
-        assertTrue(client.taken().contains("Transfer-Encoding: chunked\r\n"));
-        large.putEnd();
-        assertTrue(client.taken().endsWith("\r\n0\r\n\r\n"));
+        MemoryEndPoint large = world.up();
+        large.send("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + "z".repeat(70_000));
+        assertTrue(client.takeReceived().contains("Transfer-Encoding: chunked\r\n"));
+        large.sendEof();
+        assertTrue(client.takeReceived().endsWith("\r\n0\r\n\r\n"));
     }
 
     /** What is here of it when it stops has gone on to the client, who must see that it is not whole. */
     @Test
     void aLargeAnswerThatStopsOrBreaksLeavesItsClientAConnectionThatBreaks() {
         listOne();
-        client.put(read(1, ""));
-        MemoryEnd node = world.up();
-        node.put("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\npart");
-        assertEquals("", client.taken());
+        client.send(read(1, ""));
+        MemoryEndPoint node = world.up();
+        node.send("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\npart");
+        assertEquals("", client.takeReceived());
         world.run(NodePool.GATHER_US);
-        assertTrue(client.taken().endsWith("Content-Length: 100000\r\n\r\npart"));
+        assertTrue(client.takeReceived().endsWith("Content-Length: 100000\r\n\r\npart"));
         for (int i = 0; i < 3; i++) {
             world.run(NodePool.PIECE_STALL_US - 1);
-            node.put("part");
-            assertEquals("part", client.taken());
+            node.send("part");
+            assertEquals("part", client.takeReceived());
         }
         world.run(2 * NodePool.PIECE_STALL_US);
         assertFalse(node.isOpen());
         assertFalse(client.isOpen());
         assertEquals(1, world.broker.figures().count("tile-read", End.FAILED));
         assertEquals(0, front.answering());
-        MemoryEnd second = MemoryEnd.open(front::accept);
-        second.put(read(2, ""));
-        MemoryEnd other = world.up();
-        other.put("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n18000\r\n" + "z".repeat(0x18000) + "\r\n");
-        assertTrue(second.taken().length() > 0x18000);
-        other.putEnd();
+        MemoryEndPoint second = MemoryEndPoint.open(front::accept);
+        second.send(read(2, ""));
+        MemoryEndPoint other = world.up();
+        other.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n18000\r\n" + "z".repeat(0x18000) + "\r\n");
+        assertTrue(second.takeReceived().length() > 0x18000);
+        other.sendEof();
         assertFalse(second.isOpen());
-        assertFalse(second.taken().contains("\r\n0\r\n"));
+        assertFalse(second.takeReceived().contains("\r\n0\r\n"));
         assertEquals(2, world.broker.figures().count("tile-read", End.FAILED));
     }
 
@@ -723,11 +724,11 @@
     void aLargeAnswerPassesWholeAndItsConnectionIsKept() {
         listOne();
         String large = "0123456789abcdef".repeat(25_000);
-        client.put(read(1, ""));
-        world.up().put(ok(large));
-        assertTrue(client.taken().endsWith("\r\n\r\n" + large));
-        client.put(read(2, ""));
-        MemoryEnd node = world.dialed.isEmpty() ? null : world.up();
+        client.send(read(1, ""));
+        world.up().send(ok(large));
+        assertTrue(client.takeReceived().endsWith("\r\n\r\n" + large));
+        client.send(read(2, ""));
+        MemoryEndPoint node = world.dialed.isEmpty() ? null : world.up();
         assertEquals(null, node, "the connection is kept");
     }
 
@@ -752,25 +753,25 @@
     void aChunkedBodyOverTheBoundPassesInPiecesAsItComes() {
         listOne();
         String head = write("").replace("Content-Length: 0", "Transfer-Encoding: chunked");
-        client.put(head);
+        client.send(head);
         for (int i = 0; i < 16; i++) {
-            client.put("1000\r\n" + "z".repeat(4096) + "\r\n");
+            client.send("1000\r\n" + "z".repeat(4096) + "\r\n");
         }
         assertEquals(0, world.dialed.size());
-        client.put("1000\r\n" + "z".repeat(4096) + "\r\n");
-        MemoryEnd node = world.up();
-        assertTrue(node.taken().contains("Transfer-Encoding: chunked\r\n"));
+        client.send("1000\r\n" + "z".repeat(4096) + "\r\n");
+        MemoryEndPoint node = world.up();
+        assertTrue(node.takeReceived().contains("Transfer-Encoding: chunked\r\n"));
         // Its time begins with its last byte: more than its class has may pass before.
         for (int i = 0; i < 4; i++) {
             world.run(1_000_000);
-            client.put("8000\r\n" + "y".repeat(0x8000) + "\r\n");
-            assertTrue(node.taken().contains("y".repeat(0x1000)));
+            client.send("8000\r\n" + "y".repeat(0x8000) + "\r\n");
+            assertTrue(node.takeReceived().contains("y".repeat(0x1000)));
         }
-        client.put("0\r\n\r\n");
-        assertTrue(node.taken().endsWith("0\r\n\r\n"));
+        client.send("0\r\n\r\n");
+        assertTrue(node.takeReceived().endsWith("0\r\n\r\n"));
         world.run(1_900_000);
-        node.put(ok("stored"));
-        assertTrue(client.taken().endsWith("stored"));
+        node.send(ok("stored"));
+        assertTrue(client.takeReceived().endsWith("stored"));
         assertEquals(1, world.broker.figures().tries());
     }
 
@@ -780,30 +781,31 @@
     @Test
     void theTimeOfALargeBodyThatWaitedHereWholeCountsFromItsLastByte() {
         listOne();
-        client.put(write("").replace("Content-Length: 0", "Content-Length: 200000") + "z".repeat(20_000));
-        client.put("z".repeat(180_000));
+        client.send(write("").replace("Content-Length: 0", "Content-Length: 200000") + "z".repeat(20_000));
+        client.send("z".repeat(180_000));
         world.run(240_000);
-        MemoryEnd node = world.up();
-        assertTrue(node.taken().endsWith("z"));
+        MemoryEndPoint node = world.up();
+        assertTrue(node.takeReceived().endsWith("z"));
         world.run(1_759_999);
-        assertEquals("", client.taken());
+        assertEquals("", client.takeReceived());
         world.run(1);
-        assertEquals(List.of("504"), statuses(client.taken()));
+        assertEquals(List.of("504"), statuses(client.takeReceived()));
     }
 
     @Test
     void aLargeBodyThatStopsOrTricklesIsToldAndReachesNoNodeWhole() {
         listOne();
         String large = write("").replace("Content-Length: 0", "Content-Length: 200000") + "z".repeat(20_000);
-        client.put(large);
-        MemoryEnd node = world.up();
+        client.send(large);
+        MemoryEndPoint node = world.up();
         world.run(Front.REQUEST_US);
-        assertEquals(List.of("408"), statuses(client.taken()));
+        assertEquals(List.of("408"), statuses(client.takeReceived()));
         assertFalse(node.isOpen());
         HeldEnd slow = HeldEnd.open(front::accept);
-        slow.put(write("").replace("Content-Length: 0", "Content-Length: 60000").replace("w1", "w2"));
-        for (int i = 0; i < 100 && slow.taken().isEmpty(); i++) {
-            slow.put("x".repeat(400));
+        slow.send(
+                write("").replace("Content-Length: 0", "Content-Length: 60000").replace("w1", "w2"));
+        for (int i = 0; i < 100 && slow.takeReceived().isEmpty(); i++) {
+            slow.send("x".repeat(400));
             world.run(100_000);
         }
         assertEquals(0, world.broker.figures().tries());
@@ -814,21 +816,21 @@
     @Test
     void aLargeBodyThatIsTurnedAwayBeforeItIsWholeIsRefusedAndItsRestDropped() {
         listOne();
-        client.put(write("").replace("Content-Length: 0", "Content-Length: 200000") + "z".repeat(50_000));
-        world.up().put("HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
-        assertEquals(List.of("503"), statuses(client.taken()));
+        client.send(write("").replace("Content-Length: 0", "Content-Length: 200000") + "z".repeat(50_000));
+        world.up().send("HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
+        assertEquals(List.of("503"), statuses(client.takeReceived()));
         for (int i = 0; i < 20; i++) {
-            client.putBytes(new byte[4_000]);
+            client.sendBytes(new byte[4_000]);
             world.run(Front.LINGER_US - 1);
         }
         assertTrue(client.isOpen());
-        assertEquals("", client.taken());
+        assertEquals("", client.takeReceived());
     }
 
     @Test
     void aRefusalSaysWhenToComeBack() {
-        client.put(read(1, ""));
-        String answer = client.taken();
+        client.send(read(1, ""));
+        String answer = client.takeReceived();
         assertEquals(List.of("503"), statuses(answer));
         assertTrue(answer.contains("Retry-After: 0.5\r\n"), answer);
     }
@@ -836,9 +838,9 @@
     @Test
     void aClientThatClosesGivesUpItsAttempt() {
         listOne();
-        client.put(read(1, ""));
-        MemoryEnd node = world.up();
-        client.putEnd();
+        client.send(read(1, ""));
+        MemoryEndPoint node = world.up();
+        client.sendEof();
         assertFalse(node.isOpen());
         assertEquals(0, world.broker.open());
         assertEquals(0, pool.open());
@@ -848,10 +850,10 @@
     @Test
     void aNodeThatBreaksBeforeItsAnswerIsAReset() {
         listOne();
-        client.put(read(1, ""));
-        MemoryEnd node = world.up();
-        node.put("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
-        node.putEnd();
+        client.send(read(1, ""));
+        MemoryEndPoint node = world.up();
+        node.send("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
+        node.sendEof();
         assertEquals(1, world.counters.get("outcome.reset"));
     }
 
@@ -869,8 +871,8 @@
         for (String[] one : cases) {
             FrontTest fresh = new FrontTest();
             fresh.listOne();
-            fresh.client.put(read(1, ""));
-            fresh.world.up().put(one[1]);
+            fresh.client.send(read(1, ""));
+            fresh.world.up().send(one[1]);
             assertEquals(1, fresh.world.counters.get("outcome." + one[0]), one[1]);
         }
     }
@@ -878,7 +880,7 @@
     @Test
     void aConnectionThatNeverComesUpIsNotConnectedAfterTheSettingsTime() {
         listOne();
-        client.put(read(1, ""));
+        client.send(read(1, ""));
         world.run(249_999);
         assertEquals(0, world.counters.get("outcome.not_connected"));
         world.run(1);
@@ -889,58 +891,58 @@
     @Test
     void aConnectionThatComesUpTooLateIsClosed() {
         listOne();
-        client.put(read(1, ""));
+        client.send(read(1, ""));
         Harness.Dialed first = world.dialed.remove(0);
         world.run(2_000_000);
-        assertFalse(MemoryEnd.open(first.connector()::connected).isOpen());
+        assertFalse(MemoryEndPoint.open(first.connector()::connected).isOpen());
         assertEquals(0, pool.open());
     }
 
     @Test
     void aTimedOutAttemptClosesItsConnectionAndItsAnswerIsDropped() {
         listOne();
-        client.put(read(1, ""));
-        MemoryEnd node = world.up();
+        client.send(read(1, ""));
+        MemoryEndPoint node = world.up();
         world.run(1_500_000);
         assertFalse(node.isOpen());
-        assertEquals(1, statuses(client.taken()).size());
+        assertEquals(1, statuses(client.takeReceived()).size());
         assertEquals(1, world.counters.get("outcome.timed_out"));
     }
 
     @Test
     void aConnectionIsNotUsedAgainCloseToTheIdleLimit() {
         listOne();
-        client.put(read(1, ""));
-        MemoryEnd node = world.up();
-        node.put(ok("x"));
+        client.send(read(1, ""));
+        MemoryEndPoint node = world.up();
+        node.send(ok("x"));
         world.run(11_000_000);
-        client.put(read(2, ""));
+        client.send(read(2, ""));
         assertEquals(0, world.dialed.size());
-        node.put(ok("x"));
+        node.send(ok("x"));
         world.run(13_000_001);
         assertFalse(node.isOpen());
-        client.put(read(3, ""));
+        client.send(read(3, ""));
         assertEquals(1, world.dialed.size());
     }
 
     @Test
     void aNodeThatClosesAnIdleConnectionCostsNoRequest() {
         listOne();
-        client.put(read(1, ""));
-        MemoryEnd node = world.up();
-        node.put(ok("x"));
-        node.putEnd();
-        client.put(read(2, ""));
-        world.up().put(ok("y"));
-        assertEquals(List.of("200", "200"), statuses(client.taken()));
+        client.send(read(1, ""));
+        MemoryEndPoint node = world.up();
+        node.send(ok("x"));
+        node.sendEof();
+        client.send(read(2, ""));
+        world.up().send(ok("y"));
+        assertEquals(List.of("200", "200"), statuses(client.takeReceived()));
     }
 
     @Test
     void aRestartedNodesOldConnectionsAreNotUsed() {
         listOne();
-        client.put(read(1, ""));
-        MemoryEnd node = world.up();
-        node.put(ok("x"));
+        client.send(read(1, ""));
+        MemoryEndPoint node = world.up();
+        node.send(ok("x"));
         world.list(Harness.node("s-00000001", 3, NodeState.READY, 900_000));
         assertFalse(node.isOpen());
     }
@@ -948,13 +950,13 @@
     @Test
     void aNodeThatMovedIsReachedAtItsNewAddress() {
         listOne();
-        client.put(read(1, ""));
-        MemoryEnd old = world.up();
-        old.put(ok("x"));
+        client.send(read(1, ""));
+        MemoryEndPoint old = world.up();
+        old.send(ok("x"));
         Node listed = Harness.node("s-00000001", 3, NodeState.READY, 0);
         world.list(new Node(listed.name(), "127.0.0.2:9002", listed.entry()));
         assertFalse(old.isOpen());
-        client.put(read(2, ""));
+        client.send(read(2, ""));
         assertEquals("/127.0.0.2:9002", world.dialed.get(0).address().toString());
     }
 
@@ -962,48 +964,48 @@
     void aRemovedNodeAndOneThatAWholeListLeavesOutGetNothing() {
         listOne();
         world.broker.nodes(ListKind.CHANGES, List.of(Harness.node("s-00000001", 3, NodeState.GONE, 0)));
-        client.put(read(1, ""));
+        client.send(read(1, ""));
         listOne();
         world.list(Harness.node("s-00000002", 4, NodeState.READY, 0));
-        client.put(read(2, ""));
+        client.send(read(2, ""));
         assertEquals(List.of(), world.dialed);
-        assertEquals(List.of("503", "503"), statuses(client.taken()));
+        assertEquals(List.of("503", "503"), statuses(client.takeReceived()));
     }
 
     @Test
     void aKnownListThatWasStaleGivesWayToTheWholeOne() {
         world.broker.nodes(ListKind.CACHED, List.of(Harness.node("s-00000009", 3, NodeState.READY, 0)));
         listOne();
-        client.put(read(1, ""));
+        client.send(read(1, ""));
         assertEquals(1, world.dialed.size());
-        world.up().put(ok("x"));
-        assertEquals(List.of("200"), statuses(client.taken()));
+        world.up().send(ok("x"));
+        assertEquals(List.of("200"), statuses(client.takeReceived()));
     }
 
     @Test
     void drainingAnswersAllAndClosesBetweenRequests() {
         listOne();
-        client.put(read(1, ""));
-        MemoryEnd idle = MemoryEnd.open(front::accept);
-        MemoryEnd node = world.up();
+        client.send(read(1, ""));
+        MemoryEndPoint idle = MemoryEndPoint.open(front::accept);
+        MemoryEndPoint node = world.up();
         life.terminate(world.nowUs);
-        idle.put("GET /ready HTTP/1.1\r\nHost: b\r\n\r\n");
-        assertEquals(List.of("503"), statuses(idle.taken()));
-        MemoryEnd between = MemoryEnd.open(front::accept);
+        idle.send("GET /ready HTTP/1.1\r\nHost: b\r\n\r\n");
+        assertEquals(List.of("503"), statuses(idle.takeReceived()));
+        MemoryEndPoint between = MemoryEndPoint.open(front::accept);
         front.closeIdle(9);
         assertTrue(between.isOpen());
         world.run(600_000);
         front.closeIdle(9);
         assertTrue(between.isOutputShutdown());
-        between.put(read(7, ""));
-        assertEquals(List.of(), statuses(between.taken()), "what comes behind the end is dropped");
+        between.send(read(7, ""));
+        assertEquals(List.of(), statuses(between.takeReceived()), "what comes behind the end is dropped");
         assertEquals(1, world.broker.open());
-        between.putEnd();
+        between.sendEof();
         assertFalse(between.isOpen());
-        node.put(ok("kept"));
-        String answer = client.taken();
+        node.send(ok("kept"));
+        String answer = client.takeReceived();
         assertTrue(answer.contains("Connection: close\r\n") && answer.endsWith("kept"));
-        client.putEnd();
+        client.sendEof();
         assertFalse(client.isOpen());
         assertEquals(0, front.answering());
     }
@@ -1011,7 +1013,7 @@
     @Test
     void aRequestOnAFullFrontTakesTheIdlestConnectionsPlace() {
         for (int i = 0; i < 60; i++) {
-            MemoryEnd.open(front::accept);
+            MemoryEndPoint.open(front::accept);
         }
         assertEquals(50, front.connections());
         assertFalse(client.isOpen());
@@ -1020,13 +1022,13 @@
     @Test
     void aFrontWithNothingIdleRefusesTheNewConnectionsRequest() {
         listOne();
-        client.put(read(1, ""));
+        client.send(read(1, ""));
         for (int i = 0; i < 49; i++) {
-            MemoryEnd.open(front::accept).put(read(2, "").substring(0, 30));
+            MemoryEndPoint.open(front::accept).send(read(2, "").substring(0, 30));
         }
-        MemoryEnd one = MemoryEnd.open(front::accept);
-        one.put(read(3, ""));
-        String answer = one.taken();
+        MemoryEndPoint one = MemoryEndPoint.open(front::accept);
+        one.send(read(3, ""));
+        String answer = one.takeReceived();
         assertEquals(List.of("503"), statuses(answer));
         assertTrue(answer.contains("Retry-After: 0.5\r\n") && answer.contains("Connection: close\r\n"), answer);
     }
@@ -1036,9 +1038,9 @@
         List<String> ends = new ArrayList<>();
         Node node = Harness.node("s-00000001", 3, NodeState.READY, 0);
         pool.probe(node, 250_000, (outcome, load) -> ends.add(outcome + " " + load));
-        MemoryEnd end = world.up();
-        assertTrue(end.taken().startsWith("GET /status/load HTTP/1.1\r\n"));
-        end.put(ok("TEXT util=0.61, queue=2"));
+        MemoryEndPoint end = world.up();
+        assertTrue(end.takeReceived().startsWith("GET /status/load HTTP/1.1\r\n"));
+        end.send(ok("TEXT util=0.61, queue=2"));
         pool.probe(node, 250_000, (outcome, load) -> ends.add(outcome + " " + load));
         world.run(250_000);
         assertEquals(List.of("SERVED {util=0.61, queue=2.0}", "TIMED_OUT {}"), ends);
@@ -1065,9 +1067,9 @@
 
     @Test
     void countersAreServed() {
-        client.put(read(1, ""));
-        client.put("GET /counters HTTP/1.1\r\nHost: b\r\n\r\n");
-        assertTrue(client.taken().contains("taken.tile-read 1\n"));
+        client.send(read(1, ""));
+        client.send("GET /counters HTTP/1.1\r\nHost: b\r\n\r\n");
+        assertTrue(client.takeReceived().contains("taken.tile-read 1\n"));
     }
 
     /**
@@ -1081,7 +1083,7 @@
         test.listOne();
         StringBuilder unsent = new StringBuilder();
         StringBuilder got = new StringBuilder();
-        List<MemoryEnd> nodes = new ArrayList<>();
+        List<MemoryEndPoint> nodes = new ArrayList<>();
         int asked = 0;
         boolean open = true;
         for (int step : steps) {
@@ -1089,7 +1091,7 @@
                 case 0, 1 -> unsent.append(read(asked++, ""));
                 case 2, 3, 4 -> {
                     int length = open ? Math.min(unsent.length(), step == 4 ? 5000 : 37 * step) : 0;
-                    test.client.put(unsent.substring(0, length));
+                    test.client.send(unsent.substring(0, length));
                     unsent.delete(0, length);
                 }
                 case 5, 6, 7, 9, 10, 11, 12 -> {
@@ -1100,12 +1102,12 @@
                 }
                 default -> {
                     if (open) {
-                        test.client.putEnd();
+                        test.client.sendEof();
                     }
                     open = false;
                 }
             }
-            got.append(test.client.taken());
+            got.append(test.client.takeReceived());
             assertTrue(statuses(got.toString()).size() <= asked);
         }
         int length = read(0, "").length();
@@ -1115,7 +1117,7 @@
             test.world.run(1_500_000);
         }
         test.world.run(asked < 10 ? Front.REQUEST_US : 0);
-        got.append(test.client.taken());
+        got.append(test.client.takeReceived());
         assertEquals(0, test.world.broker.open());
         if (open && asked < 10) {
             assertEquals(whole, statuses(got.toString()).size());
@@ -1129,14 +1131,14 @@
     }
 
     /** The node answers what it was sent, or breaks. */
-    private static void answer(MemoryEnd node, int step) {
-        String sent = node.isOpen() ? node.taken() : "";
+    private static void answer(MemoryEndPoint node, int step) {
+        String sent = node.isOpen() ? node.takeReceived() : "";
         int txn = sent.indexOf("X-Txn: ");
         String ok = txn < 0 ? "" : ok("for " + sent.substring(txn + 7, txn + 9));
         if (txn >= 0 && step == 7) {
-            node.putEnd();
+            node.sendEof();
         } else if (txn >= 0) {
-            node.put(
+            node.send(
                     switch (step) {
                         case 9 -> ok.replace("Content-Length", "Content-Length: 3\r\nContent-Length");
                         case 10 -> "HTTP/1.1 100 Continue\r\n\r\n" + ok;
--- a/src/test/java/petrelstand/http/IdleConnectionMemoryTest.java
+++ b/src/test/java/petrelstand/http/IdleConnectionMemoryTest.java
@@ -11,7 +11,7 @@
 import org.eclipse.jetty.util.BufferUtil;
 import org.junit.jupiter.api.Test;
 import petrelstand.lifecycle.Lifecycle;
-import petrelstand.net.MemoryEnd;
+import petrelstand.net.MemoryEndPoint;
 import petrelstand.testing.Harness;
 import petrelstand.testing.HeldEnd;
 
@@ -46,24 +46,24 @@
         return least;
     }
 
-    private MemoryEnd asked(String more) {
-        MemoryEnd client = MemoryEnd.open(front::accept);
+    private MemoryEndPoint asked(String more) {
+        MemoryEndPoint client = MemoryEndPoint.open(front::accept);
         for (int i = 0; i < REQUESTS; i++) {
-            client.put("GET /ready HTTP/1.1\r\nHost: b\r\nAccept: text/plain\r\n" + more + "\r\n");
-            assertTrue(client.taken().startsWith("HTTP/1.1 200"));
+            client.send("GET /ready HTTP/1.1\r\nHost: b\r\nAccept: text/plain\r\n" + more + "\r\n");
+            assertTrue(client.takeReceived().startsWith("HTTP/1.1 200"));
         }
         return client;
     }
 
-    private static void assertWithinBound(long before, List<MemoryEnd> ends, String side) {
+    private static void assertWithinBound(long before, List<MemoryEndPoint> ends, String side) {
         long each = (used() - before) / CONNECTIONS;
-        assertTrue(ends.stream().allMatch(MemoryEnd::isOpen));
+        assertTrue(ends.stream().allMatch(MemoryEndPoint::isOpen));
         assertTrue(each <= MOST_BYTES, each + " bytes for each resting connection of a " + side);
     }
 
     @Test
     void aClientsRestingConnectionKeepsNeitherParserNorBuffer() {
-        List<MemoryEnd> clients = new ArrayList<>(CONNECTIONS);
+        List<MemoryEndPoint> clients = new ArrayList<>(CONNECTIONS);
         asked(LONG_FIELD);
         long before = used();
         for (int i = 0; i < CONNECTIONS; i++) {
@@ -75,12 +75,12 @@
 
     @Test
     void aNodesRestingConnectionKeepsNeitherParserNorBuffer() {
-        List<MemoryEnd> nodes = new ArrayList<>(CONNECTIONS);
+        List<MemoryEndPoint> nodes = new ArrayList<>(CONNECTIONS);
         List<UpstreamConnection> connections = new ArrayList<>(CONNECTIONS);
         Budget budget = new Budget(1 << 20);
         long before = used();
         for (int i = 0; i < CONNECTIONS; i++) {
-            nodes.add(MemoryEnd.open(end -> {
+            nodes.add(MemoryEndPoint.open(end -> {
                 UpstreamConnection connection =
                         new UpstreamConnection(end, NodePool.MOST_ANSWER, budget, (c, free) -> {});
                 connections.add(connection);
@@ -89,9 +89,9 @@
             for (int j = 0; j < REQUESTS; j++) {
                 String[] answered = new String[1];
                 connections.get(i).send(new OneCall(answered));
-                nodes.get(i).taken();
+                nodes.get(i).takeReceived();
                 nodes.get(i)
-                        .put("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 4\r\n"
+                        .send("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 4\r\n"
                                 + (i % 2 == 0 ? "" : LONG_FIELD) + "\r\ndone");
                 assertEquals("done", answered[0]);
             }
@@ -128,7 +128,7 @@
         });
         String[] answered = new String[1];
         connections.get(0).send(new OneCall(answered));
-        node.put("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
+        node.send("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
         assertEquals("done", answered[0]);
         assertTrue(connections.get(0).quiet());
         node.putUnread("H");
--- a/src/test/java/petrelstand/net/EventLoopTest.java
+++ b/src/test/java/petrelstand/net/EventLoopTest.java
@@ -27,7 +27,7 @@
 /** The loop on real sockets of its own. */
 @Timeout(60)
 class EventLoopTest {
-    private final Clock clock = new Clock();
+    private final LoopClock clock = new LoopClock();
     private final Timers timers = new Timers();
     private final EventLoop loop = new EventLoop(clock, timers);
 
@@ -113,7 +113,7 @@
         Error meant = new LinkageError("meant by the test");
         CompletableFuture<Throwable> told = new CompletableFuture<>();
         EventLoop watched = new EventLoop(clock, new Timers());
-        watched.whenBroken((thread, thrown) -> told.complete(thrown));
+        watched.setFatalErrorHandler((thread, thrown) -> told.complete(thrown));
         watched.start();
         ServerSocketChannel server = watched.listen(new InetSocketAddress("127.0.0.1", 0), endPoint -> {
             throwAt(place == Place.NEW_CONNECTION, meant);
@@ -156,7 +156,7 @@
     void anErrorThatIsHandedOnAsAFailureIsThrown() {
         Error meant = new LinkageError("meant by the test");
         List<Throwable> failed = new ArrayList<>();
-        var callback = LoopConnection.nonBlocking(() -> {}, failed::add);
+        var callback = LoopConnection.nonBlockingCallback(() -> {}, failed::add);
         assertSame(meant, assertThrows(LinkageError.class, () -> callback.failed(new RuntimeException(meant))));
         assertEquals(List.of(), failed);
         java.io.IOException reset = new java.io.IOException("reset");
@@ -169,7 +169,7 @@
     void anEndOfTheThreadThatNobodyAskedForIsTold() throws Exception {
         CompletableFuture<Throwable> told = new CompletableFuture<>();
         EventLoop watched = new EventLoop(clock, new Timers());
-        watched.whenBroken((thread, thrown) -> told.complete(thrown));
+        watched.setFatalErrorHandler((thread, thrown) -> told.complete(thrown));
         watched.start();
         watched.execute(() -> {
             try {
@@ -248,9 +248,9 @@
 
     @Test
     void addressesAreNumbersOnly() {
-        assertEquals(9000, Addresses.parse("10.0.0.4:9000").getPort());
+        assertEquals(9000, SocketAddresses.parse("10.0.0.4:9000").getPort());
         for (String text : new String[] {"host:1", "10.0.0.4", "10.0.0.4:x", ":1", "10.0.0.4:99999"}) {
-            assertThrows(IllegalArgumentException.class, () -> Addresses.parse(text), text);
+            assertThrows(IllegalArgumentException.class, () -> SocketAddresses.parse(text), text);
         }
     }
 }
--- a/src/test/java/petrelstand/operation/OperatorDoorTest.java
+++ b/src/test/java/petrelstand/operation/OperatorDoorTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import petrelstand.net.MemoryEnd;
+import petrelstand.net.MemoryEndPoint;
 import petrelstand.operation.OperatorDoor.Answer;
 import petrelstand.operation.OperatorDoor.Call;
 import petrelstand.testing.Harness;
@@ -30,9 +30,9 @@
                             })));
 
     private String call(String text) {
-        MemoryEnd end = MemoryEnd.open(door::accept);
-        end.put(text);
-        return end.taken();
+        MemoryEndPoint end = MemoryEndPoint.open(door::accept);
+        end.send(text);
+        return end.takeReceived();
     }
 
     @Test
@@ -62,13 +62,13 @@
 
     @Test
     void aCallCutAnywhereIsAnsweredWhenItIsWhole() {
-        MemoryEnd end = MemoryEnd.open(door::accept);
+        MemoryEndPoint end = MemoryEndPoint.open(door::accept);
         for (char c : "POST /api/evacuate HTTP/1.1\r\nHost: o\r\nContent-Length: 3\r\n\r\nabc".toCharArray()) {
-            assertEquals("", end.taken());
-            end.put(String.valueOf(c));
+            assertEquals("", end.takeReceived());
+            end.send(String.valueOf(c));
             world.run(50_000);
         }
-        assertTrue(end.taken().startsWith("HTTP/1.1 200"));
+        assertTrue(end.takeReceived().startsWith("HTTP/1.1 200"));
     }
 
     @Test
@@ -85,20 +85,20 @@
 
     @Test
     void callersWithoutAWholeCallNeitherHoldUpOthersNorStay() {
-        List<MemoryEnd> silent = new ArrayList<>();
+        List<MemoryEndPoint> silent = new ArrayList<>();
         for (int i = 0; i < 3 * OperatorDoor.MOST_CONNECTIONS; i++) {
-            MemoryEnd end = MemoryEnd.open(door::accept);
-            end.put("GET /api/re");
+            MemoryEndPoint end = MemoryEndPoint.open(door::accept);
+            end.send("GET /api/re");
             silent.add(end);
             assertTrue(door.connections() <= OperatorDoor.MOST_CONNECTIONS);
         }
         assertTrue(call("GET /api/ready HTTP/1.1\r\nHost: o\r\n\r\n").startsWith("HTTP/1.1 200"));
         assertFalse(silent.get(0).isOpen());
-        MemoryEnd last = silent.get(silent.size() - 1);
+        MemoryEndPoint last = silent.get(silent.size() - 1);
         world.run(4_000_000);
         assertTrue(last.isOpen());
         world.run(OperatorDoor.CALL_US + OperatorDoor.LINGER_US);
-        assertTrue(last.taken().startsWith("HTTP/1.1 408"));
+        assertTrue(last.takeReceived().startsWith("HTTP/1.1 408"));
         assertEquals(0, door.connections());
     }
 }
--- a/src/test/java/petrelstand/rsync/SessionModelTest.java
+++ b/src/test/java/petrelstand/rsync/SessionModelTest.java
@@ -12,7 +12,7 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 import petrelstand.config.RsyncConfig;
-import petrelstand.net.MemoryEnd;
+import petrelstand.net.MemoryEndPoint;
 import petrelstand.testing.Configs;
 import petrelstand.testing.Harness;
 
@@ -28,18 +28,18 @@
             world.timers,
             config,
             world.log::add);
-    private final MemoryEnd client;
+    private final MemoryEndPoint client;
     private final StringBuilder clientGot = new StringBuilder();
     private final StringBuilder nodeGot = new StringBuilder();
     private String clientScript = "@RSYNCD: 31.0\ncharts\n" + Golden.ARGUMENTS + text(Golden.pullUp());
     private String nodeScript = "@RSYNCD: 31.0\n@RSYNCD: OK\n" + text(Golden.pullDown());
-    private MemoryEnd node;
+    private MemoryEndPoint node;
     private int dials;
 
     SessionModelTest() {
         config.nodes().forEach(listed -> assertTrue(listed.isPrivate()));
         world.list(config.nodes().toArray(petrelstand.core.Node[]::new));
-        client = MemoryEnd.open(front::accept);
+        client = MemoryEndPoint.open(front::accept);
     }
 
     private static String text(byte[] bytes) {
@@ -48,7 +48,7 @@
 
     private void clientSends(int size) {
         int now = Math.min(size, clientScript.length());
-        client.putBytes(clientScript.substring(0, now).getBytes(StandardCharsets.ISO_8859_1));
+        client.sendBytes(clientScript.substring(0, now).getBytes(StandardCharsets.ISO_8859_1));
         clientScript = clientScript.substring(now);
     }
 
@@ -59,15 +59,15 @@
         }
         if (node != null) {
             int now = Math.min(size, nodeScript.length());
-            node.putBytes(nodeScript.substring(0, now).getBytes(StandardCharsets.ISO_8859_1));
+            node.sendBytes(nodeScript.substring(0, now).getBytes(StandardCharsets.ISO_8859_1));
             nodeScript = nodeScript.substring(now);
         }
     }
 
     private void collect() {
-        clientGot.append(client.taken());
+        clientGot.append(client.takeReceived());
         if (node != null) {
-            nodeGot.append(node.taken());
+            nodeGot.append(node.takeReceived());
         }
     }
 
@@ -86,13 +86,13 @@
             switch (step) {
                 case 0 -> {
                     if (!cut && test.client.isOpen()) {
-                        test.client.putEnd();
+                        test.client.sendEof();
                     }
                     cut = true;
                 }
                 case 1 -> {
                     if (!cut && test.node != null && test.node.isOpen()) {
-                        test.node.putEnd();
+                        test.node.sendEof();
                         cut = true;
                     }
                 }
@@ -152,7 +152,7 @@
     void aDaemonThatDiesBeforeTheArgumentsIsReplacedUnseen() {
         clientSends(22);
         nodeSends(26);
-        node.putEnd();
+        node.sendEof();
         node = null;
         nodeScript = "@RSYNCD: 31.0\n@RSYNCD: OK\n" + text(Golden.pullDown());
         world.run(400_000);
--- a/src/test/java/petrelstand/testing/HeldEnd.java
+++ b/src/test/java/petrelstand/testing/HeldEnd.java
@@ -5,19 +5,19 @@
 import java.util.function.Function;
 import org.eclipse.jetty.io.Connection;
 import org.eclipse.jetty.io.EndPoint;
-import petrelstand.net.MemoryEnd;
+import petrelstand.net.MemoryEndPoint;
 
 /**
  * An end in memory on which bytes can lie that its connection has not been told of: the order of two events is the
  * test's.
  */
-public final class HeldEnd extends MemoryEnd {
+public final class HeldEnd extends MemoryEndPoint {
     private boolean holds;
 
     private HeldEnd() {}
 
     public static HeldEnd open(Function<EndPoint, Connection> maker) {
-        return MemoryEnd.open(new HeldEnd(), maker);
+        return MemoryEndPoint.open(new HeldEnd(), maker);
     }
 
     /** The other side sends, and this one is not told before it looks. */
