--- a/src/main/java/petrelstand/FleetPart.java
+++ b/src/main/java/petrelstand/FleetPart.java
@@ -8,15 +8,15 @@
 import petrelstand.config.GatewayConfig;
 import petrelstand.core.Counters;
 import petrelstand.core.Timers;
-import petrelstand.fleet.Fleet;
 import petrelstand.fleet.FleetMetrics;
+import petrelstand.fleet.FleetService;
 import petrelstand.http.Front;
 import petrelstand.logging.JsonLog;
 
 /** The fleet's part of a gateway, put together; loaded only where the operator's file has {@code [fleet]}. */
 final class FleetPart {
     private final FleetConfig config;
-    private final Fleet fleet;
+    private final FleetService fleet;
 
     FleetPart(
             FleetConfig config,
@@ -27,13 +27,13 @@
             Counters counters,
             Consumer<String> log) {
         this.config = config;
-        this.fleet = new Fleet(config, gateway.name(), gateway.seed(), timers, nowUs, loop, counters, log);
+        this.fleet = new FleetService(config, gateway.name(), gateway.seed(), timers, nowUs, loop, counters, log);
         if (log instanceof JsonLog json) {
-            json.view(fleet::version);
+            json.view(fleet::viewVersion);
         }
     }
 
-    Fleet fleet() {
+    FleetService fleet() {
         return fleet;
     }
 
@@ -44,10 +44,10 @@
     void start(Front front) {
         fleet.start();
         if (config.page()) {
-            front.offer("/members", fleet::page);
+            front.offer("/members", fleet::membersJson);
         }
         if (config.metrics()) {
-            front.offer("/metrics", () -> FleetMetrics.text(fleet));
+            front.offer("/metrics", () -> FleetMetrics.prometheusText(fleet));
         }
     }
 
--- a/src/main/java/petrelstand/RulesPart.java
+++ b/src/main/java/petrelstand/RulesPart.java
@@ -40,7 +40,7 @@
 import petrelstand.core.Counters;
 import petrelstand.core.Node;
 import petrelstand.core.Timers;
-import petrelstand.fleet.Fleet;
+import petrelstand.fleet.FleetService;
 import petrelstand.http.Front;
 import petrelstand.store.DiskFolder;
 import petrelstand.store.KeptText;
@@ -75,7 +75,7 @@
     }
 
     private final RulesConfig config;
-    private final Fleet fleet;
+    private final FleetService fleet;
     private final Broker broker;
     private final Timers timers;
     private final LongSupplier nowUs;
@@ -123,7 +123,7 @@
     RulesPart(
             RulesConfig config,
             GatewayConfig gateway,
-            Fleet fleet,
+            FleetService fleet,
             Broker broker,
             Timers timers,
             LongSupplier nowUs,
@@ -194,7 +194,7 @@
             holder.recall(now, kept.version(), kept.text());
         }
         broker.gate(gate());
-        fleet.rules(this::arrived);
+        fleet.setRulesHandler(this::arrived);
         if (votes && files != null) {
             copyNonce = life;
             copy = new OldCopy(now, config.voters().size(), files.generation(), COPY_PATIENCE_US);
@@ -404,7 +404,7 @@
         if (leads) {
             toVoter(() -> voter.hear("@" + parcel.address(), parcel.talk()));
         } else if (parcel.from().equals(ASKER) && address != null && !leader.equals(fleet.name())) {
-            fleet.sendRules(
+            fleet.sendRulesMessage(
                     address,
                     Wire.encode(new Parcel(parcel.fleet(), PASSED_ON, parcel.address(), 0, 0, null, parcel.talk())));
         }
@@ -435,7 +435,7 @@
             if (to.equals(fleet.name())) {
                 take(parcel);
             } else if (address != null) {
-                fleet.sendRules(address, Wire.encode(parcel));
+                fleet.sendRulesMessage(address, Wire.encode(parcel));
             }
         });
     }
@@ -525,7 +525,7 @@
         acting.rules().limits().forEach((plan, limit) -> limits.addProperty(plan, limit.units()));
         line.add("limits", limits);
         line.addProperty("gateways", acting.rules().gateways());
-        fleet.note("rules", line);
+        fleet.recordEvent("rules", line);
         ruled.run();
     }
 
--- a/src/main/java/petrelstand/cbor/CborReader.java
+++ b/src/main/java/petrelstand/cbor/CborReader.java
@@ -17,7 +17,7 @@
     private static final CBORFactory CBOR = new CBORFactory();
 
     /** Reads one entry of a list. */
-    public interface Entry<T> {
+    public interface EntryReader<T> {
         T read() throws IOException;
     }
 
@@ -36,7 +36,7 @@
     }
 
     /** A number of 64 bits. */
-    public long whole() throws IOException {
+    public long readLong() throws IOException {
         expect(JsonToken.VALUE_NUMBER_INT);
         if (from.getNumberType() == JsonParser.NumberType.BIG_INTEGER) {
             throw new IOException("a number of more than 64 bits");
@@ -45,15 +45,15 @@
     }
 
     /** A number of 32 bits that is not negative. */
-    public int count() throws IOException {
-        long value = whole();
+    public int readNonNegativeInt() throws IOException {
+        long value = readLong();
         if (value < 0 || value > Integer.MAX_VALUE) {
             throw new IOException("a count of " + value);
         }
         return (int) value;
     }
 
-    public String text(int most) throws IOException {
+    public String readText(int most) throws IOException {
         expect(JsonToken.VALUE_STRING);
         if (from.getTextLength() > most) {
             throw new IOException("a text of more than " + most + " characters");
@@ -61,7 +61,7 @@
         return from.getText();
     }
 
-    public boolean flag() throws IOException {
+    public boolean readBoolean() throws IOException {
         JsonToken token = from.nextToken();
         if (token != JsonToken.VALUE_TRUE && token != JsonToken.VALUE_FALSE) {
             throw new IOException(token + " where true or false is wanted");
@@ -69,7 +69,7 @@
         return token == JsonToken.VALUE_TRUE;
     }
 
-    public byte[] bytes(int most) throws IOException {
+    public byte[] readBytes(int most) throws IOException {
         expect(JsonToken.VALUE_EMBEDDED_OBJECT);
         byte[] bytes = from.getBinaryValue();
         if (bytes.length > most) {
@@ -79,7 +79,7 @@
     }
 
     /** An array of arrays; each entry is read between its brackets. */
-    public <T> List<T> list(int most, Entry<T> entry) throws IOException {
+    public <T> List<T> readList(int most, EntryReader<T> entry) throws IOException {
         List<T> list = new ArrayList<>();
         expect(JsonToken.START_ARRAY);
         while (from.nextToken() == JsonToken.START_ARRAY) {
@@ -96,7 +96,7 @@
     }
 
     /** An array of texts. */
-    public List<String> texts(int most, int mostLength) throws IOException {
+    public List<String> readTexts(int most, int mostLength) throws IOException {
         List<String> list = new ArrayList<>();
         expect(JsonToken.START_ARRAY);
         while (from.nextToken() == JsonToken.VALUE_STRING) {
@@ -112,7 +112,7 @@
     }
 
     /** Nothing may follow. */
-    public void end() throws IOException {
+    public void expectEnd() throws IOException {
         if (from.nextToken() != null) {
             throw new IOException("more than a message");
         }
--- a/src/main/java/petrelstand/cli/LabFaults.java
+++ b/src/main/java/petrelstand/cli/LabFaults.java
@@ -22,7 +22,7 @@
 import petrelstand.lab.rules.RulesMeasure;
 import petrelstand.lab.rules.RulesSearch;
 import petrelstand.lab.rules.RulesSim;
-import petrelstand.members.Timing;
+import petrelstand.members.MembershipTiming;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
@@ -205,10 +205,10 @@
         long began = System.nanoTime();
         for (long seed = from; seed <= until; seed++) {
             FleetPlan plan = FleetPlan.draw(virtual, seed);
-            String fault = FleetSim.play(plan, FleetSim.usual(Timing.USUAL));
+            String fault = FleetSim.play(plan, FleetSim.usual(MembershipTiming.DEFAULT));
             if (!fault.isEmpty()) {
                 failed++;
-                FleetPlan least = FleetSim.shrink(plan, FleetSim.usual(Timing.USUAL));
+                FleetPlan least = FleetSim.shrink(plan, FleetSim.usual(MembershipTiming.DEFAULT));
                 out.println("seed " + seed + ": " + fault);
                 least.faults().forEach(one -> out.println("  " + one));
                 out.println("  again: petrelstand lab faults --virtual " + virtual + " --seeds " + seed + "-" + seed);
@@ -257,7 +257,7 @@
     }
 
     private int search() {
-        FleetSearch.Result result = FleetSearch.run(search, FleetSim.usual(Timing.USUAL));
+        FleetSearch.Result result = FleetSearch.run(search, FleetSim.usual(MembershipTiming.DEFAULT));
         spec.commandLine().getOut().println(result);
         spec.commandLine().getOut().flush();
         return result.fault().isEmpty() ? 0 : 1;
--- a/src/main/java/petrelstand/config/FleetConfig.java
+++ b/src/main/java/petrelstand/config/FleetConfig.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Set;
 import petrelstand.members.Member;
-import petrelstand.members.Timing;
+import petrelstand.members.MembershipTiming;
 
 /**
  * Section {@code [fleet]} of the operator's file: how this gateway and others know each other.
@@ -36,7 +36,7 @@
         List<String> seeds,
         int size,
         List<byte[]> keys,
-        Timing timing,
+        MembershipTiming timing,
         Path folder,
         Path history,
         boolean page,
@@ -65,10 +65,11 @@
             throw section.wrong("seeds", "has more than " + MOST_SEEDS + " addresses");
         }
         List<String> abilities = words(section, "can");
-        if (abilities.size() > Member.MOST_ABILITIES
-                || abilities.stream().anyMatch(a -> a.length() > Member.MOST_NAME)) {
+        if (abilities.size() > Member.MAX_ABILITIES
+                || abilities.stream().anyMatch(a -> a.length() > Member.MAX_NAME_LENGTH)) {
             throw section.wrong(
-                    "can", "has more than " + Member.MOST_ABILITIES + " words, or one longer than " + Member.MOST_NAME);
+                    "can",
+                    "has more than " + Member.MAX_ABILITIES + " words, or one longer than " + Member.MAX_NAME_LENGTH);
         }
         Path key = ini.beside(section.text("key"));
         files.add(key);
@@ -95,22 +96,23 @@
 
     private static String name(IniFile.Section section, String key) {
         String name = section.text(key);
-        if (!name.matches("[A-Za-z0-9._-]{1," + Member.MOST_NAME + "}")) {
+        if (!name.matches("[A-Za-z0-9._-]{1," + Member.MAX_NAME_LENGTH + "}")) {
             throw section.wrong(
                     key,
-                    "is not a name of 1 to " + Member.MOST_NAME + " letters, digits, '.', '_' or '-': '" + name + "'");
+                    "is not a name of 1 to " + Member.MAX_NAME_LENGTH + " letters, digits, '.', '_' or '-': '" + name
+                            + "'");
         }
         return name;
     }
 
-    private static Timing timing(IniFile.Section section) {
-        Timing usual = Timing.USUAL;
+    private static MembershipTiming timing(IniFile.Section section) {
+        MembershipTiming usual = MembershipTiming.DEFAULT;
         try {
-            return new Timing(
-                    section.durationUs("ping", usual.pingUs(), Timing.TICK_US, 60_000_000),
+            return new MembershipTiming(
+                    section.durationUs("ping", usual.pingIntervalUs(), MembershipTiming.TICK_INTERVAL_US, 60_000_000),
                     section.durationUs("suspect_after", usual.suspectAfterUs(), 200_000, 600_000_000),
                     section.durationUs("fail_after", usual.failAfterUs(), 200_000, 600_000_000),
-                    section.durationUs("retry", usual.retryUs(), 100_000, 600_000_000));
+                    section.durationUs("retry", usual.retryIntervalUs(), 100_000, 600_000_000));
         } catch (IllegalArgumentException e) {
             if (String.valueOf(e.getMessage()).contains("[fleet]")) {
                 throw e;
--- a/src/main/java/petrelstand/config/RulesConfig.java
+++ b/src/main/java/petrelstand/config/RulesConfig.java
@@ -35,7 +35,8 @@
         List<String> voters = List.of(section.text("voters").strip().split("[\\s,]+"));
         if (voters.size() > MOST_VOTERS
                 || voters.stream().distinct().count() != voters.size()
-                || voters.stream().anyMatch(name -> !name.matches("[A-Za-z0-9._-]{1," + Member.MOST_NAME + "}"))) {
+                || voters.stream()
+                        .anyMatch(name -> !name.matches("[A-Za-z0-9._-]{1," + Member.MAX_NAME_LENGTH + "}"))) {
             throw section.wrong("voters", "must be 1 to " + MOST_VOTERS + " different names of the fleet's gateways");
         }
         long within = section.durationUs("promise", Promise.USUAL.withinUs(), 500_000, 600_000_000);
--- a/src/main/java/petrelstand/consensus/RaftFiles.java
+++ b/src/main/java/petrelstand/consensus/RaftFiles.java
@@ -127,7 +127,7 @@
             from.expect(JsonToken.START_ARRAY);
             from.expect(JsonToken.START_ARRAY);
             from.expect(JsonToken.START_ARRAY);
-            return from.count() == WHOLE;
+            return from.readNonNegativeInt() == WHOLE;
         } catch (IOException e) {
             return false;
         }
@@ -148,26 +148,26 @@
     private void take(byte[] content) throws IOException {
         try (CborReader from = payload(content)) {
             from.expect(JsonToken.START_ARRAY);
-            from.list(1 << 20, () -> {
-                int kind = from.count();
+            from.readList(1 << 20, () -> {
+                int kind = from.readNonNegativeInt();
                 record(from, kind);
                 return kind;
             });
             from.expect(JsonToken.END_ARRAY);
-            from.end();
+            from.expectEnd();
         }
     }
 
     private void record(CborReader from, int kind) throws IOException {
         switch (kind) {
             case ENDPOINT -> {
-                endpoint = from.text(Wire.MOST_NAME);
-                voting = from.flag();
+                endpoint = from.readText(Wire.MOST_NAME);
+                voting = from.readBoolean();
             }
             case MEMBERS -> members = Wire.view(from);
             case TERM -> {
-                term = from.count();
-                String voted = from.text(Wire.MOST_NAME);
+                term = from.readNonNegativeInt();
+                String voted = from.readText(Wire.MOST_NAME);
                 votedFor = voted.isEmpty() ? null : voted;
             }
             case ENTRY -> {
@@ -179,9 +179,9 @@
                 chunks.computeIfAbsent(chunk.getIndex(), i -> new TreeMap<>())
                         .put(chunk.getSnapshotChunkIndex(), chunk);
             }
-            case CUT -> entries.tailMap(from.whole(), true).clear();
-            case FORGET -> entries.headMap(from.whole(), true).clear();
-            case DROP -> chunks.remove(from.whole());
+            case CUT -> entries.tailMap(from.readLong(), true).clear();
+            case FORGET -> entries.headMap(from.readLong(), true).clear();
+            case DROP -> chunks.remove(from.readLong());
             case WHOLE -> {
                 entries.clear();
                 chunks.clear();
--- a/src/main/java/petrelstand/consensus/Wire.java
+++ b/src/main/java/petrelstand/consensus/Wire.java
@@ -94,21 +94,21 @@
     public static Parcel decode(byte[] content) throws IOException {
         try (CborReader from = new CborReader(content)) {
             from.expect(JsonToken.START_ARRAY);
-            long version = from.whole();
+            long version = from.readLong();
             if (version != VERSION) {
                 throw new IOException("form " + version + " is not " + VERSION);
             }
-            String fleet = from.text(MOST_NAME);
-            String name = from.text(MOST_NAME);
-            String address = from.text(MOST_ADDRESS);
-            long generation = from.whole();
-            long epoch = from.whole();
-            int kind = from.count();
+            String fleet = from.readText(MOST_NAME);
+            String name = from.readText(MOST_NAME);
+            String address = from.readText(MOST_ADDRESS);
+            long generation = from.readLong();
+            long epoch = from.readLong();
+            int kind = from.readNonNegativeInt();
             Parcel parcel = kind < 20
                     ? new Parcel(fleet, name, address, generation, epoch, raft(from, kind, new Name(name)), null)
                     : new Parcel(fleet, name, address, generation, epoch, null, talk(from, kind));
             from.expect(JsonToken.END_ARRAY);
-            from.end();
+            from.expectEnd();
             return parcel;
         }
     }
@@ -193,48 +193,48 @@
     }
 
     private static RaftMessage raft(CborReader from, int kind, Name sender) throws IOException {
-        int term = from.count();
+        int term = from.readNonNegativeInt();
         return switch (kind) {
             case 1 ->
                 MODEL.createAppendEntriesRequestBuilder()
                         .setGroupId(GROUP)
                         .setSender(sender)
                         .setTerm(term)
-                        .setPreviousLogTerm(from.count())
-                        .setPreviousLogIndex(from.whole())
-                        .setCommitIndex(from.whole())
-                        .setQuerySequenceNumber(from.whole())
-                        .setFlowControlSequenceNumber(from.whole())
-                        .setLogEntries(from.list(64, () -> entry(from)))
+                        .setPreviousLogTerm(from.readNonNegativeInt())
+                        .setPreviousLogIndex(from.readLong())
+                        .setCommitIndex(from.readLong())
+                        .setQuerySequenceNumber(from.readLong())
+                        .setFlowControlSequenceNumber(from.readLong())
+                        .setLogEntries(from.readList(64, () -> entry(from)))
                         .build();
             case 2 ->
                 MODEL.createAppendEntriesSuccessResponseBuilder()
                         .setGroupId(GROUP)
                         .setSender(sender)
                         .setTerm(term)
-                        .setLastLogIndex(from.whole())
-                        .setQuerySequenceNumber(from.whole())
-                        .setFlowControlSequenceNumber(from.whole())
+                        .setLastLogIndex(from.readLong())
+                        .setQuerySequenceNumber(from.readLong())
+                        .setFlowControlSequenceNumber(from.readLong())
                         .build();
             case 3 ->
                 MODEL.createAppendEntriesFailureResponseBuilder()
                         .setGroupId(GROUP)
                         .setSender(sender)
                         .setTerm(term)
-                        .setExpectedNextIndex(from.whole())
-                        .setQuerySequenceNumber(from.whole())
-                        .setFlowControlSequenceNumber(from.whole())
+                        .setExpectedNextIndex(from.readLong())
+                        .setQuerySequenceNumber(from.readLong())
+                        .setFlowControlSequenceNumber(from.readLong())
                         .build();
             case 4 -> {
-                boolean leader = from.flag();
-                int snapshotTerm = from.count();
-                long index = from.whole();
-                int total = from.count();
-                long query = from.whole();
-                long flow = from.whole();
+                boolean leader = from.readBoolean();
+                int snapshotTerm = from.readNonNegativeInt();
+                long index = from.readLong();
+                int total = from.readNonNegativeInt();
+                long query = from.readLong();
+                long flow = from.readLong();
                 Set<RaftEndpoint> members = names(from);
                 RaftGroupMembersView view = view(from);
-                List<SnapshotChunk> chunk = from.list(1, () -> chunk(from));
+                List<SnapshotChunk> chunk = from.readList(1, () -> chunk(from));
                 yield MODEL.createInstallSnapshotRequestBuilder()
                         .setGroupId(GROUP)
                         .setSender(sender)
@@ -255,49 +255,49 @@
                         .setGroupId(GROUP)
                         .setSender(sender)
                         .setTerm(term)
-                        .setSnapshotIndex(from.whole())
-                        .setRequestedSnapshotChunkIndex(from.count())
-                        .setQuerySequenceNumber(from.whole())
-                        .setFlowControlSequenceNumber(from.whole())
+                        .setSnapshotIndex(from.readLong())
+                        .setRequestedSnapshotChunkIndex(from.readNonNegativeInt())
+                        .setQuerySequenceNumber(from.readLong())
+                        .setFlowControlSequenceNumber(from.readLong())
                         .build();
             case 6 ->
                 MODEL.createPreVoteRequestBuilder()
                         .setGroupId(GROUP)
                         .setSender(sender)
                         .setTerm(term)
-                        .setLastLogTerm(from.count())
-                        .setLastLogIndex(from.whole())
+                        .setLastLogTerm(from.readNonNegativeInt())
+                        .setLastLogIndex(from.readLong())
                         .build();
             case 7 ->
                 MODEL.createPreVoteResponseBuilder()
                         .setGroupId(GROUP)
                         .setSender(sender)
                         .setTerm(term)
-                        .setGranted(from.flag())
+                        .setGranted(from.readBoolean())
                         .build();
             case 8 ->
                 MODEL.createVoteRequestBuilder()
                         .setGroupId(GROUP)
                         .setSender(sender)
                         .setTerm(term)
-                        .setLastLogTerm(from.count())
-                        .setLastLogIndex(from.whole())
-                        .setSticky(from.flag())
+                        .setLastLogTerm(from.readNonNegativeInt())
+                        .setLastLogIndex(from.readLong())
+                        .setSticky(from.readBoolean())
                         .build();
             case 9 ->
                 MODEL.createVoteResponseBuilder()
                         .setGroupId(GROUP)
                         .setSender(sender)
                         .setTerm(term)
-                        .setGranted(from.flag())
+                        .setGranted(from.readBoolean())
                         .build();
             case 10 ->
                 MODEL.createTriggerLeaderElectionRequestBuilder()
                         .setGroupId(GROUP)
                         .setSender(sender)
                         .setTerm(term)
-                        .setLastLogTerm(from.count())
-                        .setLastLogIndex(from.whole())
+                        .setLastLogTerm(from.readNonNegativeInt())
+                        .setLastLogIndex(from.readLong())
                         .build();
             default -> throw new IOException("no voters' message has the kind " + kind);
         };
@@ -320,15 +320,15 @@
     }
 
     static LogEntry entry(CborReader from) throws IOException {
-        long index = from.whole();
-        int term = from.count();
-        int kind = from.count();
+        long index = from.readLong();
+        int term = from.readNonNegativeInt();
+        int kind = from.readNonNegativeInt();
         Object operation = kind == 20
                 ? MODEL.createUpdateRaftGroupMembersOpBuilder()
                         .setMembers(names(from))
                         .setVotingMembers(names(from))
-                        .setEndpoint(new Name(from.text(MOST_NAME)))
-                        .setMode(mode(from.count()))
+                        .setEndpoint(new Name(from.readText(MOST_NAME)))
+                        .setMode(mode(from.readNonNegativeInt()))
                         .build()
                 : command(from, kind);
         return MODEL.createLogEntryBuilder()
@@ -384,20 +384,26 @@
     private static Command command(CborReader from, int kind) throws IOException {
         return switch (kind) {
             case 1 -> new Command.Term();
-            case 2 -> new Command.Part(from.whole(), from.count(), from.count(), from.text(Command.PIECE));
+            case 2 ->
+                new Command.Part(
+                        from.readLong(),
+                        from.readNonNegativeInt(),
+                        from.readNonNegativeInt(),
+                        from.readText(Command.PIECE));
             case 3 ->
                 new Command.Propose(
-                        from.whole(),
-                        from.whole(),
-                        from.text(Command.MOST_WHO),
-                        from.text(Command.MOST_WHY),
-                        from.whole(),
-                        from.count(),
+                        from.readLong(),
+                        from.readLong(),
+                        from.readText(Command.MOST_WHO),
+                        from.readText(Command.MOST_WHY),
+                        from.readLong(),
+                        from.readNonNegativeInt(),
                         figures(from));
-            case 4 -> new Command.Activate(from.whole(), from.whole());
-            case 5 -> new Command.Withdraw(from.whole(), from.text(Command.MOST_WHO), from.text(Command.MOST_WHY));
-            case 6 -> new Command.Register(from.text(MOST_NAME));
-            case 7 -> new Command.Forget(from.text(MOST_NAME));
+            case 4 -> new Command.Activate(from.readLong(), from.readLong());
+            case 5 ->
+                new Command.Withdraw(from.readLong(), from.readText(Command.MOST_WHO), from.readText(Command.MOST_WHY));
+            case 6 -> new Command.Register(from.readText(MOST_NAME));
+            case 7 -> new Command.Forget(from.readText(MOST_NAME));
             default -> throw new IOException("no command has the kind " + kind);
         };
     }
@@ -415,9 +421,9 @@
     }
 
     private static List<Command.Figure> figures(CborReader from) throws IOException {
-        return from.list(
+        return from.readList(
                 Command.MOST_FIGURES,
-                () -> new Command.Figure(from.text(Command.MOST_NAME), from.whole(), from.whole()));
+                () -> new Command.Figure(from.readText(Command.MOST_NAME), from.readLong(), from.readLong()));
     }
 
     static void write(CBORGenerator to, SnapshotChunk chunk) throws IOException {
@@ -431,11 +437,11 @@
 
     static SnapshotChunk chunk(CborReader from) throws IOException {
         return MODEL.createSnapshotChunkBuilder()
-                .setIndex(from.whole())
-                .setTerm(from.count())
-                .setSnapshotChunkIndex(from.count())
-                .setSnapshotChunkCount(from.count())
-                .setOperation(from.bytes(MOST_CHUNK))
+                .setIndex(from.readLong())
+                .setTerm(from.readNonNegativeInt())
+                .setSnapshotChunkIndex(from.readNonNegativeInt())
+                .setSnapshotChunkCount(from.readNonNegativeInt())
+                .setOperation(from.readBytes(MOST_CHUNK))
                 .setGroupMembersView(view(from))
                 .build();
     }
@@ -448,7 +454,7 @@
 
     static RaftGroupMembersView view(CborReader from) throws IOException {
         return MODEL.createRaftGroupMembersViewBuilder()
-                .setLogIndex(from.whole())
+                .setLogIndex(from.readLong())
                 .setMembers(names(from))
                 .setVotingMembers(names(from))
                 .build();
@@ -464,7 +470,7 @@
 
     private static Set<RaftEndpoint> names(CborReader from) throws IOException {
         Set<RaftEndpoint> names = new LinkedHashSet<>();
-        from.texts(MOST_VOTERS, MOST_NAME).forEach(name -> names.add(new Name(name)));
+        from.readTexts(MOST_VOTERS, MOST_NAME).forEach(name -> names.add(new Name(name)));
         return names;
     }
 
@@ -542,33 +548,46 @@
     private static Talk talk(CborReader from, int kind) throws IOException {
         return switch (kind) {
             case 21 ->
-                new Talk.Renew(from.whole(), from.whole(), from.whole(), from.whole(), from.text(Talk.MOST_LINE));
-            case 22 -> new Talk.Grant(from.whole(), from.whole(), from.whole(), from.whole(), from.flag());
-            case 23 -> new Talk.Elsewhere(from.whole(), from.text(MOST_NAME));
-            case 24 -> new Talk.Hint(from.whole(), from.whole());
-            case 25 -> new Talk.Fetch(from.whole(), from.whole(), from.count());
-            case 26 -> new Talk.Piece(from.whole(), from.whole(), from.count(), from.count(), from.text(Command.PIECE));
+                new Talk.Renew(
+                        from.readLong(),
+                        from.readLong(),
+                        from.readLong(),
+                        from.readLong(),
+                        from.readText(Talk.MOST_LINE));
+            case 22 ->
+                new Talk.Grant(from.readLong(), from.readLong(), from.readLong(), from.readLong(), from.readBoolean());
+            case 23 -> new Talk.Elsewhere(from.readLong(), from.readText(MOST_NAME));
+            case 24 -> new Talk.Hint(from.readLong(), from.readLong());
+            case 25 -> new Talk.Fetch(from.readLong(), from.readLong(), from.readNonNegativeInt());
+            case 26 ->
+                new Talk.Piece(
+                        from.readLong(),
+                        from.readLong(),
+                        from.readNonNegativeInt(),
+                        from.readNonNegativeInt(),
+                        from.readText(Command.PIECE));
             case 27 ->
                 new Talk.Offer(
-                        from.whole(),
-                        from.whole(),
-                        from.text(Command.MOST_WHO),
-                        from.text(Command.MOST_WHY),
-                        from.whole(),
-                        from.count(),
-                        from.count(),
-                        from.text(Command.PIECE));
+                        from.readLong(),
+                        from.readLong(),
+                        from.readText(Command.MOST_WHO),
+                        from.readText(Command.MOST_WHY),
+                        from.readLong(),
+                        from.readNonNegativeInt(),
+                        from.readNonNegativeInt(),
+                        from.readText(Command.PIECE));
             case 28 ->
                 new Talk.Order(
-                        from.whole(),
-                        from.text(16),
-                        from.whole(),
-                        from.text(MOST_NAME),
-                        from.text(Command.MOST_WHO),
-                        from.text(Command.MOST_WHY));
-            case 29 -> new Talk.Taken(from.whole(), (int) from.whole(), from.whole(), from.text(Talk.MOST_LINE));
-            case 30 -> new Talk.Recall(from.whole());
-            case 31 -> new Talk.Recalled(from.whole(), from.whole());
+                        from.readLong(),
+                        from.readText(16),
+                        from.readLong(),
+                        from.readText(MOST_NAME),
+                        from.readText(Command.MOST_WHO),
+                        from.readText(Command.MOST_WHY));
+            case 29 ->
+                new Talk.Taken(from.readLong(), (int) from.readLong(), from.readLong(), from.readText(Talk.MOST_LINE));
+            case 30 -> new Talk.Recall(from.readLong());
+            case 31 -> new Talk.Recalled(from.readLong(), from.readLong());
             default -> throw new IOException("no talk has the kind " + kind);
         };
     }
@@ -647,34 +666,35 @@
         }
         try (CborReader from = new CborReader(all.toByteArray())) {
             from.expect(JsonToken.START_ARRAY);
-            long active = from.whole();
-            long waiting = from.whole();
-            long newest = from.whole();
-            List<RuleBook.Version> versions = from.list(
+            long active = from.readLong();
+            long waiting = from.readLong();
+            long newest = from.readLong();
+            List<RuleBook.Version> versions = from.readList(
                     RuleBook.KEPT,
                     () -> new RuleBook.Version(
-                            from.whole(),
-                            from.whole(),
-                            from.text(Command.MOST_WHO),
-                            from.text(4 * Command.MOST_WHY),
-                            from.whole(),
-                            state(from.count()),
+                            from.readLong(),
+                            from.readLong(),
+                            from.readText(Command.MOST_WHO),
+                            from.readText(4 * Command.MOST_WHY),
+                            from.readLong(),
+                            state(from.readNonNegativeInt()),
                             figures(from),
-                            from.text(Command.MOST_TEXT)));
-            List<String> names = from.texts(MOST_CHUNKS, MOST_NAME);
+                            from.readText(Command.MOST_TEXT)));
+            List<String> names = from.readTexts(MOST_CHUNKS, MOST_NAME);
             Map<String, Long> marks = new TreeMap<>();
-            from.list(MOST_CHUNKS, () -> marks.put(from.text(Command.MOST_NAME), from.whole()));
+            from.readList(MOST_CHUNKS, () -> marks.put(from.readText(Command.MOST_NAME), from.readLong()));
             Map<Long, List<String>> proposals = new LinkedHashMap<>();
-            from.list(64, () -> {
-                long id = from.whole();
-                String[] pieces = new String[Math.min(from.count(), Command.MOST_PIECES)];
-                from.list(
+            from.readList(64, () -> {
+                long id = from.readLong();
+                String[] pieces = new String[Math.min(from.readNonNegativeInt(), Command.MOST_PIECES)];
+                from.readList(
                         Command.MOST_PIECES,
-                        () -> pieces[Math.min(pieces.length - 1, from.count())] = from.text(Command.PIECE));
+                        () -> pieces[Math.min(pieces.length - 1, from.readNonNegativeInt())] =
+                                from.readText(Command.PIECE));
                 return proposals.put(id, java.util.Arrays.asList(pieces));
             });
             from.expect(JsonToken.END_ARRAY);
-            from.end();
+            from.expectEnd();
             return new RuleBook.Whole(active, waiting, newest, versions, names, marks, proposals);
         }
     }
--- a/src/main/java/petrelstand/fleet/Codec.java
+++ b/src/main/java/petrelstand/fleet/Codec.java
@@ -13,13 +13,13 @@
 import petrelstand.members.MemberState;
 import petrelstand.members.Message;
 import petrelstand.members.Message.Ack;
-import petrelstand.members.Message.Answer;
-import petrelstand.members.Message.Ask;
-import petrelstand.members.Message.Digests;
+import petrelstand.members.Message.DigestBuckets;
 import petrelstand.members.Message.Envelope;
-import petrelstand.members.Message.Join;
-import petrelstand.members.Message.News;
+import petrelstand.members.Message.Gossip;
+import petrelstand.members.Message.JoinRequest;
+import petrelstand.members.Message.JoinResponse;
 import petrelstand.members.Message.Ping;
+import petrelstand.members.Message.PingRequest;
 
 /**
  * Messages as CBOR (RFC 8949) by Jackson: one array each, its layout in docs/design/members.md. Read token by token, so
@@ -41,10 +41,10 @@
             to.writeStartArray();
             to.writeNumber(VERSION);
             to.writeString(envelope.fleet());
-            to.writeString(envelope.name());
-            to.writeNumber(envelope.boot());
-            to.writeNumber(envelope.incarnation());
-            to.writeString(envelope.address());
+            to.writeString(envelope.senderName());
+            to.writeNumber(envelope.senderBootId());
+            to.writeNumber(envelope.senderIncarnation());
+            to.writeString(envelope.senderAddress());
             to.writeNumber(envelope.sequence());
             write(to, envelope.message());
             to.writeEndArray();
@@ -67,22 +67,22 @@
             to.writeString(ack.of());
             to.writeNumber(ack.ofBoot());
             write(to, ack.news());
-        } else if (message instanceof Ask ask) {
+        } else if (message instanceof PingRequest ask) {
             to.writeNumber(ASK);
             to.writeNumber(ask.nonce());
             to.writeString(ask.name());
             to.writeString(ask.address());
-        } else if (message instanceof Join join) {
+        } else if (message instanceof JoinRequest join) {
             to.writeNumber(JOIN);
             to.writeNumber(join.nonce());
             write(to, List.of(join.self()));
-        } else if (message instanceof Answer answer) {
+        } else if (message instanceof JoinResponse answer) {
             to.writeNumber(ANSWER);
             to.writeNumber(answer.nonce());
             to.writeBoolean(answer.welcome());
             write(to, answer.holder() == null ? List.of() : List.of(answer.holder()));
             write(to, answer.some());
-        } else if (message instanceof Digests digests) {
+        } else if (message instanceof DigestBuckets digests) {
             to.writeNumber(DIGESTS);
             to.writeBoolean(digests.answer());
             to.writeStartArray();
@@ -90,7 +90,7 @@
                 to.writeNumber(bucket);
             }
             to.writeEndArray();
-        } else if (message instanceof News news) {
+        } else if (message instanceof Gossip news) {
             to.writeNumber(NEWS);
             write(to, news.news());
         }
@@ -101,13 +101,13 @@
         for (Member member : members) {
             to.writeStartArray();
             to.writeString(member.name());
-            to.writeNumber(member.boot());
+            to.writeNumber(member.bootId());
             to.writeNumber(member.incarnation());
             to.writeString(member.address());
             to.writeNumber(member.state().ordinal());
-            to.writeString(member.by());
+            to.writeString(member.accuser());
             to.writeNumber(member.startMs());
-            to.writeString(member.version());
+            to.writeString(member.programVersion());
             to.writeStartArray();
             for (String ability : member.abilities()) {
                 to.writeString(ability);
@@ -122,19 +122,19 @@
     static Envelope decode(byte[] content) throws IOException {
         try (CborReader from = new CborReader(content)) {
             from.expect(JsonToken.START_ARRAY);
-            long version = from.whole();
+            long version = from.readLong();
             if (version != VERSION) {
                 throw new IOException("form " + version + " is not " + VERSION);
             }
-            String fleet = from.text(Member.MOST_NAME);
-            String name = from.text(Member.MOST_NAME);
-            long boot = from.whole();
-            long incarnation = from.whole();
-            String address = from.text(Member.MOST_ADDRESS);
-            long sequence = from.whole();
-            Message message = message(from, (int) from.whole());
+            String fleet = from.readText(Member.MAX_NAME_LENGTH);
+            String name = from.readText(Member.MAX_NAME_LENGTH);
+            long boot = from.readLong();
+            long incarnation = from.readLong();
+            String address = from.readText(Member.MAX_ADDRESS_LENGTH);
+            long sequence = from.readLong();
+            Message message = message(from, (int) from.readLong());
             from.expect(JsonToken.END_ARRAY);
-            from.end();
+            from.expectEnd();
             if (name.isEmpty() || incarnation < 0) {
                 throw new IOException("a message of no sender");
             }
@@ -144,52 +144,56 @@
 
     private static Message message(CborReader from, int kind) throws IOException {
         return switch (kind) {
-            case PING -> new Ping(from.whole(), from.whole(), members(from, Message.MOST_NEWS));
+            case PING -> new Ping(from.readLong(), from.readLong(), members(from, Message.MOST_NEWS));
             case ACK ->
                 new Ack(
-                        from.whole(),
-                        from.whole(),
-                        from.text(Member.MOST_NAME),
-                        from.whole(),
+                        from.readLong(),
+                        from.readLong(),
+                        from.readText(Member.MAX_NAME_LENGTH),
+                        from.readLong(),
                         members(from, Message.MOST_NEWS));
-            case ASK -> new Ask(from.whole(), from.text(Member.MOST_NAME), from.text(Member.MOST_ADDRESS));
+            case ASK ->
+                new PingRequest(
+                        from.readLong(),
+                        from.readText(Member.MAX_NAME_LENGTH),
+                        from.readText(Member.MAX_ADDRESS_LENGTH));
             case JOIN -> {
-                long nonce = from.whole();
+                long nonce = from.readLong();
                 List<Member> self = members(from, 1);
                 if (self.isEmpty()) {
                     throw new IOException("a joiner that does not say who it is");
                 }
-                yield new Join(nonce, self.get(0));
+                yield new JoinRequest(nonce, self.get(0));
             }
             case ANSWER -> {
-                long nonce = from.whole();
-                boolean welcome = from.flag();
+                long nonce = from.readLong();
+                boolean welcome = from.readBoolean();
                 List<Member> holder = members(from, 1);
-                yield new Answer(
+                yield new JoinResponse(
                         nonce, welcome, holder.isEmpty() ? null : holder.get(0), members(from, Message.MOST_NEWS));
             }
             case DIGESTS -> {
-                boolean answer = from.flag();
+                boolean answer = from.readBoolean();
                 List<Long> buckets = new ArrayList<>();
                 from.expect(JsonToken.START_ARRAY);
                 for (int i = 0; i < Message.BUCKETS; i++) {
-                    buckets.add(from.whole());
+                    buckets.add(from.readLong());
                 }
                 from.expect(JsonToken.END_ARRAY);
-                yield new Digests(buckets, answer);
+                yield new DigestBuckets(buckets, answer);
             }
-            case NEWS -> new News(members(from, Message.MOST_NEWS));
+            case NEWS -> new Gossip(members(from, Message.MOST_NEWS));
             default -> throw new IOException("no message has the kind " + kind);
         };
     }
 
     private static List<Member> members(CborReader from, int most) throws IOException {
-        return from.list(most, () -> {
-            String name = from.text(Member.MOST_NAME);
-            long boot = from.whole();
-            long incarnation = from.whole();
-            String address = from.text(Member.MOST_ADDRESS);
-            long state = from.whole();
+        return from.readList(most, () -> {
+            String name = from.readText(Member.MAX_NAME_LENGTH);
+            long boot = from.readLong();
+            long incarnation = from.readLong();
+            String address = from.readText(Member.MAX_ADDRESS_LENGTH);
+            long state = from.readLong();
             if (name.isEmpty() || incarnation < 0 || state < 0 || state >= STATES.length) {
                 throw new IOException("a claim without a name, or in no state");
             }
@@ -199,10 +203,10 @@
                     incarnation,
                     address,
                     STATES[(int) state],
-                    from.text(Member.MOST_NAME),
-                    from.whole(),
-                    from.text(Member.MOST_VERSION),
-                    from.texts(Member.MOST_ABILITIES, Member.MOST_NAME));
+                    from.readText(Member.MAX_NAME_LENGTH),
+                    from.readLong(),
+                    from.readText(Member.MAX_VERSION_LENGTH),
+                    from.readTexts(Member.MAX_ABILITIES, Member.MAX_NAME_LENGTH));
         });
     }
 }
--- a/src/main/java/petrelstand/fleet/FleetMetrics.java
+++ b/src/main/java/petrelstand/fleet/FleetMetrics.java
@@ -12,7 +12,7 @@
 import java.io.UncheckedIOException;
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
-import petrelstand.members.Standing;
+import petrelstand.members.FleetVisibility;
 
 /** The fleet's figures in the Prometheus text form, by its Java client's model and writer; no member is a label. */
 public final class FleetMetrics {
@@ -21,20 +21,20 @@
     private FleetMetrics() {}
 
     /** The page, made on the loop. */
-    public static String text(Fleet fleet) {
+    public static String prometheusText(FleetService fleet) {
         GaugeSnapshot.Builder members = GaugeSnapshot.builder()
                 .name("petrelstand_fleet_members")
                 .help("Members that this gateway knows, by state");
-        fleet.figures()
+        fleet.memberCountsByState()
                 .forEach((state, count) -> members.dataPoint(GaugeDataPointSnapshot.builder()
                         .labels(Labels.of("state", state))
                         .value(count)
                         .build()));
-        Standing standing = fleet.module().standing();
+        FleetVisibility standing = fleet.membership().visibility();
         GaugeSnapshot.Builder reach = GaugeSnapshot.builder()
                 .name("petrelstand_fleet_reach")
                 .help("1 for the part of the agreed size that this gateway sees");
-        for (Standing.Reach one : Standing.Reach.values()) {
+        for (FleetVisibility.Reach one : FleetVisibility.Reach.values()) {
             reach.dataPoint(GaugeDataPointSnapshot.builder()
                     .labels(Labels.of("reach", one.name().toLowerCase(Locale.ROOT)))
                     .value(one == standing.reach() ? 1 : 0)
@@ -54,7 +54,7 @@
                 .name("petrelstand_fleet_sent_bytes")
                 .help("Bytes of datagrams sent to other members")
                 .dataPoint(CounterDataPointSnapshot.builder()
-                        .value(fleet.bytesOut())
+                        .value(fleet.bytesSent())
                         .build())
                 .build();
         ByteArrayOutputStream text = new ByteArrayOutputStream();
--- a/src/main/java/petrelstand/fleet/Fleet.java
+++ b/src/main/java/petrelstand/fleet/FleetService.java
@@ -16,13 +16,13 @@
 import petrelstand.config.FleetConfig;
 import petrelstand.core.Counters;
 import petrelstand.core.Timers;
-import petrelstand.members.Change;
+import petrelstand.members.FleetVisibility;
 import petrelstand.members.Member;
 import petrelstand.members.MemberState;
 import petrelstand.members.Membership;
+import petrelstand.members.MembershipTiming;
 import petrelstand.members.Message.Envelope;
-import petrelstand.members.Standing;
-import petrelstand.members.Timing;
+import petrelstand.members.ViewChange;
 import petrelstand.store.DiskFolder;
 import petrelstand.store.Incarnations;
 
@@ -31,26 +31,26 @@
  * datagrams, the kept incarnation, the history and the pages round it. All methods but {@link #open} are for the loop's
  * thread.
  */
-public final class Fleet implements Membership.Actions {
+public final class FleetService implements Membership.Callbacks {
     /** A folder that has not answered by then is done without. */
     static final long OPEN_MS = 1_000;
 
     private static final long WALL_US = 1000;
 
     /** Makes the module; the usual one, but for tests that plant a defect in theirs. */
-    public interface Maker {
-        Membership make(
+    public interface MembershipFactory {
+        Membership create(
                 long nowUs,
                 String fleet,
                 Member self,
                 List<String> seeds,
                 int size,
-                Timing timing,
+                MembershipTiming timing,
                 long seed,
-                Membership.Actions actions);
+                Membership.Callbacks actions);
     }
 
-    private static Maker maker = Membership::new;
+    private static MembershipFactory maker = Membership::new;
     private static LongSupplier wallMs = System::currentTimeMillis;
 
     private final FleetConfig config;
@@ -63,15 +63,15 @@
     private final Consumer<String> log;
     private Link link;
     private History history;
-    private Membership module;
+    private Membership membership;
     private long incarnation;
     private DiskFolder folder;
     private Runnable atLeft;
-    private volatile long version;
-    private long bytesOut;
+    private volatile long viewVersion;
+    private long bytesSent;
 
     /** A member as the operator's file says; its name is the gateway's where the file gives none. */
-    public Fleet(
+    public FleetService(
             FleetConfig config,
             String gateway,
             long seed,
@@ -91,7 +91,7 @@
     }
 
     /** For the laboratory and tests, before a start: another module, and a wall clock that is off. */
-    public static void in(Maker module, LongSupplier wall) {
+    public static void overrideForTesting(MembershipFactory module, LongSupplier wall) {
         maker = module;
         wallMs = wall;
     }
@@ -101,7 +101,7 @@
      */
     public void open() throws IOException {
         try {
-            link = new Link(config.listen(), config.keys(), loop, this::receive, this::count);
+            link = new Link(config.listen(), config.keys(), loop, this::receive, this::incrementCounter);
         } catch (IOException e) {
             throw new IOException("cannot listen on " + config.listen() + " for the fleet: " + e.getMessage(), e);
         }
@@ -131,7 +131,7 @@
 
     /** Becomes a member. */
     public void start() {
-        String build = Fleet.class.getPackage().getImplementationVersion();
+        String build = FleetService.class.getPackage().getImplementationVersion();
         Member self = new Member(
                 name,
                 new SecureRandom().nextLong(),
@@ -142,41 +142,41 @@
                 wallMs.getAsLong(),
                 build == null ? "unpacked" : build,
                 config.abilities());
-        module = maker.make(
+        membership = maker.create(
                 nowUs.getAsLong(), config.fleet(), self, config.seeds(), config.size(), config.timing(), seed, this);
         log.accept("joining " + config.fleet() + " as " + name + ", incarnation " + incarnation + ", on "
                 + config.listen());
-        note("started", about(self));
+        recordEvent("started", about(self));
         link.start();
         tick();
     }
 
     private void tick() {
-        module.tick(nowUs.getAsLong());
-        if (module.ended()) {
+        membership.tick(nowUs.getAsLong());
+        if (membership.hasLeft()) {
             left();
         } else {
-            timers.at(nowUs.getAsLong() + Timing.TICK_US, this::tick);
+            timers.at(nowUs.getAsLong() + MembershipTiming.TICK_INTERVAL_US, this::tick);
         }
     }
 
     private void receive(Envelope envelope) {
-        if (module != null) {
+        if (membership != null) {
             counters.add("fleet.taken");
-            module.receive(nowUs.getAsLong(), envelope);
+            membership.receive(nowUs.getAsLong(), envelope);
         }
     }
 
     /** Tells the others that this gateway ends, in a quarter of a second, while it drains. */
     public void leave() {
-        if (module != null) {
-            module.leave(nowUs.getAsLong());
+        if (membership != null) {
+            membership.leave(nowUs.getAsLong());
         }
     }
 
     /** Goes on once the others are told. */
     public void afterLeaving(Runnable then) {
-        if (module == null || module.ended()) {
+        if (membership == null || membership.hasLeft()) {
             then.run();
         } else {
             atLeft = then;
@@ -184,7 +184,7 @@
     }
 
     private void left() {
-        note("ended", new JsonObject());
+        recordEvent("ended", new JsonObject());
         if (history != null) {
             try {
                 history.flush();
@@ -209,19 +209,19 @@
     }
 
     /** Takes what comes about rules from now on, on the link's thread; after {@link #open}. */
-    public void rules(Consumer<byte[]> to) {
+    public void setRulesHandler(Consumer<byte[]> to) {
         link.rules(to);
     }
 
     /** Sends a content about rules, on the loop; it may get lost. */
-    public void sendRules(String address, byte[] content) {
+    public void sendRulesMessage(String address, byte[] content) {
         counters.add("rules.sent");
-        bytesOut += link.send(address, Seal.RULES, content);
+        bytesSent += link.send(address, Seal.RULES, content);
     }
 
     /** Where a member is reached, also one that is held to be gone: it may be there all the same; null if unknown. */
     public String addressOf(String member) {
-        return module == null ? null : module.addressOf(member);
+        return membership == null ? null : membership.addressOf(member);
     }
 
     /** This gateway's name in the fleet. */
@@ -234,7 +234,7 @@
     }
 
     /** Adds a line to the history, where one is kept. */
-    public void note(String event, JsonObject line) {
+    public void recordEvent(String event, JsonObject line) {
         if (history != null) {
             if (!line.has("process")) {
                 line.addProperty("process", name);
@@ -244,12 +244,12 @@
     }
 
     /** The view's version, from any thread. */
-    public long version() {
-        return version;
+    public long viewVersion() {
+        return viewVersion;
     }
 
-    public Membership module() {
-        return module;
+    public Membership membership() {
+        return membership;
     }
 
     // ---- What the module asks for ----
@@ -257,28 +257,30 @@
     @Override
     public void send(String address, Envelope message) {
         counters.add("fleet.sent");
-        bytesOut += link.send(address, message);
+        bytesSent += link.send(address, message);
     }
 
     @Override
-    public void changed(Change change) {
-        version = change.version();
+    public void onViewChanged(ViewChange change) {
+        viewVersion = change.viewVersion();
         Member member = change.member();
         String to = member.state().name().toLowerCase(java.util.Locale.ROOT);
         log.accept((member.name().equals(name) ? "this gateway" : "member " + member.name()) + ": " + to + ", "
-                + member.address() + ", " + change.cause() + "; view " + change.version());
+                + member.address() + ", " + change.cause() + "; view " + change.viewVersion());
         JsonObject line = about(member);
-        line.addProperty("version", change.version());
-        line.addProperty("from", change.from() == null ? "" : change.from().name());
+        line.addProperty("version", change.viewVersion());
+        line.addProperty(
+                "from",
+                change.previousState() == null ? "" : change.previousState().name());
         line.addProperty("cause", change.cause());
-        note("view", line);
+        recordEvent("view", line);
     }
 
     private JsonObject about(Member member) {
         JsonObject line = new JsonObject();
         line.addProperty("process", name);
         line.addProperty("member", member.name());
-        line.addProperty("boot", Long.toHexString(member.boot()));
+        line.addProperty("boot", Long.toHexString(member.bootId()));
         line.addProperty("incarnation", member.incarnation());
         line.addProperty("state", member.state().name());
         line.addProperty("address", member.address());
@@ -286,75 +288,75 @@
     }
 
     @Override
-    public void standing(Standing standing) {
+    public void onVisibilityChanged(FleetVisibility standing) {
         counters.add("fleet.standing");
-        log.accept("sees " + standing.seen() + " of " + standing.of() + ": "
+        log.accept("sees " + standing.visibleMembers() + " of " + standing.agreedSize() + ": "
                 + standing.reach().name().toLowerCase(java.util.Locale.ROOT));
         JsonObject line = new JsonObject();
         line.addProperty("reach", standing.reach().name());
-        line.addProperty("seen", standing.seen());
-        line.addProperty("of", standing.of());
-        line.addProperty("digest", module == null ? "" : Long.toHexString(module.digest()));
-        note("standing", line);
+        line.addProperty("seen", standing.visibleMembers());
+        line.addProperty("of", standing.agreedSize());
+        line.addProperty("digest", membership == null ? "" : Long.toHexString(membership.digest()));
+        recordEvent("standing", line);
     }
 
     @Override
-    public void stalled(long us) {
+    public void onStall(long us) {
         JsonObject line = new JsonObject();
         line.addProperty("us", us);
-        note("stalled", line);
+        recordEvent("stalled", line);
     }
 
     @Override
-    public void count(String what) {
+    public void incrementCounter(String what) {
         counters.add(what);
     }
 
     @Override
-    public void say(String line) {
+    public void logMessage(String line) {
         log.accept(line);
         JsonObject said = new JsonObject();
         said.addProperty("line", line);
-        note("said", said);
+        recordEvent("said", said);
     }
 
     // ---- Pages ----
 
     /** The view as JSON, for {@code GET /members}. */
-    public String page() {
+    public String membersJson() {
         JsonObject page = new JsonObject();
         long now = nowUs.getAsLong();
         page.addProperty("fleet", config.fleet());
         page.addProperty("name", name);
-        page.addProperty("version", module.version());
-        page.addProperty("digest", String.format("%016x", module.digest()));
+        page.addProperty("version", membership.viewVersion());
+        page.addProperty("digest", String.format("%016x", membership.digest()));
         JsonArray parts = new JsonArray();
-        module.parts().forEach(part -> parts.add(String.format("%016x", part)));
+        membership.digestBuckets().forEach(part -> parts.add(String.format("%016x", part)));
         page.add("parts", parts);
-        Standing standing = module.standing();
+        FleetVisibility standing = membership.visibility();
         JsonObject reach = new JsonObject();
         reach.addProperty("reach", standing.reach().name().toLowerCase(java.util.Locale.ROOT));
-        reach.addProperty("seen", standing.seen());
-        reach.addProperty("of", standing.of());
+        reach.addProperty("seen", standing.visibleMembers());
+        reach.addProperty("of", standing.agreedSize());
         reach.addProperty("for_ms", (now - standing.sinceUs()) / 1000);
         page.add("standing", reach);
         JsonArray members = new JsonArray();
-        for (Membership.Line line : module.view()) {
+        for (Membership.MemberStatus line : membership.members()) {
             Member member = line.member();
             JsonObject one = new JsonObject();
             one.addProperty("name", member.name());
             one.addProperty("state", member.state().name().toLowerCase(java.util.Locale.ROOT));
             one.addProperty("address", member.address());
             one.addProperty("incarnation", member.incarnation());
-            one.addProperty("life", String.format("%016x", member.boot()));
-            one.addProperty("for_ms", (now - line.sinceUs()) / 1000);
+            one.addProperty("life", String.format("%016x", member.bootId()));
+            one.addProperty("for_ms", (now - line.stateSinceUs()) / 1000);
             one.addProperty("cause", line.cause());
             one.addProperty("watched_here", line.watched());
             if (line.watched()) {
-                one.addProperty("silent_ms", (now - line.heardUs()) / 1000);
-                one.addProperty("through_others", line.relayed());
+                one.addProperty("silent_ms", (now - line.lastHeardUs()) / 1000);
+                one.addProperty("through_others", line.heardThroughRelay());
             }
-            one.addProperty("program", member.version());
+            one.addProperty("program", member.programVersion());
             one.addProperty("started_ms", member.startMs());
             JsonArray can = new JsonArray();
             member.abilities().forEach(can::add);
@@ -366,20 +368,21 @@
     }
 
     /** Figures for metrics: members by state, the standing, and bytes sent. */
-    public Map<String, Double> figures() {
+    public Map<String, Double> memberCountsByState() {
         Map<String, Double> figures = new java.util.TreeMap<>();
         for (MemberState state : MemberState.values()) {
             figures.put(state.name().toLowerCase(java.util.Locale.ROOT), 0.0);
         }
-        module.view()
+        membership
+                .members()
                 .forEach(line -> figures.merge(
                         line.member().state().name().toLowerCase(java.util.Locale.ROOT), 1.0, Double::sum));
         return figures;
     }
 
     /** Bytes of datagrams sent. */
-    public long bytesOut() {
-        return bytesOut;
+    public long bytesSent() {
+        return bytesSent;
     }
 
     /** The counters' names that begin with {@code fleet.}, for metrics. */
--- a/src/main/java/petrelstand/lab/capacity/CapacityPlan.java
+++ b/src/main/java/petrelstand/lab/capacity/CapacityPlan.java
@@ -16,7 +16,7 @@
     /** The least fleet: three voters, and gateways that hold and do not vote. */
     public static final int LEAST = 10;
     /** A gateway's view holds no more members. */
-    public static final int MOST = Membership.MOST_MEMBERS;
+    public static final int MOST = Membership.MAX_MEMBERS;
 
     private static final int MOST_SIZES = 12;
 
--- a/src/main/java/petrelstand/lab/capacity/Experiment.java
+++ b/src/main/java/petrelstand/lab/capacity/Experiment.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import petrelstand.lab.faults.FleetSim;
 import petrelstand.lab.rules.RulesSim;
-import petrelstand.members.Timing;
+import petrelstand.members.MembershipTiming;
 
 /** Plays a plan in virtual time and measures what each event costs a member. One seed gives one course. */
 public final class Experiment {
@@ -46,7 +46,7 @@
 
     /** With the modules as the gateway has them. */
     public Experiment(CapacityPlan plan) {
-        this(plan, FleetSim.usual(Timing.USUAL), RulesSim.USUAL);
+        this(plan, FleetSim.usual(MembershipTiming.DEFAULT), RulesSim.USUAL);
     }
 
     /** With modules of the caller's, which may have planted defects. */
--- a/src/main/java/petrelstand/lab/faults/FaultScenario.java
+++ b/src/main/java/petrelstand/lab/faults/FaultScenario.java
@@ -7,7 +7,7 @@
 import java.util.Locale;
 import petrelstand.agreement.Promise;
 import petrelstand.config.IniFile;
-import petrelstand.members.Timing;
+import petrelstand.members.MembershipTiming;
 
 /**
  * A trial of real processes, read from INI.
@@ -32,7 +32,7 @@
         int nodes,
         long lengthUs,
         boolean drawn,
-        Timing timing,
+        MembershipTiming timing,
         boolean fleet,
         int voters,
         long changeUs,
@@ -49,12 +49,12 @@
             throw new IllegalArgumentException(ini.file() + ": it needs the section [trial]");
         }
         int processes = trial.whole("processes", 5, 2, 15);
-        Timing usual = Timing.USUAL;
-        Timing timing = new Timing(
-                trial.durationUs("ping", usual.pingUs(), 100_000, 10_000_000),
+        MembershipTiming usual = MembershipTiming.DEFAULT;
+        MembershipTiming timing = new MembershipTiming(
+                trial.durationUs("ping", usual.pingIntervalUs(), 100_000, 10_000_000),
                 trial.durationUs("suspect_after", usual.suspectAfterUs(), 500_000, 60_000_000),
                 trial.durationUs("fail_after", usual.failAfterUs(), 500_000, 60_000_000),
-                usual.retryUs());
+                usual.retryIntervalUs());
         List<FleetPlan.Fault> faults = new ArrayList<>();
         long last = 0;
         for (IniFile.Section section : ini.sections("fault")) {
--- a/src/main/java/petrelstand/lab/faults/FaultTrial.java
+++ b/src/main/java/petrelstand/lab/faults/FaultTrial.java
@@ -20,7 +20,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.Stream;
 import petrelstand.lab.StandInPlatform;
-import petrelstand.members.Timing;
+import petrelstand.members.MembershipTiming;
 
 /**
  * Real processes of the program, each on loopback addresses of its own, with every link between them through a
@@ -76,7 +76,7 @@
             }
             boolean guest = number >= scenario.processes();
             Path ini = trial.resolve("operator-" + number + ".ini");
-            Timing timing = scenario.timing();
+            MembershipTiming timing = scenario.timing();
             Files.writeString(
                     ini,
                     !scenario.fleet()
@@ -86,7 +86,8 @@
                                     + "\nkey = " + keyFile
                                     + "\nfolder = " + folder.getFileName() + "\nhistory = history-"
                                     + (guest ? "guest-" : "") + name
-                                    + ".jsonl\nmetrics = on\nping = " + timing.pingUs() + " us\nsuspect_after = "
+                                    + ".jsonl\nmetrics = on\nping = " + timing.pingIntervalUs()
+                                    + " us\nsuspect_after = "
                                     + timing.suspectAfterUs()
                                     + " us\nfail_after = " + timing.failAfterUs() + " us\n"
                                     + (guest || scenario.voters() == 0
@@ -243,12 +244,12 @@
     /** Plays the plan to its end; what the checker needs lies in the folder afterwards. */
     public void play() throws IOException, InterruptedException {
         JsonObject head = new JsonObject();
-        Timing timing = scenario.timing();
+        MembershipTiming timing = scenario.timing();
         head.addProperty("event", "trial");
         head.addProperty("mono_us", FaultPoint.nowUs());
         head.addProperty("processes", scenario.processes());
         head.addProperty("seed", plan.seed());
-        head.addProperty("detect_us", timing.pingUs() + timing.suspectAfterUs() + timing.failAfterUs());
+        head.addProperty("detect_us", timing.pingIntervalUs() + timing.suspectAfterUs() + timing.failAfterUs());
         head.addProperty("silence_us", timing.suspectAfterUs() + timing.failAfterUs());
         head.addProperty("one_view_us", FleetSim.ONE_VIEW_US);
         head.addProperty("voters", scenario.voters());
--- a/src/main/java/petrelstand/lab/faults/FleetMeasure.java
+++ b/src/main/java/petrelstand/lab/faults/FleetMeasure.java
@@ -7,7 +7,7 @@
 import petrelstand.lab.faults.FleetPlan.Fault;
 import petrelstand.lab.faults.FleetPlan.Kind;
 import petrelstand.members.MemberState;
-import petrelstand.members.Timing;
+import petrelstand.members.MembershipTiming;
 
 /**
  * What membership costs and how fast it is, in virtual time: a crash until each of the others and all of them know,
@@ -23,7 +23,7 @@
     private FleetMeasure() {}
 
     private static FleetSim joined(int size, long seed) {
-        FleetSim fleet = new FleetSim(size, seed, FleetSim.usual(Timing.USUAL));
+        FleetSim fleet = new FleetSim(size, seed, FleetSim.usual(MembershipTiming.DEFAULT));
         fleet.until(FleetSim::agreed, 30 * S);
         fleet.run(fleet.nowUs() + CALM_S * S);
         return fleet;
--- a/src/main/java/petrelstand/lab/faults/FleetSim.java
+++ b/src/main/java/petrelstand/lab/faults/FleetSim.java
@@ -11,16 +11,16 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.function.Predicate;
-import petrelstand.fleet.SealedForm;
+import petrelstand.fleet.AuthenticatedCodec;
 import petrelstand.lab.Probe;
 import petrelstand.lab.VirtualTime;
-import petrelstand.members.Change;
+import petrelstand.members.FleetVisibility;
 import petrelstand.members.Member;
 import petrelstand.members.MemberState;
 import petrelstand.members.Membership;
+import petrelstand.members.MembershipTiming;
 import petrelstand.members.Message.Envelope;
-import petrelstand.members.Standing;
-import petrelstand.members.Timing;
+import petrelstand.members.ViewChange;
 
 /**
  * A fleet in virtual time: the same {@link Membership} as in the gateway, with links that lose, delay, repeat and
@@ -29,16 +29,16 @@
 public final class FleetSim {
     /** Makes the module of a process; tests plant defects here. */
     public interface Maker {
-        Membership make(long nowUs, Member self, List<String> seeds, long seed, Membership.Actions actions);
+        Membership make(long nowUs, Member self, List<String> seeds, long seed, Membership.Callbacks actions);
     }
 
     /** What a process saw change, for the checks and measurements. */
-    public record Seen(int process, long boot, Change change) {}
+    public record Seen(int process, long boot, ViewChange change) {}
 
     private static final String FLEET = "lab";
     private static final long LEAST_DELAY_US = 150;
 
-    private final class Process implements Membership.Actions {
+    private final class Process implements Membership.Callbacks {
         final int number;
         Membership module;
         long life;
@@ -69,7 +69,7 @@
             probe.entered(number);
             module = maker.make(time.nowUs(), self, seeds, random.nextLong(), this);
             probe.left(number);
-            at(time.nowUs() + random.nextLong(Timing.TICK_US), () -> tick(of));
+            at(time.nowUs() + random.nextLong(MembershipTiming.TICK_INTERVAL_US), () -> tick(of));
         }
 
         private void tick(long of) {
@@ -81,12 +81,12 @@
                 probe.entered(number);
                 module.tick(time.nowUs());
                 probe.left(number);
-                if (module.ended()) {
+                if (module.hasLeft()) {
                     up = false;
                     return;
                 }
             }
-            at(time.nowUs() + Timing.TICK_US, () -> tick(of));
+            at(time.nowUs() + MembershipTiming.TICK_INTERVAL_US, () -> tick(of));
         }
 
         private void drain() {
@@ -104,7 +104,7 @@
         @Override
         public void send(String address, Envelope message) {
             sent++;
-            byte[] datagram = form == null ? NO_DATAGRAM : form.close(message);
+            byte[] datagram = form == null ? NO_DATAGRAM : form.encode(message);
             probe.left(number);
             probe.sent(number, datagram.length);
             carry(number, addresses.getOrDefault(address, -1), message, datagram);
@@ -112,23 +112,23 @@
         }
 
         @Override
-        public void changed(Change change) {
-            seen.add(new Seen(number, module.self().boot(), change));
+        public void onViewChanged(ViewChange change) {
+            seen.add(new Seen(number, module.self().bootId(), change));
         }
 
         @Override
-        public void standing(Standing standing) {}
+        public void onVisibilityChanged(FleetVisibility standing) {}
 
         @Override
-        public void stalled(long us) {}
+        public void onStall(long us) {}
 
         @Override
-        public void count(String what) {
+        public void incrementCounter(String what) {
             counts.merge(what, 1L, Long::sum);
         }
 
         @Override
-        public void say(String line) {}
+        public void logMessage(String line) {}
     }
 
     private static final byte[] NO_DATAGRAM = {};
@@ -136,7 +136,7 @@
     private final Maker maker;
     private final Probe probe;
     /** Makes datagrams of messages, or null where the messages themselves are handed over. */
-    private final SealedForm form;
+    private final AuthenticatedCodec form;
 
     private final SplittableRandom random;
     private final List<String> seeds = new ArrayList<>();
@@ -156,10 +156,10 @@
 
     /** The same, observed; every message goes through its wire form, as between real processes. */
     public FleetSim(int size, long seed, Maker maker, Probe probe) {
-        this(size, seed, maker, probe, new SealedForm());
+        this(size, seed, maker, probe, new AuthenticatedCodec());
     }
 
-    private FleetSim(int size, long seed, Maker maker, Probe probe, SealedForm form) {
+    private FleetSim(int size, long seed, Maker maker, Probe probe, AuthenticatedCodec form) {
         this.maker = maker;
         this.probe = probe;
         this.form = form;
@@ -178,7 +178,7 @@
     }
 
     /** The module as the gateway has it. */
-    public static Maker usual(Timing timing) {
+    public static Maker usual(MembershipTiming timing) {
         return (now, self, seeds, seed, actions) -> new Membership(now, FLEET, self, seeds, 0, timing, seed, actions);
     }
 
@@ -261,7 +261,7 @@
     private Envelope opened(int process, byte[] datagram) {
         probe.entered(process);
         try {
-            return form.open(datagram);
+            return form.decode(datagram);
         } catch (IOException e) {
             throw new UncheckedIOException("a datagram that this fleet made can't be read", e);
         } finally {
@@ -331,7 +331,7 @@
         for (int i = 0; i < running.size(); i++) {
             Membership module = module(running.get(i));
             if (module.self().state() != MemberState.ALIVE
-                    || module.standing().seen() != running.size()
+                    || module.visibility().visibleMembers() != running.size()
                     || i > 0 && module.digest() != digest) {
                 return false;
             }
@@ -389,13 +389,13 @@
         int shown = 0;
         for (int i : running) {
             Membership module = module(i);
-            if (module.standing().seen() != running.size() && shown++ < MOST_SHOWN) {
+            if (module.visibility().visibleMembers() != running.size() && shown++ < MOST_SHOWN) {
                 text.append(text.isEmpty() ? "" : ", ")
                         .append(name(i))
                         .append(' ')
                         .append(module.self().state())
                         .append(" sees ")
-                        .append(module.standing().seen());
+                        .append(module.visibility().visibleMembers());
             }
         }
         return shown + " of " + running.size() + " do not see all: " + text;
@@ -406,14 +406,14 @@
         Map<String, Long> gone = new HashMap<>();
         for (Seen one : seen) {
             Member member = one.change().member();
-            String key = one.process() + " " + one.boot() + " " + member.name() + " " + member.boot();
+            String key = one.process() + " " + one.boot() + " " + member.name() + " " + member.bootId();
             boolean quiet = one.change().cause().equals("nobody is heard here")
                     || one.change().cause().equals("heard again")
                     || one.change().cause().startsWith("stood still");
-            if (one.change().member().boot() == one.boot() || quiet) {
+            if (one.change().member().bootId() == one.boot() || quiet) {
                 continue;
             }
-            if (!member.state().present()) {
+            if (!member.state().isPresent()) {
                 gone.put(key, member.incarnation());
             } else if (gone.containsKey(key) && member.incarnation() <= gone.get(key)) {
                 return FleetSim.name(one.process()) + " took " + member.name() + " back on an old claim: "
--- a/src/main/java/petrelstand/lab/faults/LabGateway.java
+++ b/src/main/java/petrelstand/lab/faults/LabGateway.java
@@ -1,7 +1,7 @@
 package petrelstand.lab.faults;
 
 import petrelstand.Main;
-import petrelstand.fleet.Fleet;
+import petrelstand.fleet.FleetService;
 import petrelstand.members.Membership;
 
 /** The program itself, {@code serve}, on a machine whose wall clock is off by as many minutes as the argument says. */
@@ -10,7 +10,7 @@
 
     public static void main(String[] args) {
         long offMs = Long.parseLong(args[0]) * 60_000;
-        Fleet.in(Membership::new, () -> System.currentTimeMillis() + offMs);
+        FleetService.overrideForTesting(Membership::new, () -> System.currentTimeMillis() + offMs);
         Main.main(new String[] {"serve"});
     }
 }
--- a/src/main/java/petrelstand/members/AntiEntropy.java
+++ b/src/main/java/petrelstand/members/AntiEntropy.java
@@ -2,8 +2,8 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import petrelstand.members.Message.Digests;
-import petrelstand.members.Message.News;
+import petrelstand.members.Message.DigestBuckets;
+import petrelstand.members.Message.Gossip;
 
 /** Finds by digests where two views differ, and exchanges the claims there: what rumours have missed is made up. */
 final class AntiEntropy {
@@ -16,11 +16,11 @@
 
     private final MembershipView view;
     private final Outbox outbox;
-    private final Membership.Actions actions;
+    private final Membership.Callbacks actions;
     private long differsSinceUs = NEVER;
     private long comparedUs;
 
-    AntiEntropy(long nowUs, MembershipView view, Outbox outbox, Membership.Actions actions) {
+    AntiEntropy(long nowUs, MembershipView view, Outbox outbox, Membership.Callbacks actions) {
         this.comparedUs = nowUs - LEAST_COMPARE_US;
         this.view = view;
         this.outbox = outbox;
@@ -29,7 +29,7 @@
 
     /** Asks whoever is at an address to compare views. */
     void request(String address) {
-        outbox.send(address, new Digests(view.digest().parts(), true));
+        outbox.send(address, new DigestBuckets(view.digest().parts(), true));
     }
 
     /** A member told its digest: compares where they have differed for some time. */
@@ -40,7 +40,7 @@
             differsSinceUs = nowUs;
         } else if (nowUs - differsSinceUs >= DIFFER_US) {
             differsSinceUs = nowUs;
-            actions.count("fleet.compared");
+            actions.incrementCounter("fleet.compared");
             request(address);
         }
     }
@@ -54,7 +54,7 @@
     }
 
     /** Sends what is held here where another's digest differs from this one's. */
-    void compare(String address, Digests digests) {
+    void compare(String address, DigestBuckets digests) {
         if (digests.buckets().size() != Message.BUCKETS || view.joining()) {
             return;
         }
@@ -63,11 +63,11 @@
         // What is left out here is found by the next comparison; answers to joiners and pings go before it.
         for (int i = 0; i < differ.size() && outbox.hasSpare(); ) {
             int many = Message.fits(differ, i);
-            outbox.send(address, new News(differ.subList(i, i + many)));
+            outbox.send(address, new Gossip(differ.subList(i, i + many)));
             i += many;
         }
         if (digests.answer()) {
-            outbox.send(address, new Digests(own, false));
+            outbox.send(address, new DigestBuckets(own, false));
         }
     }
 
--- a/src/main/java/petrelstand/members/ClaimIntake.java
+++ b/src/main/java/petrelstand/members/ClaimIntake.java
@@ -12,7 +12,7 @@
     private final NameClaim nameClaim;
     private final BiPredicate<Member, Member> supersedes;
     private final LongConsumer raiseIncarnation;
-    private final Membership.Actions actions;
+    private final Membership.Callbacks actions;
 
     /**
      * An intake.
@@ -28,7 +28,7 @@
             NameClaim nameClaim,
             BiPredicate<Member, Member> supersedes,
             LongConsumer raiseIncarnation,
-            Membership.Actions actions) {
+            Membership.Callbacks actions) {
         this.view = view;
         this.dissemination = dissemination;
         this.suspicion = suspicion;
@@ -44,7 +44,7 @@
         if (claim.name().equals(view.self().name())) {
             learnOfSelf(nowUs, claim);
         } else if (claim.state() == MemberState.JOINING) {
-            actions.count("fleet.refused.claim");
+            actions.incrementCounter("fleet.refused.claim");
         } else {
             learnOfPeer(nowUs, claim, teller);
         }
@@ -55,13 +55,13 @@
         if (peer == null) {
             peer = view.admit(nowUs, claim.name());
             if (peer == null) {
-                actions.count("fleet.refused.room");
+                actions.incrementCounter("fleet.refused.room");
                 return;
             }
             take(nowUs, peer, claim, "told by " + teller);
         } else if (supersedes.test(claim, peer.member)) {
             boolean restarted =
-                    claim.boot() != peer.member.boot() && claim.state().present();
+                    claim.bootId() != peer.member.bootId() && claim.state().isPresent();
             take(nowUs, peer, claim, restarted ? "restarted, told by " + teller : "told by " + teller);
         } else if (suspicion.corroborates(claim, peer)) {
             dissemination.spread(claim);
@@ -81,8 +81,9 @@
         if (view.joining() || claim.incarnation() < self.incarnation()) {
             return;
         }
-        boolean own = claim.boot() == self.boot();
-        boolean elsewhere = !own && claim.state().present() && !claim.address().equals(self.address());
+        boolean own = claim.bootId() == self.bootId();
+        boolean elsewhere =
+                !own && claim.state().isPresent() && !claim.address().equals(self.address());
         if (elsewhere && claim.incarnation() > self.incarnation()) {
             nameClaim.stepBack(nowUs, claim);
         } else if (!own || claim.state().compareTo(self.state()) > 0) {
@@ -93,9 +94,9 @@
     private void refute(Member claim) {
         raiseIncarnation.accept(claim.incarnation());
         view.refuted();
-        actions.count("fleet.refuted");
+        actions.incrementCounter("fleet.refuted");
         if (claim.state() == MemberState.FAILED) {
-            actions.say("held to be failed by others; incarnation is now "
+            actions.logMessage("held to be failed by others; incarnation is now "
                     + view.self().incarnation());
         }
         dissemination.spread(view.self());
--- a/src/main/java/petrelstand/members/Departure.java
+++ b/src/main/java/petrelstand/members/Departure.java
@@ -1,7 +1,7 @@
 package petrelstand.members;
 
 import java.util.List;
-import petrelstand.members.Message.News;
+import petrelstand.members.Message.Gossip;
 
 /** How this process leaves in order: it tells that it will, answers on for a while, and tells that it has. */
 final class Departure {
@@ -58,7 +58,7 @@
                 dissemination.tellRound(nowUs);
             }
             for (Peer peer : view.rings().watchers()) {
-                outbox.send(peer.address(), new News(List.of(view.self())));
+                outbox.send(peer.address(), new Gossip(List.of(view.self())));
             }
         }
         ended = true;
--- a/src/main/java/petrelstand/members/Dissemination.java
+++ b/src/main/java/petrelstand/members/Dissemination.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import petrelstand.members.Message.News;
+import petrelstand.members.Message.Gossip;
 
 /** Spreads news as rumours: each is told a number of times that grows with the logarithm of the fleet's size. */
 final class Dissemination {
@@ -56,7 +56,7 @@
     /** Begins to tell a claim; it takes the place of what was told of the member, but for a second accuser's. */
     void spread(Member member) {
         int times = FAN_OUT * (Integer.SIZE - Integer.numberOfLeadingZeros(view.others() + 2));
-        String key = isSecondAccusation(member) ? member.name() + "\0" + member.by() : member.name();
+        String key = isSecondAccusation(member) ? member.name() + "\0" + member.accuser() : member.name();
         rumours.remove(key);
         rumours.put(key, new Rumour(member, times));
     }
@@ -65,7 +65,7 @@
         Rumour told = rumours.get(member.name());
         return member.state() == MemberState.SUSPECT
                 && told != null
-                && !told.member.by().equals(member.by());
+                && !told.member.accuser().equals(member.accuser());
     }
 
     /** What a message to a peer takes along: first what is claimed of itself, so that it can refute it. */
@@ -114,7 +114,7 @@
         List<Peer> strangers = new ArrayList<>();
         for (Peer peer : view.rings().members()) {
             if (!peer.unreached) {
-                (proven.contains(peer.member.boot()) ? known : strangers).add(peer);
+                (proven.contains(peer.member.bootId()) ? known : strangers).add(peer);
             }
         }
         for (int i = 0; i < FAN_OUT && known.size() + strangers.size() > 0 && !rumours.isEmpty(); i++) {
@@ -122,7 +122,7 @@
             Peer to = among.remove(random.nextInt(among.size()));
             List<Member> news = new ArrayList<>();
             take(news);
-            outbox.send(to.address(), new News(news));
+            outbox.send(to.address(), new Gossip(news));
         }
         nextRoundUs = nowUs + ROUND_US;
     }
--- a/src/main/java/petrelstand/members/FailureDetector.java
+++ b/src/main/java/petrelstand/members/FailureDetector.java
@@ -11,14 +11,15 @@
     /** Others asked to probe a silent member. */
     static final int RELAYS = 2;
 
-    private final Timing timing;
+    private final MembershipTiming timing;
     private final MembershipView view;
     private final Prober prober;
     private final Suspicion suspicion;
     private final SplittableRandom random;
     private final Set<Peer> watched = new LinkedHashSet<>();
 
-    FailureDetector(Timing timing, MembershipView view, Prober prober, Suspicion suspicion, SplittableRandom random) {
+    FailureDetector(
+            MembershipTiming timing, MembershipView view, Prober prober, Suspicion suspicion, SplittableRandom random) {
         this.timing = timing;
         this.view = view;
         this.prober = prober;
@@ -38,7 +39,7 @@
             if (watched.add(peer)) {
                 peer.watched = true;
                 peer.heardUs = nowUs;
-                peer.nextPingUs = nowUs + (long) (random.nextDouble() * timing.pingUs());
+                peer.nextPingUs = nowUs + (long) (random.nextDouble() * timing.pingIntervalUs());
             }
         }
         for (Peer peer : List.copyOf(watched)) {
@@ -53,14 +54,15 @@
 
     /** Two pings without an answer. */
     private long silentUs() {
-        return 2 * timing.pingUs();
+        return 2 * timing.pingIntervalUs();
     }
 
     private void probe(long nowUs, Peer peer, boolean isolated) {
         long silentUs = nowUs - peer.heardUs;
         if (nowUs >= peer.nextPingUs) {
             prober.probe(peer);
-            long everyUs = silentUs > timing.pingUs() * 3 / 2 ? timing.pingUs() / 2 : timing.pingUs();
+            long everyUs =
+                    silentUs > timing.pingIntervalUs() * 3 / 2 ? timing.pingIntervalUs() / 2 : timing.pingIntervalUs();
             peer.nextPingUs = nowUs + (long) (everyUs * (0.9 + 0.2 * random.nextDouble()));
             if (silentUs >= silentUs() || peer.relayed) {
                 probeIndirectly(nowUs, peer);
--- a/src/main/java/petrelstand/members/Standing.java
+++ b/src/main/java/petrelstand/members/FleetVisibility.java
@@ -8,7 +8,7 @@
  * @param of the agreed size
  * @param sinceUs when the reach became what it is
  */
-public record Standing(Reach reach, int seen, int of, long sinceUs) {
+public record FleetVisibility(Reach reach, int visibleMembers, int agreedSize, long sinceUs) {
     /** Parts of the agreed size. */
     public enum Reach {
         WHOLE,
--- a/src/main/java/petrelstand/members/Hash.java
+++ b/src/main/java/petrelstand/members/Hash.java
@@ -22,7 +22,8 @@
 
     /** What a claim adds to the digest of a view: life, incarnation and state, not who said so. */
     static long of(Member member) {
-        return mix(
-                of(member.name()) ^ mix(member.state().ordinal() ^ mix(member.boot())) ^ mix(member.incarnation() + 1));
+        return mix(of(member.name())
+                ^ mix(member.state().ordinal() ^ mix(member.bootId()))
+                ^ mix(member.incarnation() + 1));
     }
 }
--- a/src/main/java/petrelstand/members/JoinProtocol.java
+++ b/src/main/java/petrelstand/members/JoinProtocol.java
@@ -9,9 +9,9 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.LongConsumer;
-import petrelstand.members.Message.Answer;
 import petrelstand.members.Message.Envelope;
-import petrelstand.members.Message.Join;
+import petrelstand.members.Message.JoinRequest;
+import petrelstand.members.Message.JoinResponse;
 import petrelstand.members.PendingQuestions.Purpose;
 import petrelstand.members.PendingQuestions.Question;
 
@@ -23,12 +23,12 @@
     /** Seeds, or members known before, tried at a time. */
     private static final int TRIED_AT_A_TIME = 2;
 
-    private final Timing timing;
+    private final MembershipTiming timing;
     private final SplittableRandom random;
     private final Parts parts;
     private final MembershipView view;
     private final LongConsumer raiseIncarnation;
-    private final Membership.Actions actions;
+    private final Membership.Callbacks actions;
     private final Set<String> seeds;
     /** Where members were before this process was away. */
     private final Set<String> former = new LinkedHashSet<>();
@@ -38,11 +38,11 @@
 
     JoinProtocol(
             Collection<String> seeds,
-            Timing timing,
+            MembershipTiming timing,
             SplittableRandom random,
             Parts parts,
             LongConsumer raiseIncarnation,
-            Membership.Actions actions) {
+            Membership.Callbacks actions) {
         this.seeds = new LinkedHashSet<>(seeds);
         this.seeds.remove(parts.view().self().address());
         this.timing = timing;
@@ -69,7 +69,7 @@
     void tick(long nowUs) {
         if (nowUs >= nextRetryUs) {
             retry(nowUs);
-            nextRetryUs = nowUs + (long) (timing.retryUs() * (0.75 + 0.5 * random.nextDouble()));
+            nextRetryUs = nowUs + (long) (timing.retryIntervalUs() * (0.75 + 0.5 * random.nextDouble()));
         }
     }
 
@@ -81,7 +81,7 @@
         for (String address : targets) {
             if (joining) {
                 long nonce = parts.pending().add(Purpose.JOIN, "", address, 0);
-                parts.outbox().send(address, new Join(nonce, view.self()));
+                parts.outbox().send(address, new JoinRequest(nonce, view.self()));
             } else {
                 parts.prober().challengeAt(address);
             }
@@ -117,18 +117,18 @@
     }
 
     /** Another process asks whether its name is free. */
-    void answer(Envelope from, Join join) {
+    void answer(Envelope from, JoinRequest join) {
         Member other = join.self();
-        if (!other.name().equals(from.name()) || other.boot() != from.boot()) {
-            actions.count("fleet.refused.claim");
+        if (!other.name().equals(from.senderName()) || other.bootId() != from.senderBootId()) {
+            actions.incrementCounter("fleet.refused.claim");
             return;
         }
         Peer peer = view.peer(other.name());
         Member holder = peer == null ? null : peer.member;
         boolean taken = peer != null && isHeldFrom(peer, other);
-        parts.outbox().send(from.address(), new Answer(join.nonce(), !taken, holder, drawnMembers()));
+        parts.outbox().send(from.senderAddress(), new JoinResponse(join.nonce(), !taken, holder, drawnMembers()));
         if (taken) {
-            actions.count("fleet.refused.name");
+            actions.incrementCounter("fleet.refused.name");
         }
     }
 
@@ -136,7 +136,7 @@
     private static boolean isHeldFrom(Peer holder, Member other) {
         return holder.present()
                 && !holder.unreached
-                && holder.member.boot() != other.boot()
+                && holder.member.bootId() != other.bootId()
                 && !holder.address().equals(other.address());
     }
 
@@ -154,13 +154,13 @@
     }
 
     /** A member has answered whether this process's name is free. */
-    void answered(long nowUs, Envelope from, Answer answer) {
+    void answered(long nowUs, Envelope from, JoinResponse answer) {
         Question question = parts.pending().take(answer.nonce());
         if (question == null || question.purpose() != Purpose.JOIN) {
-            actions.count("fleet.refused.late");
+            actions.incrementCounter("fleet.refused.late");
             return;
         }
-        parts.proven().proveOnce(from.boot(), from.sequence());
+        parts.proven().proveOnce(from.senderBootId(), from.sequence());
         parts.health().heardAny(nowUs);
         if (!view.joining() || parts.departure().begun()) {
             return;
@@ -173,22 +173,22 @@
         if (holder != null && isFormerLife(holder)) {
             raiseIncarnation.accept(holder.incarnation());
         }
-        enter(nowUs, "welcomed by " + from.name());
-        answer.some().forEach(member -> parts.claims().learn(nowUs, member, from.name()));
+        enter(nowUs, "welcomed by " + from.senderName());
+        answer.some().forEach(member -> parts.claims().learn(nowUs, member, from.senderName()));
         fetchView(from, answer.some());
     }
 
     /** Whether a claim is on this process's name but not on its life as it is. */
     private boolean isFormerLife(Member holder) {
         Member self = view.self();
-        boolean differs = holder.boot() != self.boot() || holder.state() != MemberState.ALIVE;
+        boolean differs = holder.bootId() != self.bootId() || holder.state() != MemberState.ALIVE;
         return holder.name().equals(self.name()) && differs;
     }
 
     /** What is known is asked of any member: a fleet that starts at once would ask it all of its seeds. */
     private void fetchView(Envelope from, List<Member> members) {
         if (members.isEmpty()) {
-            parts.antiEntropy().request(from.address());
+            parts.antiEntropy().request(from.senderAddress());
         } else {
             Member one = members.get(random.nextInt(members.size()));
             parts.prober().challenge(one.name(), one.address());
--- a/src/main/java/petrelstand/members/LocalHealth.java
+++ b/src/main/java/petrelstand/members/LocalHealth.java
@@ -2,11 +2,11 @@
 
 /** Whether this process itself is the one in trouble: it doubts itself before it accuses others. */
 final class LocalHealth {
-    private final Timing timing;
+    private final MembershipTiming timing;
     private final MembershipView view;
     private long heardAnyUs;
 
-    LocalHealth(long nowUs, Timing timing, MembershipView view) {
+    LocalHealth(long nowUs, MembershipTiming timing, MembershipView view) {
         this.heardAnyUs = nowUs;
         this.timing = timing;
         this.view = view;
--- a/src/main/java/petrelstand/members/Member.java
+++ b/src/main/java/petrelstand/members/Member.java
@@ -17,30 +17,30 @@
  */
 public record Member(
         String name,
-        long boot,
+        long bootId,
         long incarnation,
         String address,
         MemberState state,
-        String by,
+        String accuser,
         long startMs,
-        String version,
+        String programVersion,
         List<String> abilities) {
     /** Bounds on what a claim holds, characters and entries; a claim beyond them is malformed. */
-    public static final int MOST_NAME = 64, MOST_ADDRESS = 64, MOST_VERSION = 40, MOST_ABILITIES = 16;
+    public static final int MAX_NAME_LENGTH = 64, MAX_ADDRESS_LENGTH = 64, MAX_VERSION_LENGTH = 40, MAX_ABILITIES = 16;
 
     public Member {
         abilities = List.copyOf(abilities);
     }
 
     Member as(MemberState changed, String whose) {
-        return new Member(name, boot, incarnation, address, changed, whose, startMs, version, abilities);
+        return new Member(name, bootId, incarnation, address, changed, whose, startMs, programVersion, abilities);
     }
 
     Member raised(long to) {
-        return new Member(name, boot, to, address, state, by, startMs, version, abilities);
+        return new Member(name, bootId, to, address, state, accuser, startMs, programVersion, abilities);
     }
 
     boolean sameLife(Member other) {
-        return boot == other.boot && name.equals(other.name);
+        return bootId == other.bootId && name.equals(other.name);
     }
 }
--- a/src/main/java/petrelstand/members/MemberState.java
+++ b/src/main/java/petrelstand/members/MemberState.java
@@ -5,7 +5,7 @@
     /** Has not yet been answered, or has learned that it was away: no member, whatever others still hold it to be. */
     JOINING,
     ALIVE,
-    /** Silent to someone who watches it; it has {@link Timing#failAfterUs} to say that it lives. */
+    /** Silent to someone who watches it; it has {@link MembershipTiming#failAfterUs} to say that it lives. */
     SUSPECT,
     /** Told that it will end; still answers. */
     LEAVING,
@@ -15,7 +15,7 @@
     LEFT;
 
     /** Whether the member counts as there. */
-    public boolean present() {
+    public boolean isPresent() {
         return this == ALIVE || this == SUSPECT || this == LEAVING;
     }
 }
--- a/src/main/java/petrelstand/members/Membership.java
+++ b/src/main/java/petrelstand/members/Membership.java
@@ -14,12 +14,12 @@
  * ({@link Suspicion}). What changes is told on as news ({@link Dissemination}, {@link AntiEntropy}).
  *
  * <p>Deterministic: messages and time in, messages and changes out. One thread at a time; times are microseconds of a
- * clock that never goes back. {@link #tick} is to be called every {@link Timing#TICK_US}; one that comes late says that
- * this process stood still. The design and the ways weighed are in docs/design/members.md.
+ * clock that never goes back. {@link #tick} is to be called every {@link MembershipTiming#TICK_INTERVAL_US}; one that
+ * comes late says that this process stood still. The design and the ways weighed are in docs/design/members.md.
  */
 public class Membership {
     /** Members known, those that are gone among them. */
-    public static final int MOST_MEMBERS = MembershipView.MOST_MEMBERS;
+    public static final int MAX_MEMBERS = MembershipView.MOST_MEMBERS;
     /** Lives whose messages are taken: those that answered a nonce of this process. */
     static final int MOST_PROVEN = ProvenLives.MOST;
     /** Questions out at a time. */
@@ -28,32 +28,38 @@
     static final double MOST_SENT = Outbox.MOST_SENT;
 
     /** What the process does for this module. */
-    public interface Actions {
+    public interface Callbacks {
         /** Sends a message; it may get lost, and nothing is told of that. */
         void send(String address, Envelope message);
 
         /** The view has changed. */
-        void changed(Change change);
+        void onViewChanged(ViewChange change);
 
         /** What this gateway sees of the fleet has changed. */
-        void standing(Standing standing);
+        void onVisibilityChanged(FleetVisibility standing);
 
         /** This process did not run for so long, without having been asked to. */
-        void stalled(long us);
+        void onStall(long us);
 
         /** Something happened that is counted; names are few and fixed. */
-        void count(String what);
+        void incrementCounter(String what);
 
         /** Something that an operator should read. */
-        void say(String line);
+        void logMessage(String line);
     }
 
     /** One line of the view. */
-    public record Line(Member member, long sinceUs, String cause, long heardUs, boolean relayed, boolean watched) {}
-
-    private final Timing timing;
-    private final Actions actions;
-    private final MembershipView view;
+    public record MemberStatus(
+            Member member,
+            long stateSinceUs,
+            String cause,
+            long lastHeardUs,
+            boolean heardThroughRelay,
+            boolean watched) {}
+
+    private final MembershipTiming timing;
+    private final Callbacks actions;
+    private final MembershipView members;
     private final ProvenLives proven = new ProvenLives();
     private final PendingQuestions pending;
     private final Outbox outbox;
@@ -80,28 +86,28 @@
             Member self,
             Collection<String> seeds,
             int size,
-            Timing timing,
+            MembershipTiming timing,
             long seed,
-            Actions actions) {
+            Callbacks actions) {
         Objects.requireNonNull(fleet);
         this.timing = timing;
         this.actions = actions;
         this.tickedUs = nowUs;
         SplittableRandom random = new SplittableRandom(seed);
         WatchRings rings = new WatchRings(fleet, self.name());
-        view = new MembershipView(nowUs, self.as(MemberState.JOINING, ""), size, rings, proven, actions);
-        outbox = new Outbox(fleet, view, actions);
+        members = new MembershipView(nowUs, self.as(MemberState.JOINING, ""), size, rings, proven, actions);
+        outbox = new Outbox(fleet, members, actions);
         pending = new PendingQuestions(random);
-        dissemination = new Dissemination(view, proven, outbox, random);
-        Prober prober = new Prober(view, pending, dissemination, outbox);
-        suspicion = new Suspicion(timing, view, dissemination, actions);
-        detector = new FailureDetector(timing, view, prober, suspicion, random);
-        health = new LocalHealth(nowUs, timing, view);
-        departure = new Departure(view, dissemination, outbox);
-        AntiEntropy antiEntropy = new AntiEntropy(nowUs, view, outbox, actions);
-        NameClaim nameClaim = new NameClaim(view, dissemination, outbox, actions);
+        dissemination = new Dissemination(members, proven, outbox, random);
+        Prober prober = new Prober(members, pending, dissemination, outbox);
+        suspicion = new Suspicion(timing, members, dissemination, actions);
+        detector = new FailureDetector(timing, members, prober, suspicion, random);
+        health = new LocalHealth(nowUs, timing, members);
+        departure = new Departure(members, dissemination, outbox);
+        AntiEntropy antiEntropy = new AntiEntropy(nowUs, members, outbox, actions);
+        NameClaim nameClaim = new NameClaim(members, dissemination, outbox, actions);
         ClaimIntake claims = new ClaimIntake(
-                view,
+                members,
                 dissemination,
                 suspicion,
                 detector,
@@ -110,7 +116,7 @@
                 above -> raise(above),
                 actions);
         Parts parts = new Parts(
-                view,
+                members,
                 proven,
                 pending,
                 prober,
@@ -130,55 +136,55 @@
 
     /** This process as it is known. */
     public Member self() {
-        return view.self();
+        return members.self();
     }
 
     /** Grows with each change of the view; of this process alone. */
-    public long version() {
-        return view.version();
+    public long viewVersion() {
+        return members.version();
     }
 
     /** The same wherever the same members are held to be there, in the same state and incarnation. */
     public long digest() {
-        return view.digest().value();
+        return members.digest().value();
     }
 
     /** The digest's parts: where two gateways' differ, their views differ in members of that part. */
-    public List<Long> parts() {
-        return view.digest().parts();
+    public List<Long> digestBuckets() {
+        return members.digest().parts();
     }
 
     /** How much of the fleet is seen. */
-    public Standing standing() {
-        return view.standing();
+    public FleetVisibility visibility() {
+        return members.standing();
     }
 
     /** The view, this process first, then by name; members that nobody was heard of while cut off show as failed. */
-    public List<Line> view() {
-        return view.lines(tickedUs);
+    public List<MemberStatus> members() {
+        return members.lines(tickedUs);
     }
 
     /** Addresses of the members that are there and reached, by name; this process is not among them. */
-    public Map<String, String> reached() {
-        return view.reached();
+    public Map<String, String> reachableAddresses() {
+        return members.reached();
     }
 
     /** Where a member is or was reached; null where it is not known. This process's own is its own. */
     public String addressOf(String name) {
-        if (name.equals(view.self().name())) {
-            return view.self().address();
+        if (name.equals(members.self().name())) {
+            return members.self().address();
         }
-        Peer peer = view.peer(name);
+        Peer peer = members.peer(name);
         return peer == null ? null : peer.address();
     }
 
-    /** Tells that this process will end; {@link #ended} says when all is told. */
+    /** Tells that this process will end; {@link #hasLeft} says when all is told. */
     public void leave(long nowUs) {
         departure.begin(nowUs);
     }
 
     /** Whether this process has left, as it was asked to. */
-    public boolean ended() {
+    public boolean hasLeft() {
         return departure.ended();
     }
 
@@ -191,7 +197,7 @@
 
     // ---- Time ----
 
-    /** To be called every {@link Timing#TICK_US}. */
+    /** To be called every {@link MembershipTiming#TICK_INTERVAL_US}. */
     public void tick(long nowUs) {
         long elapsedUs = nowUs - tickedUs;
         outbox.refill(elapsedUs);
@@ -199,13 +205,13 @@
         if (departure.ended()) {
             return;
         }
-        noteStall(nowUs, elapsedUs - Timing.TICK_US);
+        noteStall(nowUs, elapsedUs - MembershipTiming.TICK_INTERVAL_US);
         if (departure.due(nowUs)) {
             departure.end(nowUs);
             return;
         }
         join.tick(nowUs);
-        if (!view.joining()) {
+        if (!members.joining()) {
             detectFailures(nowUs);
         }
         dissemination.tick(nowUs);
@@ -216,10 +222,10 @@
         detector.tick(nowUs, isolated);
         suspicion.decide(nowUs, isolated);
         if (isolated && health.isolatedForGood(nowUs)) {
-            view.peers().stream()
+            members.peers().stream()
                     .filter(peer -> peer.present() && !peer.unreached)
-                    .forEach(peer -> view.markUnreached(nowUs, peer));
-            view.updateStanding(nowUs);
+                    .forEach(peer -> members.markUnreached(nowUs, peer));
+            members.updateStanding(nowUs);
         }
     }
 
@@ -227,8 +233,8 @@
         if (wasAway(stoodUs)) {
             rejoin(nowUs, stoodUs);
         } else if (stoodUs >= timing.stallUs()) {
-            actions.count("fleet.stalls");
-            actions.stalled(stoodUs);
+            actions.incrementCounter("fleet.stalls");
+            actions.onStall(stoodUs);
             excuse(nowUs, stoodUs);
         }
     }
@@ -240,7 +246,7 @@
 
     /** This process stood still: nobody was silent meanwhile. Harm: who fell silent then is found so later. */
     private void excuse(long nowUs, long stoodUs) {
-        for (Peer peer : view.peers()) {
+        for (Peer peer : members.peers()) {
             peer.heardUs = Math.min(nowUs, peer.heardUs + stoodUs);
             if (peer.member.state() == MemberState.SUSPECT) {
                 peer.sinceUs = Math.min(nowUs, peer.sinceUs + stoodUs);
@@ -252,26 +258,26 @@
     /** Others may have given this process up, and all that it knows is old: nobody is there until it has joined. */
     private void rejoin(long nowUs, long stoodUs) {
         long stoodMs = stoodUs / 1000;
-        actions.count("fleet.away");
-        actions.stalled(stoodUs);
-        actions.say("away: this process stood still for " + stoodMs + " ms; joining anew");
-        join.rememberFormer(view.forgetPresent());
+        actions.incrementCounter("fleet.away");
+        actions.onStall(stoodUs);
+        actions.logMessage("away: this process stood still for " + stoodMs + " ms; joining anew");
+        join.rememberFormer(members.forgetPresent());
         detector.clear();
         dissemination.clear();
         pending.clear();
         if (!departure.begun()) {
-            view.becomes(nowUs, MemberState.JOINING, "stood still for " + stoodMs + " ms");
+            members.becomes(nowUs, MemberState.JOINING, "stood still for " + stoodMs + " ms");
             join.restart(nowUs);
         }
         health.heardAny(nowUs);
-        view.updateStanding(nowUs);
+        members.updateStanding(nowUs);
     }
 
     // ---- Rules that the tests replace to plant a defect ----
 
     /** Raises this process's incarnation above one that was claimed. */
     void raise(long above) {
-        view.raiseIncarnation(above);
+        members.raiseIncarnation(above);
     }
 
     /** Whether a claim replaces another on the same name: a later incarnation, or of one life the later state. */
@@ -279,11 +285,11 @@
         if (claim.incarnation() != known.incarnation()) {
             return claim.incarnation() > known.incarnation();
         }
-        return claim.sameLife(known) ? claim.state().compareTo(known.state()) > 0 : claim.boot() > known.boot();
+        return claim.sameLife(known) ? claim.state().compareTo(known.state()) > 0 : claim.bootId() > known.bootId();
     }
 
     /** Lives, questions, members and rumours kept, for the test that each is bounded. */
     List<Integer> kept() {
-        return List.of(proven.size(), pending.size(), view.peers().size(), dissemination.size());
+        return List.of(proven.size(), pending.size(), members.peers().size(), dissemination.size());
     }
 }
--- a/src/main/java/petrelstand/members/Timing.java
+++ b/src/main/java/petrelstand/members/MembershipTiming.java
@@ -10,20 +10,23 @@
  * @param failAfterUs how long a suspect has to answer
  * @param retryUs between attempts to reach seeds and failed members, each spread by the seed
  */
-public record Timing(long pingUs, long suspectAfterUs, long failAfterUs, long retryUs) {
-    public static final Timing USUAL = new Timing(250_000, 1_000_000, 1_000_000, 1_000_000);
+public record MembershipTiming(long pingIntervalUs, long suspectAfterUs, long failAfterUs, long retryIntervalUs) {
+    public static final MembershipTiming DEFAULT = new MembershipTiming(250_000, 1_000_000, 1_000_000, 1_000_000);
     /** How often {@link Membership#tick} wants to be called. */
-    public static final long TICK_US = 50_000;
+    public static final long TICK_INTERVAL_US = 50_000;
 
-    public Timing {
-        if (pingUs < TICK_US || suspectAfterUs < 3 * pingUs || failAfterUs < 2 * pingUs || retryUs < pingUs) {
+    public MembershipTiming {
+        if (pingIntervalUs < TICK_INTERVAL_US
+                || suspectAfterUs < 3 * pingIntervalUs
+                || failAfterUs < 2 * pingIntervalUs
+                || retryIntervalUs < pingIntervalUs) {
             throw new IllegalArgumentException("times that leave no room for two lost messages");
         }
     }
 
     /** A tick later than this means that this process stood still: it doubts itself before it accuses. */
     long stallUs() {
-        return 4 * TICK_US;
+        return 4 * TICK_INTERVAL_US;
     }
 
     /** After standing still for so long others may hold this process to be failed: it joins anew. */
@@ -33,6 +36,6 @@
 
     /** Nobody heard for so long: this process takes itself for the one that is cut off. */
     long isolatedUs() {
-        return suspectAfterUs - pingUs;
+        return suspectAfterUs - pingIntervalUs;
     }
 }
--- a/src/main/java/petrelstand/members/MembershipView.java
+++ b/src/main/java/petrelstand/members/MembershipView.java
@@ -21,7 +21,7 @@
 
     private final WatchRings rings;
     private final ProvenLives proven;
-    private final Membership.Actions actions;
+    private final Membership.Callbacks actions;
     private final StandingTracker standing;
     private final ViewDigest digest = new ViewDigest();
     private final Map<String, Peer> peers = new HashMap<>();
@@ -36,7 +36,7 @@
     private int unreached;
 
     MembershipView(
-            long nowUs, Member self, int size, WatchRings rings, ProvenLives proven, Membership.Actions actions) {
+            long nowUs, Member self, int size, WatchRings rings, ProvenLives proven, Membership.Callbacks actions) {
         this.self = self;
         this.selfSinceUs = nowUs;
         this.rings = rings;
@@ -61,7 +61,7 @@
         return digest;
     }
 
-    Standing standing() {
+    FleetVisibility standing() {
         return standing.standing();
     }
 
@@ -101,17 +101,17 @@
     }
 
     /** The view, this process first, then by name. */
-    List<Membership.Line> lines(long nowUs) {
-        List<Membership.Line> lines = new ArrayList<>();
-        lines.add(new Membership.Line(self, selfSinceUs, selfCause, nowUs, false, false));
+    List<Membership.MemberStatus> lines(long nowUs) {
+        List<Membership.MemberStatus> lines = new ArrayList<>();
+        lines.add(new Membership.MemberStatus(self, selfSinceUs, selfCause, nowUs, false, false));
         new TreeMap<>(peers).values().forEach(peer -> lines.add(line(peer)));
         return lines;
     }
 
-    private static Membership.Line line(Peer peer) {
+    private static Membership.MemberStatus line(Peer peer) {
         Member shown = peer.unreached ? peer.member.as(MemberState.FAILED, "") : peer.member;
         String cause = peer.unreached ? "nobody is heard here" : peer.cause;
-        return new Membership.Line(shown, peer.sinceUs, cause, peer.heardUs, peer.relayed, peer.watched);
+        return new Membership.MemberStatus(shown, peer.sinceUs, cause, peer.heardUs, peer.relayed, peer.watched);
     }
 
     /** Addresses of the others that are there and reached, by name. */
@@ -132,7 +132,7 @@
         selfSinceUs = nowUs;
         selfCause = cause;
         version++;
-        actions.changed(new Change(nowUs, version, self, from, cause));
+        actions.onViewChanged(new ViewChange(nowUs, version, self, from, cause));
         updateStanding(nowUs);
     }
 
@@ -199,23 +199,23 @@
     /** Takes a claim on a peer. */
     void apply(long nowUs, Peer peer, Member claim, String cause) {
         Member before = peer.member;
-        boolean wasPresent = before != null && before.state().present();
-        boolean restarted = before != null && before.boot() != claim.boot();
+        boolean wasPresent = before != null && before.state().isPresent();
+        boolean restarted = before != null && before.bootId() != claim.bootId();
         if (before != null) {
             digest.toggle(before);
         }
-        if (wasPresent && !claim.state().present()) {
+        if (wasPresent && !claim.state().isPresent()) {
             rings.remove(peer);
             others--;
         }
-        if (!wasPresent && claim.state().present()) {
+        if (!wasPresent && claim.state().isPresent()) {
             peer.heardUs = Math.max(peer.heardUs, nowUs);
             others++;
             peer.member = claim;
             rings.add(peer);
         }
         if (restarted) {
-            proven.forget(before.boot());
+            proven.forget(before.bootId());
             peer.heardUs = nowUs;
         }
         peer.member = claim;
@@ -230,7 +230,7 @@
         peer.accusers.clear();
         suspects.remove(peer);
         if (peer.member.state() == MemberState.SUSPECT) {
-            peer.accusers.add(peer.member.by());
+            peer.accusers.add(peer.member.accuser());
             suspects.add(peer);
         }
     }
@@ -245,15 +245,15 @@
     private void report(long nowUs, Peer peer, Member before, String cause) {
         Member now = peer.member;
         MemberState from = before == null ? null : before.state();
-        boolean restarted = before != null && before.boot() != now.boot();
+        boolean restarted = before != null && before.bootId() != now.bootId();
         if (from == now.state() && !restarted) {
             return;
         }
         peer.sinceUs = nowUs;
         peer.cause = cause;
         version++;
-        actions.changed(new Change(nowUs, version, now, from, cause));
-        if (now.state() == MemberState.LEFT && from != null && from.present()) {
+        actions.onViewChanged(new ViewChange(nowUs, version, now, from, cause));
+        if (now.state() == MemberState.LEFT && from != null && from.isPresent()) {
             standing.left();
         }
     }
@@ -265,7 +265,7 @@
         unreached++;
         version++;
         Member shown = peer.member.as(MemberState.FAILED, "");
-        actions.changed(new Change(nowUs, version, shown, claimed, "nobody is heard here"));
+        actions.onViewChanged(new ViewChange(nowUs, version, shown, claimed, "nobody is heard here"));
     }
 
     /** Marks a member as reached again. */
@@ -274,7 +274,7 @@
         unreached--;
         peer.heardUs = nowUs;
         version++;
-        actions.changed(new Change(nowUs, version, peer.member, MemberState.FAILED, "heard again"));
+        actions.onViewChanged(new ViewChange(nowUs, version, peer.member, MemberState.FAILED, "heard again"));
     }
 
     /** Holds all to have been heard just now and to be watched by nobody here. */
@@ -289,7 +289,7 @@
 
     /** Tells the standing if it is another than before. */
     void updateStanding(long nowUs) {
-        boolean member = self.state().present();
+        boolean member = self.state().isPresent();
         standing.seen(nowUs, member ? 1 + others - unreached : 0);
     }
 }
--- a/src/main/java/petrelstand/members/Message.java
+++ b/src/main/java/petrelstand/members/Message.java
@@ -23,22 +23,22 @@
     record Ack(long nonce, long digest, String of, long ofBoot, List<Member> news) implements Message {}
 
     /** Asks the receiver to ping another in the sender's place. */
-    record Ask(long nonce, String name, String address) implements Message {}
+    record PingRequest(long nonce, String name, String address) implements Message {}
 
     /** Asks whether the name is free. */
-    record Join(long nonce, Member self) implements Message {}
+    record JoinRequest(long nonce, Member self) implements Message {}
 
     /**
-     * The answer to {@link Join}; the holder of the name, as the sender knows it, or null, and some members that are
-     * there, so that newcomers spread what they ask over the fleet and not over its seeds alone.
+     * The answer to {@link JoinRequest}; the holder of the name, as the sender knows it, or null, and some members that
+     * are there, so that newcomers spread what they ask over the fleet and not over its seeds alone.
      */
-    record Answer(long nonce, boolean welcome, Member holder, List<Member> some) implements Message {}
+    record JoinResponse(long nonce, boolean welcome, Member holder, List<Member> some) implements Message {}
 
     /** The parts of the sender's digest; the receiver sends what it holds where they differ. */
-    record Digests(List<Long> buckets, boolean answer) implements Message {}
+    record DigestBuckets(List<Long> buckets, boolean answer) implements Message {}
 
     /** Claims alone. */
-    record News(List<Member> news) implements Message {}
+    record Gossip(List<Member> news) implements Message {}
 
     /** How many of the claims from a place on fit into one message; one always does. */
     static int fits(List<Member> claims, int from) {
@@ -59,8 +59,8 @@
         int bytes = CLAIM_BYTES
                 + claim.name().length()
                 + claim.address().length()
-                + claim.by().length()
-                + claim.version().length();
+                + claim.accuser().length()
+                + claim.programVersion().length();
         for (String ability : claim.abilities()) {
             bytes += 2 + ability.length();
         }
@@ -73,5 +73,11 @@
      * @param sequence grows with each message of a life; a smaller or known one is a repeat
      */
     record Envelope(
-            String fleet, String name, long boot, long incarnation, String address, long sequence, Message message) {}
+            String fleet,
+            String senderName,
+            long senderBootId,
+            long senderIncarnation,
+            String senderAddress,
+            long sequence,
+            Message message) {}
 }
--- a/src/main/java/petrelstand/members/NameClaim.java
+++ b/src/main/java/petrelstand/members/NameClaim.java
@@ -1,10 +1,10 @@
 package petrelstand.members;
 
 import java.util.List;
-import petrelstand.members.Message.Answer;
 import petrelstand.members.Message.Envelope;
-import petrelstand.members.Message.Join;
-import petrelstand.members.Message.News;
+import petrelstand.members.Message.Gossip;
+import petrelstand.members.Message.JoinRequest;
+import petrelstand.members.Message.JoinResponse;
 
 /** This process's claim on its name: one process at a time has it, and the other takes no part meanwhile. */
 final class NameClaim {
@@ -14,11 +14,11 @@
     private final MembershipView view;
     private final Dissemination dissemination;
     private final Outbox outbox;
-    private final Membership.Actions actions;
+    private final Membership.Callbacks actions;
     private boolean heldByAnother;
     private int retries;
 
-    NameClaim(MembershipView view, Dissemination dissemination, Outbox outbox, Membership.Actions actions) {
+    NameClaim(MembershipView view, Dissemination dissemination, Outbox outbox, Membership.Callbacks actions) {
         this.view = view;
         this.dissemination = dissemination;
         this.outbox = outbox;
@@ -44,8 +44,8 @@
     void stepBack(long nowUs, Member holder) {
         if (!heldByAnother) {
             heldByAnother = true;
-            actions.count("fleet.stepped_back");
-            actions.say("name: " + view.self().name() + " is held by another process at " + holder.address()
+            actions.incrementCounter("fleet.stepped_back");
+            actions.logMessage("name: " + view.self().name() + " is held by another process at " + holder.address()
                     + "; this one takes no part until that one is gone");
         }
         retries = 0;
@@ -61,12 +61,12 @@
             return;
         }
         Member self = view.self();
-        if (from.message() instanceof Join join) {
-            boolean moved = from.address().equals(self.address());
-            outbox.send(from.address(), new Answer(join.nonce(), moved, self, List.of()));
+        if (from.message() instanceof JoinRequest join) {
+            boolean moved = from.senderAddress().equals(self.address());
+            outbox.send(from.senderAddress(), new JoinResponse(join.nonce(), moved, self, List.of()));
         } else {
-            outbox.send(from.address(), new News(List.of(self)));
+            outbox.send(from.senderAddress(), new Gossip(List.of(self)));
         }
-        actions.count("fleet.refused.name");
+        actions.incrementCounter("fleet.refused.name");
     }
 }
--- a/src/main/java/petrelstand/members/Outbox.java
+++ b/src/main/java/petrelstand/members/Outbox.java
@@ -13,11 +13,11 @@
 
     private final String fleet;
     private final MembershipView view;
-    private final Membership.Actions actions;
+    private final Membership.Callbacks actions;
     private double budget = MOST_SENT;
     private long sequence;
 
-    Outbox(String fleet, MembershipView view, Membership.Actions actions) {
+    Outbox(String fleet, MembershipView view, Membership.Callbacks actions) {
         this.fleet = fleet;
         this.view = view;
         this.actions = actions;
@@ -36,13 +36,13 @@
     /** Within the budget; pings go first by being sent first in a tick. */
     void send(String address, Message message) {
         if (budget < 1) {
-            actions.count("fleet.held_back");
+            actions.incrementCounter("fleet.held_back");
             return;
         }
         budget -= 1;
         Member self = view.self();
-        Envelope envelope =
-                new Envelope(fleet, self.name(), self.boot(), self.incarnation(), self.address(), ++sequence, message);
+        Envelope envelope = new Envelope(
+                fleet, self.name(), self.bootId(), self.incarnation(), self.address(), ++sequence, message);
         actions.send(address, envelope);
     }
 }
--- a/src/main/java/petrelstand/members/Peer.java
+++ b/src/main/java/petrelstand/members/Peer.java
@@ -27,7 +27,7 @@
     boolean unreached;
 
     boolean present() {
-        return member.state().present();
+        return member.state().isPresent();
     }
 
     String name() {
--- a/src/main/java/petrelstand/members/Prober.java
+++ b/src/main/java/petrelstand/members/Prober.java
@@ -1,7 +1,7 @@
 package petrelstand.members;
 
-import petrelstand.members.Message.Ask;
 import petrelstand.members.Message.Ping;
+import petrelstand.members.Message.PingRequest;
 import petrelstand.members.PendingQuestions.Purpose;
 
 /** Sends pings, each noted with what it is for. */
@@ -28,11 +28,11 @@
     /** Asks a relay to probe a member. */
     void probeThrough(Peer relay, Peer peer) {
         long nonce = pending.add(Purpose.INDIRECT_PROBE, peer.name(), peer.address(), 0);
-        outbox.send(relay.address(), new Ask(nonce, peer.name(), peer.address()));
+        outbox.send(relay.address(), new PingRequest(nonce, peer.name(), peer.address()));
     }
 
     /** Probes a member in the place of another, which wants to know under a nonce of its own. */
-    void probeFor(String asker, Ask ask) {
+    void probeFor(String asker, PingRequest ask) {
         long nonce = pending.add(Purpose.RELAY, ask.name(), asker, ask.nonce());
         ping(ask.address(), nonce, view.peer(ask.name()));
     }
--- a/src/main/java/petrelstand/members/Receiver.java
+++ b/src/main/java/petrelstand/members/Receiver.java
@@ -2,13 +2,13 @@
 
 import java.util.List;
 import petrelstand.members.Message.Ack;
-import petrelstand.members.Message.Answer;
-import petrelstand.members.Message.Ask;
-import petrelstand.members.Message.Digests;
+import petrelstand.members.Message.DigestBuckets;
 import petrelstand.members.Message.Envelope;
-import petrelstand.members.Message.Join;
-import petrelstand.members.Message.News;
+import petrelstand.members.Message.Gossip;
+import petrelstand.members.Message.JoinRequest;
+import petrelstand.members.Message.JoinResponse;
 import petrelstand.members.Message.Ping;
+import petrelstand.members.Message.PingRequest;
 import petrelstand.members.PendingQuestions.Purpose;
 import petrelstand.members.PendingQuestions.Question;
 
@@ -17,10 +17,10 @@
     private final String fleet;
     private final Parts parts;
     private final JoinProtocol join;
-    private final Membership.Actions actions;
+    private final Membership.Callbacks actions;
     private final MembershipView view;
 
-    Receiver(String fleet, Parts parts, JoinProtocol join, Membership.Actions actions) {
+    Receiver(String fleet, Parts parts, JoinProtocol join, Membership.Callbacks actions) {
         this.fleet = fleet;
         this.parts = parts;
         this.join = join;
@@ -30,19 +30,19 @@
 
     void receive(long nowUs, Envelope from) {
         if (!from.fleet().equals(fleet)) {
-            actions.count("fleet.refused.fleet");
+            actions.incrementCounter("fleet.refused.fleet");
             return;
         }
-        if (from.boot() == view.self().boot()) {
-            actions.count("fleet.refused.own");
+        if (from.senderBootId() == view.self().bootId()) {
+            actions.incrementCounter("fleet.refused.own");
             return;
         }
-        ReplayWindow window = parts.proven().window(from.boot());
+        ReplayWindow window = parts.proven().window(from.senderBootId());
         if (window != null && !window.fresh(from.sequence())) {
-            actions.count("fleet.refused.repeat");
+            actions.incrementCounter("fleet.refused.repeat");
             return;
         }
-        if (from.name().equals(view.self().name())) {
+        if (from.senderName().equals(view.self().name())) {
             parts.nameClaim().answerNamesake(from);
             return;
         }
@@ -54,9 +54,9 @@
     }
 
     private void dispatch(long nowUs, Envelope from, boolean proven) {
-        if (from.message() instanceof Join asked) {
+        if (from.message() instanceof JoinRequest asked) {
             join.answer(from, asked);
-        } else if (from.message() instanceof Answer answer) {
+        } else if (from.message() instanceof JoinResponse answer) {
             join.answered(nowUs, from, answer);
         } else if (from.message() instanceof Ping ping) {
             acknowledge(from, ping);
@@ -64,26 +64,27 @@
         } else if (from.message() instanceof Ack ack) {
             acknowledged(nowUs, from, ack, proven);
         } else if (!proven) {
-            parts.prober().challenge(from.name(), from.address());
-        } else if (from.message() instanceof Ask ask) {
-            parts.prober().probeFor(from.address(), ask);
-        } else if (from.message() instanceof Digests digests) {
-            parts.antiEntropy().compare(from.address(), digests);
-        } else if (from.message() instanceof News news) {
+            parts.prober().challenge(from.senderName(), from.senderAddress());
+        } else if (from.message() instanceof PingRequest ask) {
+            parts.prober().probeFor(from.senderAddress(), ask);
+        } else if (from.message() instanceof DigestBuckets digests) {
+            parts.antiEntropy().compare(from.senderAddress(), digests);
+        } else if (from.message() instanceof Gossip news) {
             learn(nowUs, from, news.news());
         }
     }
 
     private void acknowledge(Envelope from, Ping ping) {
-        List<Member> news = parts.dissemination().newsFor(view.peer(from.name()));
-        parts.outbox().send(from.address(), new Ack(ping.nonce(), view.digest().value(), "", 0, news));
+        List<Member> news = parts.dissemination().newsFor(view.peer(from.senderName()));
+        parts.outbox()
+                .send(from.senderAddress(), new Ack(ping.nonce(), view.digest().value(), "", 0, news));
     }
 
     /** A life that has shown that it lives now. */
     private void hear(long nowUs, Envelope from) {
         parts.health().heardAny(nowUs);
-        Peer peer = view.peer(from.name());
-        if (peer != null && peer.member.boot() == from.boot()) {
+        Peer peer = view.peer(from.senderName());
+        if (peer != null && peer.member.bootId() == from.senderBootId()) {
             peer.heardUs = nowUs;
             peer.relayed = false;
         }
@@ -98,23 +99,23 @@
     /** Nothing is taken of a life that has not answered a nonce of this process: what came may be a repeat. */
     private void take(long nowUs, Envelope from, boolean proven, List<Member> news, long digest) {
         if (!proven) {
-            parts.prober().challenge(from.name(), from.address());
+            parts.prober().challenge(from.senderName(), from.senderAddress());
             return;
         }
         learn(nowUs, from, news);
         if (!view.joining()) {
-            parts.antiEntropy().digestHeard(nowUs, from.address(), digest);
+            parts.antiEntropy().digestHeard(nowUs, from.senderAddress(), digest);
         }
     }
 
     private void learn(long nowUs, Envelope from, List<Member> news) {
-        news.forEach(member -> parts.claims().learn(nowUs, member, from.name()));
+        news.forEach(member -> parts.claims().learn(nowUs, member, from.senderName()));
     }
 
     private void acknowledged(long nowUs, Envelope from, Ack ack, boolean proven) {
         Question question = parts.pending().take(ack.nonce());
         if (question == null) {
-            actions.count("fleet.refused.late");
+            actions.incrementCounter("fleet.refused.late");
             return;
         }
         if (!ack.of().isEmpty()) {
@@ -122,18 +123,19 @@
             return;
         }
         if (question.purpose() == Purpose.RELAY) {
-            Ack relay = new Ack(question.origin(), view.digest().value(), from.name(), from.boot(), List.of());
+            Ack relay = new Ack(
+                    question.origin(), view.digest().value(), from.senderName(), from.senderBootId(), List.of());
             parts.outbox().send(question.address(), relay);
         }
         if (!proven) {
-            parts.proven().prove(from.boot(), from.sequence());
+            parts.proven().prove(from.senderBootId(), from.sequence());
             hear(nowUs, from);
         }
-        boolean stillProven = parts.proven().window(from.boot()) != null;
+        boolean stillProven = parts.proven().window(from.senderBootId()) != null;
         take(nowUs, from, stillProven, ack.news(), ack.digest());
         boolean newcomer = !proven || question.purpose() == Purpose.CHALLENGE;
         if (newcomer && !view.joining()) {
-            parts.antiEntropy().digestOfNewcomer(nowUs, from.address(), ack.digest());
+            parts.antiEntropy().digestOfNewcomer(nowUs, from.senderAddress(), ack.digest());
         }
     }
 
@@ -141,7 +143,7 @@
     private void relayed(long nowUs, Question question, Ack ack, boolean proven) {
         Peer peer = view.peer(question.name());
         boolean asked = proven && question.purpose() == Purpose.INDIRECT_PROBE;
-        if (asked && peer != null && peer.member.boot() == ack.ofBoot()) {
+        if (asked && peer != null && peer.member.bootId() == ack.ofBoot()) {
             peer.heardUs = nowUs;
             peer.relayed = true;
         }
--- a/src/main/java/petrelstand/members/StandingTracker.java
+++ b/src/main/java/petrelstand/members/StandingTracker.java
@@ -3,18 +3,18 @@
 /** How much of the agreed size of the fleet is seen; the agreed size is set, or the most seen less those that left. */
 final class StandingTracker {
     private final int fixedSize;
-    private final Membership.Actions actions;
+    private final Membership.Callbacks actions;
     private int mostSeen = 1;
-    private Standing standing;
+    private FleetVisibility standing;
 
     /** A tracker; a size of 0 is found out. */
-    StandingTracker(long nowUs, int size, Membership.Actions actions) {
+    StandingTracker(long nowUs, int size, Membership.Callbacks actions) {
         this.fixedSize = size;
         this.actions = actions;
-        this.standing = new Standing(Standing.Reach.NOBODY, 0, agreedSize(), nowUs);
+        this.standing = new FleetVisibility(FleetVisibility.Reach.NOBODY, 0, agreedSize(), nowUs);
     }
 
-    Standing standing() {
+    FleetVisibility standing() {
         return standing;
     }
 
@@ -25,11 +25,11 @@
     /** So many members are seen now, this process among them. */
     void seen(long nowUs, int seen) {
         mostSeen = Math.max(mostSeen, seen);
-        Standing.Reach reach = Standing.reach(seen, agreedSize());
-        if (reach != standing.reach() || seen != standing.seen() || agreedSize() != standing.of()) {
+        FleetVisibility.Reach reach = FleetVisibility.reach(seen, agreedSize());
+        if (reach != standing.reach() || seen != standing.visibleMembers() || agreedSize() != standing.agreedSize()) {
             long sinceUs = reach == standing.reach() ? standing.sinceUs() : nowUs;
-            standing = new Standing(reach, seen, agreedSize(), sinceUs);
-            actions.standing(standing);
+            standing = new FleetVisibility(reach, seen, agreedSize(), sinceUs);
+            actions.onVisibilityChanged(standing);
         }
     }
 
--- a/src/main/java/petrelstand/members/Suspicion.java
+++ b/src/main/java/petrelstand/members/Suspicion.java
@@ -10,12 +10,12 @@
 
     static final int CHECKERS = 3;
 
-    private final Timing timing;
+    private final MembershipTiming timing;
     private final MembershipView view;
     private final Dissemination dissemination;
-    private final Membership.Actions actions;
+    private final Membership.Callbacks actions;
 
-    Suspicion(Timing timing, MembershipView view, Dissemination dissemination, Membership.Actions actions) {
+    Suspicion(MembershipTiming timing, MembershipView view, Dissemination dissemination, Membership.Callbacks actions) {
         this.timing = timing;
         this.view = view;
         this.dissemination = dissemination;
@@ -27,7 +27,7 @@
         String self = view.self().name();
         MemberState state = peer.member.state();
         if (state == MemberState.ALIVE) {
-            actions.count("fleet.suspected");
+            actions.incrementCounter("fleet.suspected");
             long silentMs = (nowUs - peer.heardUs) / 1000;
             Member suspect = peer.member.as(MemberState.SUSPECT, self);
             view.apply(nowUs, peer, suspect, "silent for " + silentMs + " ms here and to those asked");
@@ -47,7 +47,7 @@
                 && claim.state() == MemberState.SUSPECT
                 && peer.member.state() == MemberState.SUSPECT
                 && peer.accusers.size() < ACCUSERS
-                && peer.accusers.add(claim.by());
+                && peer.accusers.add(claim.accuser());
     }
 
     /** For each suspect a few members look for themselves; which ones, all find alike. */
@@ -70,7 +70,7 @@
         }
         for (Peer peer : List.copyOf(view.suspects())) {
             if (nowUs >= dueUs(peer) && !peer.unreached) {
-                actions.count("fleet.failed");
+                actions.incrementCounter("fleet.failed");
                 String accusers = String.join(", ", new TreeSet<>(peer.accusers));
                 Member failed = peer.member.as(MemberState.FAILED, "");
                 view.apply(nowUs, peer, failed, "no answer to the suspicion of " + accusers);
--- a/src/main/java/petrelstand/members/Change.java
+++ b/src/main/java/petrelstand/members/ViewChange.java
@@ -9,4 +9,4 @@
  * @param from what it was held to be; null where it was not known
  * @param cause why, in words
  */
-public record Change(long atUs, long version, Member member, MemberState from, String cause) {}
+public record ViewChange(long atUs, long viewVersion, Member member, MemberState previousState, String cause) {}
--- a/src/main/java/petrelstand/members/ViewDigest.java
+++ b/src/main/java/petrelstand/members/ViewDigest.java
@@ -9,7 +9,7 @@
 
     /** Adds a member that is there, or takes it out; one that is not there changes nothing. */
     void toggle(Member member) {
-        if (member.state().present()) {
+        if (member.state().isPresent()) {
             buckets[bucket(member)] ^= Hash.of(member);
         }
     }
--- a/src/test/java/petrelstand/fleet/FleetWireTest.java
+++ b/src/test/java/petrelstand/fleet/FleetWireTest.java
@@ -59,12 +59,12 @@
         return java.util.stream.Stream.of(
                         new Message.Ping(1, 2, news),
                         new Message.Ack(1, -2, "x", 9, news),
-                        new Message.Ask(5, "x", "127.0.0.1:1"),
-                        new Message.Join(6, member(1)),
-                        new Message.Answer(7, false, member(2), news),
-                        new Message.Answer(8, true, null, List.of()),
-                        new Message.Digests(buckets, true),
-                        new Message.News(news))
+                        new Message.PingRequest(5, "x", "127.0.0.1:1"),
+                        new Message.JoinRequest(6, member(1)),
+                        new Message.JoinResponse(7, false, member(2), news),
+                        new Message.JoinResponse(8, true, null, List.of()),
+                        new Message.DigestBuckets(buckets, true),
+                        new Message.Gossip(news))
                 .map(m -> new Envelope("fleet", "a", 3, 4, "127.0.0.1:9", 5, m))
                 .toList();
     }
@@ -127,7 +127,7 @@
                 bad[random.nextInt(bad.length)] = (byte) random.nextInt(256);
                 try {
                     Envelope read = Codec.decode(bad);
-                    assertTrue(read.name().length() <= Member.MOST_NAME);
+                    assertTrue(read.senderName().length() <= Member.MAX_NAME_LENGTH);
                 } catch (IOException e) {
                     // The other outcome; any other exception fails the test.
                 }
--- a/src/test/java/petrelstand/lab/capacity/CapacityTest.java
+++ b/src/test/java/petrelstand/lab/capacity/CapacityTest.java
@@ -17,9 +17,9 @@
 import petrelstand.lab.rules.RulesSim;
 import petrelstand.members.Member;
 import petrelstand.members.Membership;
+import petrelstand.members.MembershipTiming;
 import petrelstand.members.Message;
 import petrelstand.members.Message.Envelope;
-import petrelstand.members.Timing;
 
 /**
  * The short form of {@code petrelstand lab capacity}: what a member costs at rest, in virtual time. One seed gives one
@@ -79,11 +79,11 @@
     /** A gateway that tells all others each second that it is there, in one more message each. */
     private static final class AllToAll extends Membership {
         private static final long EACH_US = 1_000_000;
-        private final Actions act;
+        private final Callbacks act;
         private long nextUs;
 
-        AllToAll(long nowUs, Member self, Collection<String> seeds, long seed, Actions act) {
-            super(nowUs, "lab", self, seeds, 0, Timing.USUAL, seed, act);
+        AllToAll(long nowUs, Member self, Collection<String> seeds, long seed, Callbacks act) {
+            super(nowUs, "lab", self, seeds, 0, MembershipTiming.DEFAULT, seed, act);
             this.act = act;
         }
 
@@ -92,7 +92,7 @@
             super.tick(nowUs);
             if (nowUs >= nextUs) {
                 nextUs = nowUs + EACH_US;
-                view().forEach(line -> tell(line.member().address()));
+                members().forEach(line -> tell(line.member().address()));
             }
         }
 
@@ -103,11 +103,11 @@
                     new Envelope(
                             "lab",
                             self.name(),
-                            self.boot(),
+                            self.bootId(),
                             self.incarnation(),
                             self.address(),
                             0,
-                            new Message.News(List.of())));
+                            new Message.Gossip(List.of())));
         }
     }
 
--- a/src/test/java/petrelstand/members/DefectiveGateway.java
+++ b/src/test/java/petrelstand/members/DefectiveGateway.java
@@ -1,19 +1,19 @@
 package petrelstand.members;
 
 import petrelstand.Main;
-import petrelstand.fleet.Fleet;
+import petrelstand.fleet.FleetService;
 
 /** The program with a planted defect in its membership, by the name in the argument; the checks must find each. */
 public final class DefectiveGateway {
     private DefectiveGateway() {}
 
     public static void main(String[] args) {
-        Fleet.in(maker(args[0]), System::currentTimeMillis);
+        FleetService.overrideForTesting(maker(args[0]), System::currentTimeMillis);
         Main.main(new String[] {"serve"});
     }
 
     /** The module with a defect. */
-    static Fleet.Maker maker(String defect) {
+    static FleetService.MembershipFactory maker(String defect) {
         return switch (defect) {
             // A suspect's time is never over.
             case "never-fails" ->
@@ -23,7 +23,11 @@
                         self,
                         seeds,
                         size,
-                        new Timing(timing.pingUs(), timing.suspectAfterUs(), 1_000_000_000_000L, timing.retryUs()),
+                        new MembershipTiming(
+                                timing.pingIntervalUs(),
+                                timing.suspectAfterUs(),
+                                1_000_000_000_000L,
+                                timing.retryIntervalUs()),
                         seed,
                         act);
             // A false claim is not answered with a higher incarnation.
--- a/src/test/java/petrelstand/members/MembershipTest.java
+++ b/src/test/java/petrelstand/members/MembershipTest.java
@@ -14,18 +14,18 @@
 import petrelstand.lab.faults.FleetSearch;
 import petrelstand.lab.faults.FleetSim;
 import petrelstand.lab.faults.FleetSim.Seen;
+import petrelstand.members.FleetVisibility.Reach;
 import petrelstand.members.Message.Envelope;
-import petrelstand.members.Message.Join;
-import petrelstand.members.Message.News;
+import petrelstand.members.Message.Gossip;
+import petrelstand.members.Message.JoinRequest;
 import petrelstand.members.Message.Ping;
-import petrelstand.members.Standing.Reach;
 
 /** Membership in virtual time: each promise with the fault that would break it, and defects that must be found. */
 class MembershipTest {
     private static final long S = 1_000_000;
 
     private static FleetSim fleet(int size, long seed) {
-        FleetSim fleet = new FleetSim(size, seed, FleetSim.usual(Timing.USUAL));
+        FleetSim fleet = new FleetSim(size, seed, FleetSim.usual(MembershipTiming.DEFAULT));
         assertTrue(fleet.until(f -> f.running().size() == size && f.agreed(), 10 * S) >= 0, "joined, seed " + seed);
         fleet.run(fleet.nowUs() + 3 * S);
         return fleet;
@@ -93,16 +93,16 @@
             FleetSim fleet = fleet(5 * seed, seed);
             fleet.strike(fault(Kind.CUT, 2 * seed, 12, 0));
             fleet.run(fleet.nowUs() + 11 * S);
-            assertEquals(Reach.MINORITY, fleet.module(0).standing().reach());
-            assertEquals(2 * seed, fleet.module(0).standing().seen());
-            assertEquals(Reach.MAJORITY, fleet.module(5 * seed - 1).standing().reach());
+            assertEquals(Reach.MINORITY, fleet.module(0).visibility().reach());
+            assertEquals(2 * seed, fleet.module(0).visibility().visibleMembers());
+            assertEquals(Reach.MAJORITY, fleet.module(5 * seed - 1).visibility().reach());
             fleet.run(fleet.nowUs() + S);
             long sent = fleet.sent();
             long healed = fleet.until(FleetSim::agreed, 5 * S);
             assertTrue(healed >= 0, "seed " + seed);
             // No storm: within each gateway's bound while it heals.
             assertTrue(fleet.sent() - sent <= (healed / 1e6 + 1) * Membership.MOST_SENT * 5 * seed);
-            assertEquals(Reach.WHOLE, fleet.module(0).standing().reach());
+            assertEquals(Reach.WHOLE, fleet.module(0).visibility().reach());
         }
     }
 
@@ -118,7 +118,7 @@
             fleet.strike(fault(Kind.DEAF, 3, 6, 0));
             fleet.run(fleet.nowUs() + 6 * S - 1);
             assertEquals(List.of(), failures(fleet, from, s -> s.process() != 3), "deaf, seed " + seed);
-            assertEquals(Reach.NOBODY, fleet.module(3).standing().reach());
+            assertEquals(Reach.NOBODY, fleet.module(3).visibility().reach());
             assertTrue(fleet.until(FleetSim::agreed, 5 * S) >= 0);
         }
     }
@@ -130,8 +130,8 @@
         fleet.strike(fault(Kind.TERM, 4, 0, 0));
         assertTrue(fleet.until(f -> f.running().size() == 6 && f.agreed(), S) >= 0);
         assertEquals(List.of(), failures(fleet, from, s -> true));
-        assertEquals(Reach.WHOLE, fleet.module(0).standing().reach());
-        assertEquals(6, fleet.module(0).standing().of());
+        assertEquals(Reach.WHOLE, fleet.module(0).visibility().reach());
+        assertEquals(6, fleet.module(0).visibility().agreedSize());
     }
 
     @Test
@@ -151,7 +151,7 @@
 
     @Test
     void twoHundredThatStartAtOnceHoldOneViewWithinFiveSecondsAndFailNobody() {
-        FleetSim fleet = new FleetSim(200, 1, FleetSim.usual(Timing.USUAL));
+        FleetSim fleet = new FleetSim(200, 1, FleetSim.usual(MembershipTiming.DEFAULT));
         fleet.run(500_000);
         long took = fleet.until(FleetSim::agreed, 5_000_000);
         assertTrue(took >= 0, "no one view");
@@ -162,7 +162,7 @@
 
     @Test
     void everyPlaceOfOneFaultAmongThreeEndsInOneView() {
-        FleetSearch.Result result = FleetSearch.run(1, FleetSim.usual(Timing.USUAL));
+        FleetSearch.Result result = FleetSearch.run(1, FleetSim.usual(MembershipTiming.DEFAULT));
         assertEquals("", result.fault(), result.toString());
         assertTrue(result.played() > 500);
         assertFalse(FleetSearch.run(1, with("never-fails")).fault().isEmpty());
@@ -178,7 +178,7 @@
                 1,
                 13_825_000,
                 List.of(new Fault(Kind.KILL, 0, 4_000_000, 0, 0), new Fault(Kind.PAIR, 1, 4_825_000, 3_000_000, 0)));
-        assertEquals("", FleetSim.play(plan, FleetSim.usual(Timing.USUAL)));
+        assertEquals("", FleetSim.play(plan, FleetSim.usual(MembershipTiming.DEFAULT)));
     }
 
     @Test
@@ -186,7 +186,7 @@
         for (int seed = 1; seed <= 60; seed++) {
             assertEquals(
                     "",
-                    FleetSim.play(FleetPlan.draw(3 + seed % 13, seed), FleetSim.usual(Timing.USUAL)),
+                    FleetSim.play(FleetPlan.draw(3 + seed % 13, seed), FleetSim.usual(MembershipTiming.DEFAULT)),
                     "seed " + seed);
         }
     }
@@ -194,7 +194,7 @@
     // ---- One module, messages by hand ----
 
     /** A module, what it sent and what changed. */
-    private static final class Probe implements Membership.Actions {
+    private static final class Probe implements Membership.Callbacks {
         final List<Envelope> sent = new ArrayList<>();
         final List<String> lines = new ArrayList<>();
         final java.util.Map<String, Integer> counts = new java.util.TreeMap<>();
@@ -202,13 +202,13 @@
         long nowUs = S;
 
         Probe(Member self, List<String> seeds) {
-            module = new Membership(nowUs, "f", self, seeds, 0, Timing.USUAL, 7, this);
+            module = new Membership(nowUs, "f", self, seeds, 0, MembershipTiming.DEFAULT, 7, this);
         }
 
         void run(double seconds) {
             long until = nowUs + (long) (seconds * S);
             while (nowUs < until) {
-                nowUs += Timing.TICK_US;
+                nowUs += MembershipTiming.TICK_INTERVAL_US;
                 module.tick(nowUs);
             }
         }
@@ -219,21 +219,21 @@
         }
 
         @Override
-        public void changed(Change change) {}
+        public void onViewChanged(ViewChange change) {}
 
         @Override
-        public void standing(Standing standing) {}
+        public void onVisibilityChanged(FleetVisibility standing) {}
 
         @Override
-        public void stalled(long us) {}
+        public void onStall(long us) {}
 
         @Override
-        public void count(String what) {
+        public void incrementCounter(String what) {
             counts.merge(what, 1, Integer::sum);
         }
 
         @Override
-        public void say(String line) {
+        public void logMessage(String line) {
             lines.add(line);
         }
     }
@@ -254,7 +254,7 @@
     }
 
     private static Envelope of(String fleet, Member from, long sequence, Message message) {
-        return new Envelope(fleet, from.name(), from.boot(), from.incarnation(), from.address(), sequence, message);
+        return new Envelope(fleet, from.name(), from.bootId(), from.incarnation(), from.address(), sequence, message);
     }
 
     @Test
@@ -262,21 +262,21 @@
         Probe probe = new Probe(member("a", 1, 10, "a:1", MemberState.JOINING), List.of());
         probe.run(1);
         Member b = member("b", 2, 20, "b:1", MemberState.ALIVE);
-        probe.module.receive(probe.nowUs, of("other", b, 1, new News(List.of(b))));
-        probe.module.receive(probe.nowUs, of("f", b, 1, new News(List.of(b))));
-        assertEquals(List.of(), List.copyOf(probe.module.reached().keySet()));
+        probe.module.receive(probe.nowUs, of("other", b, 1, new Gossip(List.of(b))));
+        probe.module.receive(probe.nowUs, of("f", b, 1, new Gossip(List.of(b))));
+        assertEquals(List.of(), List.copyOf(probe.module.reachableAddresses().keySet()));
         prove(probe, b);
-        assertEquals(List.of("b"), List.copyOf(probe.module.reached().keySet()));
-        probe.module.receive(probe.nowUs, of("f", b, 2, new News(List.of(b.as(MemberState.LEFT, "")))));
+        assertEquals(List.of("b"), List.copyOf(probe.module.reachableAddresses().keySet()));
+        probe.module.receive(probe.nowUs, of("f", b, 2, new Gossip(List.of(b.as(MemberState.LEFT, "")))));
         assertEquals(1, probe.counts.get("fleet.refused.repeat"));
-        probe.module.receive(probe.nowUs, of("f", b, 3, new News(List.of(b.as(MemberState.LEFT, "")))));
-        assertEquals(List.of(), List.copyOf(probe.module.reached().keySet()));
+        probe.module.receive(probe.nowUs, of("f", b, 3, new Gossip(List.of(b.as(MemberState.LEFT, "")))));
+        assertEquals(List.of(), List.copyOf(probe.module.reachableAddresses().keySet()));
         // What it said before it left never brings it back, nor does anybody who still holds it to be there.
         Member c = member("c", 3, 30, "c:1", MemberState.ALIVE);
         prove(probe, c);
-        probe.module.receive(probe.nowUs, of("f", c, 9, new News(List.of(b))));
+        probe.module.receive(probe.nowUs, of("f", c, 9, new Gossip(List.of(b))));
         probe.module.receive(probe.nowUs, of("f", b, 2, new Ping(4, 0, List.of(b))));
-        assertEquals(List.of("c"), List.copyOf(probe.module.reached().keySet()));
+        assertEquals(List.of("c"), List.copyOf(probe.module.reachableAddresses().keySet()));
         assertEquals(1, probe.counts.get("fleet.refused.fleet"));
     }
 
@@ -288,19 +288,19 @@
         prove(probe, b);
         Member twin = member("b", 7, 99, "elsewhere:1", MemberState.JOINING);
         probe.sent.clear();
-        probe.module.receive(probe.nowUs, of("f", twin, 1, new Join(3, twin)));
-        Message.Answer answer = (Message.Answer) probe.sent.get(0).message();
+        probe.module.receive(probe.nowUs, of("f", twin, 1, new JoinRequest(3, twin)));
+        Message.JoinResponse answer = (Message.JoinResponse) probe.sent.get(0).message();
         assertFalse(answer.welcome());
-        assertEquals(2, answer.holder().boot());
+        assertEquals(2, answer.holder().bootId());
         // A new life at the same address is a restart.
         Member again = member("b", 8, 5, "b:1", MemberState.JOINING);
-        probe.module.receive(probe.nowUs, of("f", again, 1, new Join(4, again)));
-        answer = (Message.Answer) probe.sent.get(1).message();
+        probe.module.receive(probe.nowUs, of("f", again, 1, new JoinRequest(4, again)));
+        answer = (Message.JoinResponse) probe.sent.get(1).message();
         assertTrue(answer.welcome());
         assertEquals(20, answer.holder().incarnation());
         // This process hears that its own name is held elsewhere, by a later incarnation.
         probe.module.receive(
-                probe.nowUs, of("f", b, 5, new News(List.of(member("a", 77, 500, "x:1", MemberState.ALIVE)))));
+                probe.nowUs, of("f", b, 5, new Gossip(List.of(member("a", 77, 500, "x:1", MemberState.ALIVE)))));
         assertEquals(MemberState.JOINING, probe.module.self().state());
         assertTrue(probe.lines.get(0).startsWith("name: a is held by another process at x:1"), probe.lines.toString());
         probe.run(20);
@@ -315,7 +315,7 @@
         prove(probe, b);
         for (int i = 0; i < 5_000; i++) {
             Member one = member("n" + i, 100 + i, 5, "n:" + i, MemberState.ALIVE);
-            probe.module.receive(probe.nowUs, of("f", b, 10 + i, new News(List.of(one))));
+            probe.module.receive(probe.nowUs, of("f", b, 10 + i, new Gossip(List.of(one))));
             probe.module.receive(probe.nowUs, of("f", one, 1, new Ping(i, 0, List.of())));
             if (i % 100 == 0) {
                 probe.run(0.05);
@@ -325,8 +325,8 @@
         assertTrue(
                 kept.get(0) <= Membership.MOST_PROVEN
                         && kept.get(1) <= Membership.MOST_ASKED
-                        && kept.get(2) == Membership.MOST_MEMBERS
-                        && kept.get(3) <= 2 * Membership.MOST_MEMBERS,
+                        && kept.get(2) == Membership.MAX_MEMBERS
+                        && kept.get(3) <= 2 * Membership.MAX_MEMBERS,
                 kept.toString());
         assertTrue(probe.counts.get("fleet.refused.room") > 3_000);
         // What it sends is bounded too, whatever comes.
@@ -337,7 +337,7 @@
 
     private static FleetSim.Maker with(String defect) {
         return (now, self, seeds, seed, act) ->
-                DefectiveGateway.maker(defect).make(now, "lab", self, seeds, 0, Timing.USUAL, seed, act);
+                DefectiveGateway.maker(defect).create(now, "lab", self, seeds, 0, MembershipTiming.DEFAULT, seed, act);
     }
 
     @Test
