--- a/src/main/java/petrelstand/decision/Scheduling.java
+++ b/src/main/java/petrelstand/decision/Scheduling.java
@@ -291,7 +291,7 @@
         /** A probe came back. */
         default void probed(double nowMs, long node, double elapsedMs, Outcome outcome, List<Double> load) {}
 
-        /** A timer set by {@link Actions#timer} is due. */
+        /** A timer set by {@link Callbacks#timer} is due. */
         void timer(double nowMs, long token);
 
         /** Another host sent a message. */
