--- a/src/main/java/petrelstand/Gateway.java
+++ b/src/main/java/petrelstand/Gateway.java
@@ -17,7 +17,7 @@
 import petrelstand.core.Broker;
 import petrelstand.core.Counters;
 import petrelstand.core.Node;
-import petrelstand.core.ServerSide;
+import petrelstand.core.NodeTransport;
 import petrelstand.core.Timers;
 import petrelstand.decision.Policy;
 import petrelstand.decision.Scheduling.ListKind;
@@ -27,7 +27,7 @@
 import petrelstand.http.NodePool;
 import petrelstand.http.Rehearsal;
 import petrelstand.lifecycle.Lifecycle;
-import petrelstand.lifecycle.MemoryPlan;
+import petrelstand.lifecycle.MemoryLimits;
 import petrelstand.net.Addresses;
 import petrelstand.net.Clock;
 import petrelstand.net.EventLoop;
@@ -107,8 +107,8 @@
         this.loop = new EventLoop(clock, timers);
         int transfers = rsync == null ? 0 : RSYNC_DESCRIPTORS * rsync.mostTransfers();
         Descriptors parts = Descriptors.of(config.sockets(), transfers);
-        MemoryPlan plan = memoryPlan(config, parts);
-        log.accept(plan.line());
+        MemoryLimits plan = memoryPlan(config, parts);
+        log.accept(plan.toLogLine());
         Budgets budgets = Budgets.of(plan);
         NodePool pool = new NodePool(
                 loop::connect,
@@ -117,7 +117,7 @@
                 counters,
                 config.settings(),
                 "backend.local",
-                plan.nodes(),
+                plan.nodeConnections(),
                 budgets);
         this.broker = new Broker(
                 config.settings(),
@@ -128,8 +128,8 @@
                 counters,
                 log);
         this.rsyncFront = rsync == null ? null : new RsyncFront(broker, timers, rsync, log);
-        this.life = new Lifecycle(Lifecycle.Times.of(config.settings()));
-        this.front = new Front(broker, timers, plan.clients(), life, budgets);
+        this.life = new Lifecycle(Lifecycle.Delays.of(config.settings()));
+        this.front = new Front(broker, timers, plan.clientConnections(), life, budgets);
         this.retuning = new RetunePart(broker, front, pool, life, timers, clock::nowUs, log);
         this.operation = config.operator() == null
                 ? null
@@ -193,8 +193,8 @@
                         log);
     }
 
-    private static MemoryPlan memoryPlan(GatewayConfig config, Descriptors parts) {
-        return MemoryPlan.of(
+    private static MemoryLimits memoryPlan(GatewayConfig config, Descriptors parts) {
+        return MemoryLimits.of(
                 Runtime.getRuntime().maxMemory(),
                 config.memoryBytes(),
                 config.sockets(),
@@ -205,7 +205,7 @@
     }
 
     /** The pool, and beside it the nodes that speak the rsync protocol. */
-    private ServerSide withRsyncNodes(NodePool pool) {
+    private NodeTransport withRsyncNodes(NodePool pool) {
         double connectMs = config.settings().may().connectTimeoutMs();
         return new ByWire(pool, new RsyncNodes(loop::connect, clock::nowUs, timers, connectMs));
     }
@@ -279,9 +279,9 @@
         if (operation != null) {
             operation.recall();
         }
-        broker.nodes(ListKind.CACHED, withOperators(config.known().nodes()));
+        broker.updateNodes(ListKind.CACHED, withOperators(config.known().nodes()));
         // All of this was one turn: its time is no silence of discovery's, so the next one begins to ask.
-        timers.at(clock.nowUs() + 1, this::follow);
+        timers.schedule(clock.nowUs() + 1, this::follow);
     }
 
     /**
@@ -291,7 +291,7 @@
      */
     private void follow() {
         watch.start();
-        timers.at(clock.nowUs() + FIRST_LIST_US, this::open);
+        timers.schedule(clock.nowUs() + FIRST_LIST_US, this::open);
     }
 
     /**
@@ -330,7 +330,7 @@
         if (rules != null) {
             rules.start(front);
         }
-        life.serving(clock.nowUs());
+        life.startServing(clock.nowUs());
         if (operation != null) {
             listen(operation::open, config.operator());
         }
@@ -360,9 +360,9 @@
 
     private void heard(NodeList list) {
         if (list.full()) {
-            broker.nodes(ListKind.WHOLE, withOperators(list.nodes()));
+            broker.updateNodes(ListKind.WHOLE, withOperators(list.nodes()));
         } else if (!list.nodes().isEmpty()) {
-            broker.nodes(ListKind.CHANGES, list.nodes());
+            broker.updateNodes(ListKind.CHANGES, list.nodes());
         }
         open();
     }
@@ -387,7 +387,7 @@
                 return;
             }
         }
-        counters.add("reloads");
+        counters.increment("reloads");
         config = changed;
         log.accept("reload: discovery at " + changed.discovery()
                 + (later.isEmpty() ? "" : "; only a restart takes the changed " + String.join(", ", later)));
@@ -396,7 +396,7 @@
 
     /** SIGHUP with a file that is wrong: all stays as it was. On the loop's thread. */
     void reloadFailed(String why) {
-        counters.add("reloads.failed");
+        counters.increment("reloads.failed");
         log.accept("reload: the former file stays in use: " + why);
     }
 
@@ -420,7 +420,7 @@
         rsyncFront.reload(rules == null ? changed : rules.allowed(changed));
         log.accept(
                 "rsync: the operator's file was read anew, " + changed.modules().size() + " modules");
-        broker.nodes(ListKind.CHANGES, nodes);
+        broker.updateNodes(ListKind.CHANGES, nodes);
     }
 
     /** Other rules are acted on: modules that they close take no new transfer, nodes that they remove no new work. */
@@ -428,7 +428,7 @@
         if (rsync != null) {
             RsyncConfig allowed = rules.allowed(rsync);
             rsyncFront.reload(allowed);
-            broker.nodes(ListKind.CHANGES, allowed.nodes());
+            broker.updateNodes(ListKind.CHANGES, allowed.nodes());
         }
     }
 
@@ -446,8 +446,8 @@
         if (!life.terminate(clock.nowUs())) {
             return;
         }
-        broker.answerBy(life.lastAnswerUs());
-        log.accept("draining: " + broker.open() + " requests open, " + front.connections() + " connections");
+        broker.setAnswerDeadline(life.lastAnswerUs());
+        log.accept("draining: " + broker.openRequests() + " requests open, " + front.connections() + " connections");
         if (rules != null) {
             rules.leave();
         }
@@ -461,7 +461,8 @@
         boolean done = life.evacuate(clock.nowUs());
         log.accept(
                 done
-                        ? "evacuate: " + broker.open() + " requests open, " + front.connections() + " connections"
+                        ? "evacuate: " + broker.openRequests() + " requests open, " + front.connections()
+                                + " connections"
                         : "evacuate: not before this process serves");
         live();
         return done;
@@ -482,22 +483,25 @@
         }
         boolean ending = life.phase() == Lifecycle.Phase.ENDING;
         if (rsyncFront != null) {
-            rsyncFront.takes(life.saysYes());
+            rsyncFront.takes(life.isReady());
         }
-        if (ending && !life.listens(now)) {
+        if (ending && !life.acceptsConnections(now)) {
             stopListening();
         }
-        if (life.closesIdle(now)) {
-            front.closeIdle(life.spreads() ? Math.max(LEAST_CLOSED, front.connections() / SPREAD) : Integer.MAX_VALUE);
+        if (life.closesIdleConnections(now)) {
+            front.closeIdle(
+                    life.closesIdleGradually()
+                            ? Math.max(LEAST_CLOSED, front.connections() / SPREAD)
+                            : Integer.MAX_VALUE);
             if (ending && over(now)) {
                 end();
                 return;
             }
         }
-        long next = life.closesIdle(now) ? now + (ending ? END_CHECK_US : DRAIN_CHECK_US) : Long.MAX_VALUE;
-        next = Math.min(next, life.nextUs(now));
+        long next = life.closesIdleConnections(now) ? now + (ending ? END_CHECK_US : DRAIN_CHECK_US) : Long.MAX_VALUE;
+        next = Math.min(next, life.nextChangeUs(now));
         if (next < Long.MAX_VALUE) {
-            turn = timers.at(next, this::live);
+            turn = timers.schedule(next, this::live);
         }
     }
 
@@ -511,7 +515,7 @@
 
     /** Whether all that was taken is answered, and no connection is waited for any more. */
     private boolean over(long now) {
-        boolean answered = broker.open() == 0 && front.answering() == 0 && !loop.isTaking();
+        boolean answered = broker.openRequests() == 0 && front.answering() == 0 && !loop.isTaking();
         answeredUs = !answered ? 0 : answeredUs == 0 ? now : answeredUs;
         return answered
                 && (front.owing() + (rsync == null ? 0 : rsyncFront.sessions()) == 0
@@ -546,7 +550,7 @@
         if (operation != null) {
             operation.close();
         }
-        log.accept("ended: " + counters.line());
+        log.accept("ended: " + counters.toLine());
         atEnd.run();
     }
 }
--- a/src/main/java/petrelstand/HotRestartPart.java
+++ b/src/main/java/petrelstand/HotRestartPart.java
@@ -104,7 +104,7 @@
             marks = new Marks(folder, config.name() + " " + config.listen());
             Look look = marks.look();
             seen = look.other();
-            share.marked(clock.getAsLong(), look.others());
+            share.recordMark(clock.getAsLong(), look.others());
         } catch (IOException | RuntimeException e) {
             log.accept("no second process of this gateway can be known: " + e);
             marks = null;
@@ -168,7 +168,7 @@
                 look(looks % LOOKS_A_SNAPSHOT == 0);
                 if (looks == WARM_MS / LOOK_MS) {
                     rehearse(config);
-                    loop.execute(broker::learned);
+                    loop.execute(broker::learnedState);
                 }
             }
         } catch (InterruptedException e) {
@@ -188,9 +188,9 @@
         long endedUs = clock.getAsLong();
         loop.execute(() -> {
             if (look.marked()) {
-                share.looked(beganUs, look.others());
+                share.recordScan(beganUs, look.others());
             } else {
-                share.marked(endedUs, look.others());
+                share.recordMark(endedUs, look.others());
             }
         });
         Other now = look.other();
@@ -204,7 +204,7 @@
         if (now == Other.STARTING && hand) {
             // The snapshot is the loop's to take; the file is this thread's to write.
             loop.execute(() -> handing.set(new Snapshot(
-                    config.name(), settingsPrint, 1, System.currentTimeMillis(), false, broker.learned())));
+                    config.name(), settingsPrint, 1, System.currentTimeMillis(), false, broker.learnedState())));
             Snapshot due = handing.getAndSet(null);
             if (due != null) {
                 write(SnapshotFormat.encode(due));
--- a/src/main/java/petrelstand/OperationPart.java
+++ b/src/main/java/petrelstand/OperationPart.java
@@ -111,7 +111,7 @@
     /** Looks for a process whose place this one takes; before the loop starts. */
     void look() {
         other = hotRestart.open();
-        broker.share(hotRestart.share()::part);
+        broker.setShareFunction(hotRestart.share()::share);
     }
 
     /** Takes over what that process has learned, before the first list. */
@@ -121,7 +121,7 @@
             bound();
             Learned learned = hotRestart.handed();
             if (learned != null) {
-                broker.recall(learned);
+                broker.restoreLearnedState(learned);
             }
         }
     }
@@ -155,7 +155,7 @@
      */
     private void bound() {
         boolean both = other == Other.LISTENING;
-        life.hotRestart(both);
+        life.setSuccessorListening(both);
         Descriptors parts = both ? Descriptors.half(sockets, transfers) : Descriptors.of(sockets, transfers);
         front.bound(parts.clients());
         pool.bound(parts.nodes());
--- a/src/main/java/petrelstand/RetunePart.java
+++ b/src/main/java/petrelstand/RetunePart.java
@@ -10,8 +10,8 @@
 import petrelstand.http.Front;
 import petrelstand.http.NodePool;
 import petrelstand.lifecycle.Lifecycle;
-import petrelstand.retuning.Retuning;
-import petrelstand.retuning.Retuning.Step;
+import petrelstand.retuning.SettingsTransition;
+import petrelstand.retuning.SettingsTransition.Step;
 
 /** Brings other settings into a running gateway's parts, one step after another. On the loop's thread. */
 final class RetunePart {
@@ -44,7 +44,7 @@
 
     /** Begins with another file's settings; steps of a former reload that are not yet due are never taken. */
     void begin(Settings changed) {
-        List<Step> steps = Retuning.steps(broker.settings(), changed, closed, clock.getAsLong());
+        List<Step> steps = SettingsTransition.steps(broker.settings(), changed, closed, clock.getAsLong());
         if (next != null) {
             next.cancel();
         }
@@ -53,11 +53,11 @@
 
     private void take(List<Step> steps) {
         Step step = steps.get(0);
-        closed = step.closed();
-        broker.retune(step.settings());
+        closed = step.closedClasses();
+        broker.updateSettings(step.settings());
         front.retune(step.settings(), closed);
         pool.retune(step.settings());
-        life.times(Lifecycle.Times.of(step.settings()));
+        life.setDelays(Lifecycle.Delays.of(step.settings()));
         log.accept("settings: classes "
                 + String.join(
                         ", ",
@@ -68,6 +68,6 @@
                 + "; at most " + step.settings().may().maxAttempts()
                 + " attempts" + (steps.size() > 1 ? "; clients may go by the former file yet" : ""));
         List<Step> rest = steps.subList(1, steps.size());
-        next = rest.isEmpty() ? null : timers.at(rest.get(0).atUs(), () -> take(rest));
+        next = rest.isEmpty() ? null : timers.schedule(rest.get(0).atUs(), () -> take(rest));
     }
 }
--- a/src/main/java/petrelstand/RulesPart.java
+++ b/src/main/java/petrelstand/RulesPart.java
@@ -193,7 +193,7 @@
         if (kept != null && kept.text() != null) {
             holder.recall(now, kept.version(), kept.text());
         }
-        broker.gate(gate());
+        broker.setAdmissionControl(gate());
         fleet.rules(this::arrived);
         if (votes && files != null) {
             copyNonce = life;
@@ -233,14 +233,14 @@
                         post(name, heardEpoch(), null, new Talk.Recall(copyNonce));
                     }
                 }
-                timers.at(nowUs.getAsLong() + 2 * TICK_US, this::recall);
+                timers.schedule(nowUs.getAsLong() + 2 * TICK_US, this::recall);
             }
         }
     }
 
-    private petrelstand.core.Gate gate() {
+    private petrelstand.core.AdmissionControl gate() {
         LimitGate limits = new LimitGate(holder, plans, broker.settings().mostUnits());
-        return (demand, now) -> limits.take(now, demand.plan(), demand.units());
+        return (demand, now) -> limits.take(now, demand.planIndex(), demand.units());
     }
 
     private void vote() {
@@ -281,7 +281,7 @@
             if (proposer != null) {
                 proposer.tick(nowUs.getAsLong());
             }
-            timers.at(nowUs.getAsLong() + TICK_US, this::tick);
+            timers.schedule(nowUs.getAsLong() + TICK_US, this::tick);
         }
     }
 
@@ -332,17 +332,17 @@
             try {
                 take(Wire.decode(content));
             } catch (IOException | RuntimeException e) {
-                counters.add("rules.refused.malformed");
+                counters.increment("rules.refused.malformed");
             }
         });
     }
 
     private void take(Parcel parcel) {
         if (!parcel.fleet().equals(fleet.config().fleet())) {
-            counters.add("rules.refused.fleet");
+            counters.increment("rules.refused.fleet");
             return;
         }
-        counters.add("rules.taken");
+        counters.increment("rules.taken");
         Talk talk = parcel.talk();
         laterEpoch(parcel.epoch());
         if (parcel.generation() > 0 && (generations.size() < MOST_VOTERS || generations.containsKey(parcel.from()))) {
@@ -415,7 +415,7 @@
             return;
         }
         if (thread.getQueue().size() > MOST_WAITING) {
-            counters.add("rules.refused.full");
+            counters.increment("rules.refused.full");
             return;
         }
         execute(() -> {
@@ -516,7 +516,7 @@
                     case FALLBACK -> "FALLBACK: acts on the floors of version " + acting.version() + ": " + why;
                     case NONE -> "acts on no version: " + why;
                 });
-        counters.add("rules.acts." + acting.mode().name().toLowerCase(java.util.Locale.ROOT));
+        counters.increment("rules.acts." + acting.mode().name().toLowerCase(java.util.Locale.ROOT));
         JsonObject line = new JsonObject();
         line.addProperty("version", acting.version());
         line.addProperty("mode", acting.mode().name());
@@ -538,7 +538,7 @@
 
     @Override
     public void count(String what) {
-        counters.add(what);
+        counters.increment(what);
     }
 
     @Override
--- a/src/main/java/petrelstand/accounts/Accounts.java
+++ b/src/main/java/petrelstand/accounts/Accounts.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import petrelstand.core.Demand;
 import petrelstand.core.Node;
-import petrelstand.core.Watcher;
+import petrelstand.core.RequestObserver;
 import petrelstand.decision.Scheduling.Outcome;
 
 /**
@@ -15,7 +15,7 @@
  * broker tells, keeps a model of each node ({@link NodeModel}), and books into a {@link Ledger}. No I/O and no clock;
  * everything it keeps is bounded. docs/design/latency-accounts.md tells how a wait is attributed.
  */
-public final class Accounts implements Watcher {
+public final class Accounts implements RequestObserver {
     /** Nodes that are modelled at most; the one longest unused goes first. */
     static final int MOST_NODES = 1024;
     /** First tries that a client's repeat may be linked to, and for how long. */
@@ -136,7 +136,7 @@
         }
 
         Cause owner() {
-            return Cause.work(demand.volume(), demand.requestClass());
+            return Cause.work(demand.volume(), demand.classIndex());
         }
     }
 
@@ -184,10 +184,10 @@
     }
 
     @Override
-    public void taken(long request, Demand demand, long nowUs) {
+    public void requestAccepted(long request, Demand demand, long nowUs) {
         Open of = new Open(demand, nowUs);
-        if (demand.repeat()) {
-            FirstTry first = firstTries.remove(new Key(demand.volume(), demand.key(), demand.requestClass()));
+        if (demand.clientRepeat()) {
+            FirstTry first = firstTries.remove(new Key(demand.volume(), demand.key(), demand.classIndex()));
             if (first != null && nowUs <= first.endedAtUs + REPEAT_WITHIN_US) {
                 of.awayUs = first.spentUs + nowUs - first.endedAtUs;
             } else {
@@ -198,7 +198,7 @@
     }
 
     @Override
-    public void sent(long request, int attempt, Node to, boolean streamed, long nowUs) {
+    public void attemptStarted(long request, int attempt, Node to, boolean streamed, long nowUs) {
         Open of = open.get(request);
         if (of == null || of.at(attempt) != null) {
             return;
@@ -270,7 +270,7 @@
     }
 
     @Override
-    public void written(long request, int attempt, long nowUs) {
+    public void attemptWritten(long request, int attempt, long nowUs) {
         Open of = open.get(request);
         Try at = of == null ? null : of.at(attempt);
         if (at == null || at.writtenUs >= 0 || at.ended) {
@@ -296,14 +296,14 @@
      * The usual time of a request at a node; of its class at all nodes where the node is not known; 0 where neither.
      */
     private long usualUs(AtNode node, Demand demand) {
-        UsualTime here = node.usual.get(demand.requestClass());
-        UsualTime all = usualOfAll.get(demand.requestClass());
+        UsualTime here = node.usual.get(demand.classIndex());
+        UsualTime all = usualOfAll.get(demand.classIndex());
         long unit = here != null && here.known() ? here.unitUs() : all == null ? 0 : all.unitUs();
         return (long) (unit * demand.units());
     }
 
     @Override
-    public void ended(long request, int attempt, Outcome outcome, long nowUs) {
+    public void attemptEnded(long request, int attempt, Outcome outcome, long nowUs) {
         Open of = open.get(request);
         Try at = of == null ? null : of.at(attempt);
         if (at == null || at.ended) {
@@ -356,10 +356,10 @@
         share(of, node, waitUs, modelWaitUs, at.writtenUs, at.writtenUs + modelWaitUs, at.job, Cause.UNSEEN, nodeUs);
         if (outcome == Outcome.SERVED && at.foundNothing && outUs > 0) {
             node.usual
-                    .computeIfAbsent(of.demand.requestClass(), c -> new UsualTime())
+                    .computeIfAbsent(of.demand.classIndex(), c -> new UsualTime())
                     .add(outUs, of.demand.units());
             usualOfAll
-                    .computeIfAbsent(of.demand.requestClass(), c -> new UsualTime())
+                    .computeIfAbsent(of.demand.classIndex(), c -> new UsualTime())
                     .add(outUs, of.demand.units());
         }
     }
@@ -367,7 +367,7 @@
     /** The node's own: it is cold, it is slow, or it did not answer at all. */
     private boolean trouble(Open of, AtNode node, Outcome outcome, long nowUs) {
         boolean cold = node.startedMs > 0 && nowUs / 1000.0 < node.startedMs + warmUpMs;
-        UsualTime usual = node.usual.get(of.demand.requestClass());
+        UsualTime usual = node.usual.get(of.demand.classIndex());
         boolean slow = node.usual.values().stream().anyMatch(UsualTime::slow)
                 && (usual == null || usual.slow() || !usual.known());
         return cold || slow || outcome != Outcome.SERVED && outcome != Outcome.REJECTED && outcome != Outcome.CANCELLED;
@@ -395,7 +395,7 @@
     }
 
     @Override
-    public void answered(long request, boolean served, long nowUs) {
+    public void requestAnswered(long request, boolean served, long nowUs) {
         Open of = open.get(request);
         if (of == null || of.answered) {
             return;
@@ -423,14 +423,14 @@
         long spentUs = of.heldUs + of.connectingUs + of.waitedUs + of.servedUs;
         if (!of.served) {
             firstTries.put(
-                    new Key(demand.volume(), demand.key(), demand.requestClass()),
+                    new Key(demand.volume(), demand.key(), demand.classIndex()),
                     new FirstTry(nowUs, spentUs + of.awayUs));
         }
         sink.over(new Account(
                 request,
                 demand.volume(),
-                demand.plan(),
-                demand.requestClass(),
+                demand.planIndex(),
+                demand.classIndex(),
                 of.served,
                 of.tries.size(),
                 of.heldUs,
@@ -443,7 +443,7 @@
     }
 
     @Override
-    public void forgotten(long request, long nowUs) {
+    public void requestClosed(long request, long nowUs) {
         Open of = open.remove(request);
         if (of != null) {
             of.tries.stream().filter(at -> !at.ended && at.job != null).forEach(at -> at.node.out--);
--- a/src/main/java/petrelstand/config/GatewayConfig.java
+++ b/src/main/java/petrelstand/config/GatewayConfig.java
@@ -17,7 +17,7 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import petrelstand.decision.Scheduling.Settings;
-import petrelstand.retuning.Retuning;
+import petrelstand.retuning.SettingsTransition;
 
 /**
  * What a gateway is told at its start: its addresses, its limits, its last node list and the settings. The operators'
@@ -179,7 +179,7 @@
         if (sockets != other.sockets) {
             names.add("limits");
         }
-        names.addAll(Retuning.fixed(settings, other.settings));
+        names.addAll(SettingsTransition.restartOnlyChanges(settings, other.settings));
         return names;
     }
 
--- a/src/main/java/petrelstand/core/Attempt.java
+++ b/src/main/java/petrelstand/core/Attempt.java
@@ -10,13 +10,13 @@
     private final Node node;
     private final int number;
     private long sentUs;
-    private long untilUs;
+    private long timeoutAtUs;
     private Timers.Timer timeout;
-    private boolean ended;
+    private boolean end;
     private Outcome outcome;
-    private VolumeUse use = VolumeUse.NONE;
+    private VolumeUsage volumeUsage = VolumeUsage.UNKNOWN;
     /** What the server side keeps with the attempt. */
-    private Object handle;
+    private Object attachment;
 
     Attempt(Broker broker, Exchange exchange, Node node, int number, long sentUs, long untilUs) {
         this.broker = broker;
@@ -24,7 +24,7 @@
         this.node = node;
         this.number = number;
         this.sentUs = sentUs;
-        this.untilUs = untilUs;
+        this.timeoutAtUs = untilUs;
     }
 
     public Exchange exchange() {
@@ -44,12 +44,12 @@
     }
 
     /** When this gateway stops waiting for it. */
-    public long untilUs() {
-        return untilUs;
+    public long timeoutAtUs() {
+        return timeoutAtUs;
     }
 
     public boolean isEnded() {
-        return ended;
+        return end;
     }
 
     /** How it ended; null while it is out. */
@@ -58,20 +58,20 @@
     }
 
     /** What the node's answer tells of the volume; before the end is told. */
-    public void reports(VolumeUse told) {
-        use = told;
+    public void setVolumeUsage(VolumeUsage told) {
+        volumeUsage = told;
     }
 
-    VolumeUse use() {
-        return use;
+    VolumeUsage volumeUsage() {
+        return volumeUsage;
     }
 
-    public Object handle() {
-        return handle;
+    public Object attachment() {
+        return attachment;
     }
 
-    public void handle(Object kept) {
-        handle = kept;
+    public void attachment(Object kept) {
+        attachment = kept;
     }
 
     void timeout(Timers.Timer timer) {
@@ -79,9 +79,9 @@
     }
 
     /** The server side tells the end; what comes after the first end is dropped. */
-    public void ended(Outcome how, Object answer, Map<String, Double> load) {
+    public void end(Outcome how, Object answer, Map<String, Double> load) {
         if (markEnded(how)) {
-            broker.ended(this, answer, load);
+            broker.attemptEnded(this, answer, load);
         }
     }
 
@@ -90,19 +90,19 @@
      * and the attempt has ended then: its client has left, its request has its answer, or its node drains, went, moved
      * or restarted while the connection came up.
      */
-    public boolean begins() {
-        if (!ended && exchange.over()) {
-            ended(Outcome.CANCELLED, null, null);
-        } else if (!ended && !broker.isAsListed(node)) {
-            ended(Outcome.NOT_CONNECTED, null, null);
+    public boolean beginWrite() {
+        if (!end && exchange.isFinished()) {
+            end(Outcome.CANCELLED, null, null);
+        } else if (!end && !broker.isStillListed(node)) {
+            end(Outcome.NOT_CONNECTED, null, null);
         }
-        return !ended;
+        return !end;
     }
 
     /** The server side has written the last byte of the request. */
-    public void written() {
-        if (!ended) {
-            broker.written(this);
+    public void requestWritten() {
+        if (!end) {
+            broker.attemptWritten(this);
         }
     }
 
@@ -110,35 +110,35 @@
      * The client's body goes to the node in pieces: no other attempt can follow, and its time, which begins with its
      * last byte, does not run until {@link #bodyComplete}. May be told more than once.
      */
-    public void streams() {
-        if (!ended && !exchange.begun()) {
-            broker.streams(this);
+    public void beginBodyStream() {
+        if (!end && !exchange.isCommitted()) {
+            broker.bodyStreamStarted(this);
         }
     }
 
     /** The last byte of a body in pieces has come from the client. */
-    void restart(long nowUs, long until, Timers.Timer timer) {
+    void restartTimeout(long nowUs, long until, Timers.Timer timer) {
         sentUs = nowUs;
-        untilUs = until;
+        timeoutAtUs = until;
         timeout = timer;
     }
 
-    void suspend() {
+    void suspendTimeout() {
         timeout.cancel();
     }
 
     /** The answer has begun to reach the client, or the client's bytes the node: no other attempt can follow. */
-    public void began() {
-        if (!ended && !exchange.begun()) {
-            broker.began(this);
+    public void commit() {
+        if (!end && !exchange.isCommitted()) {
+            broker.attemptCommitted(this);
         }
     }
 
     boolean markEnded(Outcome how) {
-        if (ended) {
+        if (end) {
             return false;
         }
-        ended = true;
+        end = true;
         outcome = how;
         if (timeout != null) {
             timeout.cancel();
--- a/src/main/java/petrelstand/core/Broker.java
+++ b/src/main/java/petrelstand/core/Broker.java
@@ -12,7 +12,7 @@
 import java.util.function.LongSupplier;
 import java.util.function.LongToDoubleFunction;
 import java.util.stream.Collectors;
-import petrelstand.core.Figures.End;
+import petrelstand.core.RequestCounts.RequestResult;
 import petrelstand.decision.Policy;
 import petrelstand.decision.Scheduling.Actions;
 import petrelstand.decision.Scheduling.AttemptEnd;
@@ -40,30 +40,30 @@
     private Settings settings;
     private final LongSupplier clock;
     private final Timers timers;
-    private final ServerSide server;
+    private final NodeTransport server;
     private final Counters counters;
-    private final Figures figures = new Figures();
+    private final RequestCounts requestCounts = new RequestCounts();
     private final Consumer<String> log;
     private final Events module;
     private final Map<Long, Exchange> exchanges = new HashMap<>();
-    private final Map<Long, Node> nodes = new HashMap<>();
+    private final Map<Long, Node> updateNodes = new HashMap<>();
     /** Events that came while the module was at work: it is never entered twice. */
     private final ArrayDeque<Runnable> waiting = new ArrayDeque<>();
 
-    private Watcher watcher = Watcher.NOBODY;
+    private RequestObserver watcher = RequestObserver.NO_OP;
     /** Null where nothing rules on requests beyond the module: a start links no code for it. */
-    private Gate gate;
+    private AdmissionControl setAdmissionControl;
 
     private boolean busy;
     private LongToDoubleFunction shares = nowUs -> 1;
-    private double share = 1;
+    private double setShareFunction = 1;
     private long nextId = 1;
     /** No answer is given later, µs. */
     private long lastAnswerUs = Long.MAX_VALUE;
 
     /** Makes the decision module for a host: settings and actions. */
-    public interface ModuleMaker {
-        Events make(double nowMs, Settings settings, Actions actions);
+    public interface ModuleFactory {
+        Events create(double nowMs, Settings settings, Actions actions);
     }
 
     public Broker(
@@ -71,7 +71,7 @@
             long seed,
             LongSupplier clock,
             Timers timers,
-            ServerSide server,
+            NodeTransport server,
             Counters counters,
             Consumer<String> log) {
         this(settings, (now, s, actions) -> new Policy(now, s, seed, actions), clock, timers, server, counters, log);
@@ -79,10 +79,10 @@
 
     Broker(
             Settings settings,
-            ModuleMaker maker,
+            ModuleFactory maker,
             LongSupplier clock,
             Timers timers,
-            ServerSide server,
+            NodeTransport server,
             Counters counters,
             Consumer<String> log) {
         this.settings = settings;
@@ -91,18 +91,18 @@
         this.server = server;
         this.counters = counters;
         this.log = log;
-        this.module = maker.make(ms(clock.getAsLong()), settings, new ModuleActions());
-        settings.classes().forEach(kind -> figures.knows(kind.name()));
+        this.module = maker.create(toMs(clock.getAsLong()), settings, new ModuleActions());
+        settings.classes().forEach(kind -> requestCounts.addClass(kind.name()));
     }
 
     // The one border between the core's microseconds and the module's milliseconds.
 
-    static double ms(long us) {
+    static double toMs(long us) {
         return us / 1000.0;
     }
 
     /** Rounded up, so that a timer never rings before the module's time. */
-    static long us(double ms) {
+    static long toUs(double ms) {
         return (long) Math.ceil(ms * 1000);
     }
 
@@ -114,10 +114,10 @@
      * Other settings from now on. Requests that are open keep the class they came with, and may have no more attempts
      * than they came with either.
      */
-    public void retune(Settings changed) {
+    public void updateSettings(Settings changed) {
         settings = changed;
-        changed.classes().forEach(kind -> figures.knows(kind.name()));
-        event(() -> module.retune(ms(clock.getAsLong()), changed), null);
+        changed.classes().forEach(kind -> requestCounts.addClass(kind.name()));
+        event(() -> module.retune(toMs(clock.getAsLong()), changed), null);
     }
 
     /** The time of this turn of the loop. */
@@ -130,84 +130,86 @@
     }
 
     /** What became of requests since the process began. */
-    public Figures figures() {
-        return figures;
+    public RequestCounts requestCounts() {
+        return requestCounts;
     }
 
     /** Listed nodes that anybody's requests may go to. */
-    public int listedNodes() {
-        return (int) nodes.values().stream().filter(node -> !node.isPrivate()).count();
+    public int listedNodeCount() {
+        return (int)
+                updateNodes.values().stream().filter(node -> !node.isPrivate()).count();
     }
 
     /** Those of them that get nothing new at this moment: they drain, or the module has them for silent. */
-    public int avoidedNodes() {
-        Set<Long> silent = learned().nodes().stream()
+    public int avoidedNodeCount() {
+        Set<Long> silent = learnedState().nodes().stream()
                 .filter(node -> node.silentMs() > 0)
                 .map(LearnedNode::node)
                 .collect(Collectors.toSet());
-        return (int) nodes.values().stream()
+        return (int) updateNodes.values().stream()
                 .filter(node -> !node.isPrivate()
                         && (node.entry().state() != NodeState.READY || silent.contains(node.number())))
                 .count();
     }
 
     /** Tells a watcher of each step from now on; there is one at most. */
-    public void watch(Watcher by) {
+    public void setObserver(RequestObserver by) {
         watcher = by;
     }
 
     /** Asks a gate about each request from now on, before the module; there is one at most. */
-    public void gate(Gate by) {
-        gate = by;
+    public void setAdmissionControl(AdmissionControl by) {
+        setAdmissionControl = by;
     }
 
     /** Takes the right to give the final answer, counts it, and tells the watcher. */
-    private boolean finish(Exchange exchange, End how) {
+    private boolean finish(Exchange exchange, RequestResult how) {
         boolean first = exchange.finish();
         if (first) {
-            figures.ended(exchange.kind().name(), how);
-            watcher.answered(exchange.id(), how == End.SERVED, clock.getAsLong());
+            requestCounts.recordResult(exchange.requestClass().name(), how);
+            watcher.requestAnswered(exchange.id(), how == RequestResult.SERVED, clock.getAsLong());
         }
         return first;
     }
 
     /** A request that was turned away before it came here; its class by name, which may be none. */
-    public void rejected(String requestClass) {
-        figures.ended(requestClass, End.REFUSED);
+    public void recordRejected(String requestClass) {
+        requestCounts.recordResult(requestClass, RequestResult.REFUSED);
     }
 
     /** Whether a node is listed for new requests as it was when it was chosen. */
-    boolean isAsListed(Node chosen) {
-        Node now = nodes.get(chosen.number());
+    boolean isStillListed(Node chosen) {
+        Node now = updateNodes.get(chosen.number());
         return now != null
                 && now.entry().state() == NodeState.READY
                 && now.address().equals(chosen.address())
                 && now.entry().upSinceMs() == chosen.entry().upSinceMs();
     }
 
-    void written(Attempt attempt) {
-        figures.tried();
+    void attemptWritten(Attempt attempt) {
+        requestCounts.recordAttempt();
         long now = clock.getAsLong();
-        watcher.written(attempt.exchange().id(), attempt.number(), now);
-        event(() -> module.written(ms(now), attempt.exchange().id()), attempt.exchange());
+        watcher.attemptWritten(attempt.exchange().id(), attempt.number(), now);
+        event(() -> module.written(toMs(now), attempt.exchange().id()), attempt.exchange());
     }
 
     /** Requests without their final answer. */
-    public int open() {
-        return (int)
-                exchanges.values().stream().filter(exchange -> !exchange.over()).count();
+    public int openRequests() {
+        return (int) exchanges.values().stream()
+                .filter(exchange -> !exchange.isFinished())
+                .count();
     }
 
     /** Those of them that have come whole. */
-    public int inProgress() {
+    public int requestsInProgress() {
         return (int) exchanges.values().stream()
-                .filter(exchange -> !exchange.over() && !exchange.client().incoming())
+                .filter(exchange -> !exchange.isFinished() && !exchange.client().isReceiving())
                 .count();
     }
 
     /** Nodes that are kept. */
-    int knownNodes() {
-        return nodes.size();
+    int knownNodeCount() {
+        return updateNodes.size();
     }
 
     // ---- What comes in ----
@@ -216,35 +218,35 @@
      * Takes a request; the client side gets one final answer, possibly before this returns, but not before it was given
      * the exchange.
      */
-    public Exchange take(Demand demand, Object message, ClientSide client, Consumer<Exchange> taken) {
+    public Exchange submit(Demand demand, Object message, ClientHandler client, Consumer<Exchange> taken) {
         long now = clock.getAsLong();
-        RequestClass kind = settings.classes().get(demand.requestClass());
+        RequestClass kind = settings.classes().get(demand.classIndex());
         Exchange exchange = new Exchange(nextId++, demand, kind, message, client, now);
-        counters.add("taken." + kind.name());
+        counters.increment("taken." + kind.name());
         exchanges.put(exchange.id(), exchange);
-        watcher.taken(exchange.id(), demand, now);
+        watcher.requestAccepted(exchange.id(), demand, now);
         taken.accept(exchange);
-        exchange.guard(timers.at(exchange.deadlineUs() + guardUs(), () -> overdue(exchange)));
-        long waitUs = gate == null ? 0 : gate.refuses(demand, now);
+        exchange.setOverdueTimer(timers.schedule(exchange.deadlineUs() + guardUs(), () -> overdue(exchange)));
+        long waitUs = setAdmissionControl == null ? 0 : setAdmissionControl.retryAfterUs(demand, now);
         if (waitUs > 0) {
-            counters.add("refused.rules");
+            counters.increment("refused.rules");
             refuse(exchange, waitUs);
             forgetIfDone(exchange);
             return exchange;
         }
         Request request = new Request(
                 exchange.id(),
-                demand.requestClass(),
-                demand.plan(),
+                demand.classIndex(),
+                demand.planIndex(),
                 demand.key(),
-                ms(demand.leftUs()),
+                toMs(demand.timeLeftUs()),
                 demand.volume(),
                 demand.units(),
                 demand.shard(),
-                demand.setSize(),
-                demand.repeat(),
+                demand.gatewaySetSize(),
+                demand.clientRepeat(),
                 demand.write());
-        event(() -> module.request(ms(now), request), exchange);
+        event(() -> module.request(toMs(now), request), exchange);
         return exchange;
     }
 
@@ -255,60 +257,60 @@
     }
 
     private void refuse(Exchange exchange, long retryAfterUs) {
-        if (exchange != null && finish(exchange, End.REFUSED)) {
-            counters.add("answered.refused");
+        if (exchange != null && finish(exchange, RequestResult.REFUSED)) {
+            counters.increment("answered.refused");
             exchange.client().refused(retryAfterUs);
         }
     }
 
     /** Guards against a request that the module forgot: its client must hear of the end at its deadline. */
     private void overdue(Exchange exchange) {
-        if (finish(exchange, End.FAILED)) {
-            counters.add("answered.overdue");
+        if (finish(exchange, RequestResult.FAILED)) {
+            counters.increment("answered.overdue");
             log.accept("core: request " + exchange.id() + " had no final answer in time; failed");
-            exchange.client().failed(exchange.last());
+            exchange.client().failed(exchange.lastAttempt());
             tellGone(exchange);
         }
     }
 
     /** No answer is given later than this: what would wait longer is failed then. */
-    public void answerBy(long us) {
+    public void setAnswerDeadline(long us) {
         lastAnswerUs = us;
         exchanges.values().stream()
-                .filter(exchange -> !exchange.over() && exchange.deadlineUs() > us)
-                .forEach(exchange -> timers.at(us, () -> overdue(exchange)));
+                .filter(exchange -> !exchange.isFinished() && exchange.deadlineUs() > us)
+                .forEach(exchange -> timers.schedule(us, () -> overdue(exchange)));
     }
 
     /** The client left: nothing more is owed. */
     public void clientGone(Exchange exchange) {
-        if (finish(exchange, End.GONE)) {
-            counters.add("client_gone");
+        if (finish(exchange, RequestResult.GONE)) {
+            counters.increment("client_gone");
             tellGone(exchange);
         }
     }
 
     private void tellGone(Exchange exchange) {
-        event(() -> module.clientGone(ms(clock.getAsLong()), exchange.id()), exchange);
-        if (exchange.begun()) {
+        event(() -> module.clientGone(toMs(clock.getAsLong()), exchange.id()), exchange);
+        if (exchange.isCommitted()) {
             exchange.attempts().forEach(attempt -> stop(attempt, Outcome.CANCELLED));
         }
         forgetIfDone(exchange);
     }
 
     /** The node list, or changes to it. */
-    public void nodes(ListKind kind, Collection<Node> listed) {
+    public void updateNodes(ListKind kind, Collection<Node> listed) {
         List<NodeEntry> entries = new ArrayList<>();
         for (Node node : listed) {
             // What is gone is not kept: attempts still out hold their node themselves, and nodes come and go all day.
-            Node before = node.gone() ? nodes.remove(node.number()) : nodes.put(node.number(), node);
+            Node before = node.isGone() ? updateNodes.remove(node.number()) : updateNodes.put(node.number(), node);
             boolean moved = before != null
                     && (!before.address().equals(node.address())
                             || before.entry().upSinceMs() != node.entry().upSinceMs());
             if (moved) {
-                server.forget(before);
+                server.discardConnections(before);
             }
-            if (node.gone()) {
-                server.forget(node);
+            if (node.isGone()) {
+                server.discardConnections(node);
             }
             if (before == null || before.entry().state() != node.entry().state() || moved) {
                 log.accept("node " + node.name() + ": "
@@ -320,23 +322,23 @@
         if (kind != ListKind.CHANGES && kind != ListKind.FAILED) {
             dropUnlisted(entries);
         }
-        event(() -> module.nodes(ms(clock.getAsLong()), kind, entries), null);
+        event(() -> module.nodes(toMs(clock.getAsLong()), kind, entries), null);
     }
 
     private void dropUnlisted(List<NodeEntry> entries) {
         Set<Long> listed = entries.stream().map(NodeEntry::node).collect(Collectors.toSet());
-        for (Node node : List.copyOf(nodes.values())) {
+        for (Node node : List.copyOf(updateNodes.values())) {
             if (!listed.contains(node.number())) {
-                nodes.remove(node.number());
-                server.forget(node);
+                updateNodes.remove(node.number());
+                server.discardConnections(node);
                 log.accept("node " + node.name() + ": no longer listed");
             }
         }
     }
 
     /** What the decision module has learned, at this turn's time; never while the module is at work. */
-    public Learned learned() {
-        return module.learned(ms(clock.getAsLong()));
+    public Learned learnedState() {
+        return module.learned(toMs(clock.getAsLong()));
     }
 
     /**
@@ -345,7 +347,7 @@
      *
      * @param by from 0 to 1, at a time in µs
      */
-    public void share(LongToDoubleFunction by) {
+    public void setShareFunction(LongToDoubleFunction by) {
         shares = by;
         event(() -> {}, null);
     }
@@ -353,71 +355,77 @@
     /** Tells the module of another part, ahead of the event that is about to be handled. */
     private void checkShare() {
         double part = shares.applyAsDouble(clock.getAsLong());
-        if (part != share) {
-            share = part;
-            module.share(ms(clock.getAsLong()), part);
+        if (part != setShareFunction) {
+            setShareFunction = part;
+            module.share(toMs(clock.getAsLong()), part);
         }
     }
 
     /** Gives the module what an earlier run learned, weighed and bounded; only before the first node list. */
-    public void recall(Learned learned) {
-        event(() -> module.recall(ms(clock.getAsLong()), learned), null);
+    public void restoreLearnedState(Learned learned) {
+        event(() -> module.recall(toMs(clock.getAsLong()), learned), null);
     }
 
     // ---- Attempts ----
 
-    void began(Attempt attempt) {
+    void attemptCommitted(Attempt attempt) {
         Exchange exchange = attempt.exchange();
-        exchange.begin();
-        event(() -> module.streamStarted(ms(clock.getAsLong()), exchange.id(), attempt.number()), exchange);
+        exchange.commit();
+        event(() -> module.streamStarted(toMs(clock.getAsLong()), exchange.id(), attempt.number()), exchange);
     }
 
-    void streams(Attempt attempt) {
-        attempt.exchange().streams();
-        attempt.suspend();
-        began(attempt);
+    void bodyStreamStarted(Attempt attempt) {
+        attempt.exchange().beginBodyStream();
+        attempt.suspendTimeout();
+        attemptCommitted(attempt);
     }
 
     /** A body in pieces is whole; its last byte came at a time, µs, from which on the client waits for its answer. */
-    public void bodyComplete(Exchange exchange, long cameUs) {
-        Attempt attempt = exchange.out();
-        if (exchange.over() || attempt == null) {
+    public void requestBodyComplete(Exchange exchange, long cameUs) {
+        Attempt attempt = exchange.activeAttempt();
+        if (exchange.isFinished() || attempt == null) {
             return;
         }
         long now = clock.getAsLong();
-        exchange.restart(cameUs);
-        exchange.guard(timers.at(Math.min(lastAnswerUs, exchange.deadlineUs() + guardUs()), () -> overdue(exchange)));
-        attempt.restart(
-                now, exchange.deadlineUs(), timers.at(exchange.deadlineUs(), () -> stop(attempt, Outcome.TIMED_OUT)));
+        exchange.restartDeadline(cameUs);
+        exchange.setOverdueTimer(
+                timers.schedule(Math.min(lastAnswerUs, exchange.deadlineUs() + guardUs()), () -> overdue(exchange)));
+        attempt.restartTimeout(
+                now,
+                exchange.deadlineUs(),
+                timers.schedule(exchange.deadlineUs(), () -> stop(attempt, Outcome.TIMED_OUT)));
     }
 
     /** An answer that passed in pieces after it was taken for served is over; it counts as what it came to be. */
-    public void passed(Exchange exchange, End how) {
-        figures.ended(exchange.kind().name(), how);
-        counters.add(how == End.SERVED ? "passed.whole" : how == End.GONE ? "passed.left" : "passed.cut");
+    public void streamedAnswerEnded(Exchange exchange, RequestResult how) {
+        requestCounts.recordResult(exchange.requestClass().name(), how);
+        counters.increment(
+                how == RequestResult.SERVED
+                        ? "passed.whole"
+                        : how == RequestResult.GONE ? "passed.left" : "passed.cut");
     }
 
-    void ended(Attempt attempt, Object answer, Map<String, Double> load) {
+    void attemptEnded(Attempt attempt, Object answer, Map<String, Double> load) {
         Exchange exchange = attempt.exchange();
         Outcome outcome = attempt.outcome();
-        counters.add("outcome." + outcome.name().toLowerCase(Locale.ROOT));
+        counters.increment("outcome." + outcome.name().toLowerCase(Locale.ROOT));
         if (outcome != Outcome.NOT_SENT) {
-            watcher.ended(exchange.id(), attempt.number(), outcome, clock.getAsLong());
+            watcher.attemptEnded(exchange.id(), attempt.number(), outcome, clock.getAsLong());
         }
         if (outcome == Outcome.SERVED) {
             if (exchange.finish()) {
-                counters.add("answered.served");
-                watcher.answered(exchange.id(), true, clock.getAsLong());
+                counters.increment("answered.served");
+                watcher.requestAnswered(exchange.id(), true, clock.getAsLong());
                 if (exchange.client().served(answer)) {
-                    figures.ended(exchange.kind().name(), End.SERVED);
+                    requestCounts.recordResult(exchange.requestClass().name(), RequestResult.SERVED);
                 }
             } else {
-                counters.add("served_too_late");
+                counters.increment("served_too_late");
             }
-        } else if (exchange.isStreaming() && outcome.neverRan()) {
+        } else if (exchange.isBodyStreamed() && outcome.neverRan()) {
             refuse(exchange, 0);
-        } else if (exchange.begun() && finish(exchange, End.FAILED)) {
-            counters.add("answered.cut");
+        } else if (exchange.isCommitted() && finish(exchange, RequestResult.FAILED)) {
+            counters.increment("answered.cut");
             exchange.client().failed(attempt);
         }
         long now = clock.getAsLong();
@@ -425,13 +433,13 @@
                 exchange.id(),
                 attempt.number(),
                 outcome,
-                ms(now - attempt.sentUs()),
+                toMs(now - attempt.sentUs()),
                 attempt.node() == null ? 0 : attempt.node().number(),
-                1 + attempt.use().percent(),
-                attempt.use().fromOthers(),
-                exchange.over(),
+                1 + attempt.volumeUsage().percent(),
+                attempt.volumeUsage().otherGatewayUnits(),
+                exchange.isFinished(),
                 ordered(load));
-        event(() -> module.attemptEnded(ms(now), end), exchange);
+        event(() -> module.attemptEnded(toMs(now), end), exchange);
     }
 
     private List<Double> ordered(Map<String, Double> load) {
@@ -445,7 +453,7 @@
     private void stop(Attempt attempt, Outcome how) {
         if (attempt.markEnded(how)) {
             server.abandon(attempt);
-            ended(attempt, null, null);
+            attemptEnded(attempt, null, null);
         }
     }
 
@@ -461,12 +469,12 @@
                 checkShare();
                 event.run();
             } catch (RuntimeException e) {
-                counters.add("module_faults");
+                counters.increment("module_faults");
                 StackTraceElement[] trace = e.getStackTrace();
                 log.accept("core: fault in the decision module: " + e + (trace.length == 0 ? "" : " at " + trace[0]));
-                if (about != null && finish(about, End.FAILED)) {
-                    counters.add("answered.failed");
-                    about.client().failed(about.last());
+                if (about != null && finish(about, RequestResult.FAILED)) {
+                    counters.increment("answered.failed");
+                    about.client().failed(about.lastAttempt());
                 }
             }
             if (about != null) {
@@ -486,9 +494,9 @@
     }
 
     private void forgetIfDone(Exchange exchange) {
-        if (exchange.over() && !exchange.outstanding() && exchanges.remove(exchange.id()) != null) {
-            watcher.forgotten(exchange.id(), clock.getAsLong());
-            exchange.client().forgotten(exchange);
+        if (exchange.isFinished() && !exchange.hasActiveAttempt() && exchanges.remove(exchange.id()) != null) {
+            watcher.requestClosed(exchange.id(), clock.getAsLong());
+            exchange.client().exchangeClosed(exchange);
         }
     }
 
@@ -502,44 +510,45 @@
                 return;
             }
             long now = clock.getAsLong();
-            long until = timeoutMs == 0 ? exchange.deadlineUs() : Math.min(exchange.deadlineUs(), now + us(timeoutMs));
-            Node to = nodes.get(node);
+            long until =
+                    timeoutMs == 0 ? exchange.deadlineUs() : Math.min(exchange.deadlineUs(), now + toUs(timeoutMs));
+            Node to = updateNodes.get(node);
             Attempt attempt =
                     new Attempt(Broker.this, exchange, to, exchange.attempts().size(), now, until);
-            boolean alone = settings.may().secondCopies() || !exchange.outstanding();
+            boolean alone = settings.may().secondCopies() || !exchange.hasActiveAttempt();
             exchange.attempts().add(attempt);
             int wanted = exchange.demand().shard();
             boolean holds =
                     to != null && (wanted < 0 ? !to.isPrivate() : to.entry().shard() == wanted);
-            if (exchange.over()
-                    || exchange.begun()
+            if (exchange.isFinished()
+                    || exchange.isCommitted()
                     || now >= until
                     || !holds
                     || !alone
                     || attempt.number() >= settings.may().maxAttempts()) {
-                attempt.ended(Outcome.NOT_SENT, null, null);
+                attempt.end(Outcome.NOT_SENT, null, null);
                 return;
             }
-            counters.add("sent");
+            counters.increment("sent");
             if (attempt.number() > 0) {
-                counters.add("sent.again");
+                counters.increment("sent.again");
             }
-            watcher.sent(request, attempt.number(), to, to.isPrivate(), now);
-            attempt.timeout(timers.at(until, () -> stop(attempt, Outcome.TIMED_OUT)));
+            watcher.attemptStarted(request, attempt.number(), to, to.isPrivate(), now);
+            attempt.timeout(timers.schedule(until, () -> stop(attempt, Outcome.TIMED_OUT)));
             server.start(attempt);
         }
 
         @Override
         public void refuse(long request, double retryAfterMs) {
-            Broker.this.refuse(exchanges.get(request), us(Math.max(0, retryAfterMs)));
+            Broker.this.refuse(exchanges.get(request), toUs(Math.max(0, retryAfterMs)));
         }
 
         @Override
         public void fail(long request) {
             Exchange exchange = exchanges.get(request);
-            if (exchange != null && finish(exchange, End.FAILED)) {
-                counters.add("answered.failed");
-                exchange.client().failed(exchange.last());
+            if (exchange != null && finish(exchange, RequestResult.FAILED)) {
+                counters.increment("answered.failed");
+                exchange.client().failed(exchange.lastAttempt());
             }
         }
 
@@ -555,17 +564,17 @@
 
         @Override
         public void probe(long node) {
-            Node to = nodes.get(node);
+            Node to = updateNodes.get(node);
             if (to != null && settings.may().probes()) {
                 long sent = clock.getAsLong();
-                counters.add("probes");
+                counters.increment("probes");
                 server.probe(
                         to,
-                        us(settings.may().connectTimeoutMs()),
+                        toUs(settings.may().connectTimeoutMs()),
                         (outcome, load) -> event(
                                 () -> {
                                     long now = clock.getAsLong();
-                                    module.probed(ms(now), node, ms(now - sent), outcome, ordered(load));
+                                    module.probed(toMs(now), node, toMs(now - sent), outcome, ordered(load));
                                 },
                                 null));
             }
@@ -573,7 +582,8 @@
 
         @Override
         public void timer(double atMs, long token) {
-            timers.at(us(atMs), () -> event(() -> module.timer(ms(clock.getAsLong()), token), exchanges.get(token)));
+            timers.schedule(
+                    toUs(atMs), () -> event(() -> module.timer(toMs(clock.getAsLong()), token), exchanges.get(token)));
         }
 
         @Override
@@ -583,7 +593,7 @@
 
         @Override
         public void tell(int recipient, byte[] message) {
-            counters.add("tell_dropped");
+            counters.increment("tell_dropped");
         }
     }
 }
--- a/src/main/java/petrelstand/core/ClientSide.java
+++ b/src/main/java/petrelstand/core/ClientHandler.java
@@ -1,10 +1,10 @@
 package petrelstand.core;
 
 /** The front's half of an exchange: it is told the one final answer. */
-public interface ClientSide {
+public interface ClientHandler {
     /**
      * Served; the answer is whatever the server side of the same wire made of the node's. False where it passes in
-     * pieces from here on: {@link Broker#passed} is told what came of it.
+     * pieces from here on: {@link Broker#streamedAnswerEnded} is told what came of it.
      */
     boolean served(Object answer);
 
@@ -15,10 +15,10 @@
     void failed(Attempt last);
 
     /** True while the request's last bytes are still to come. */
-    default boolean incoming() {
+    default boolean isReceiving() {
         return false;
     }
 
     /** Nothing of the exchange is out any more: it was answered or given up, and so was its last attempt. */
-    default void forgotten(Exchange exchange) {}
+    default void exchangeClosed(Exchange exchange) {}
 }
--- a/src/main/java/petrelstand/core/Counters.java
+++ b/src/main/java/petrelstand/core/Counters.java
@@ -7,7 +7,7 @@
 public final class Counters {
     private final Map<String, long[]> counts = new TreeMap<>();
 
-    public void add(String name) {
+    public void increment(String name) {
         counts.computeIfAbsent(name, n -> new long[1])[0]++;
     }
 
@@ -17,7 +17,7 @@
     }
 
     /** All counts, one "name value" a line, in order of name. */
-    public String text() {
+    public String toLines() {
         StringBuilder text = new StringBuilder();
         counts.forEach(
                 (name, count) -> text.append(name).append(' ').append(count[0]).append('\n'));
@@ -25,7 +25,7 @@
     }
 
     /** All counts on one line. */
-    public String line() {
-        return text().strip().replace(' ', '=').replace('\n', ' ');
+    public String toLine() {
+        return toLines().strip().replace(' ', '=').replace('\n', ' ');
     }
 }
--- a/src/main/java/petrelstand/core/Demand.java
+++ b/src/main/java/petrelstand/core/Demand.java
@@ -5,20 +5,20 @@
  * size, the shard that holds the data (-1: a new object), and how long the client waits.
  */
 public record Demand(
-        int requestClass,
-        int plan,
+        int classIndex,
+        int planIndex,
         long key,
         long volume,
         double units,
         int shard,
-        int setSize,
-        boolean repeat,
+        int gatewaySetSize,
+        boolean clientRepeat,
         boolean write,
-        long leftUs) {
+        long timeLeftUs) {
     /** The same, waited for so long. */
-    public Demand within(long us) {
-        return us == leftUs
+    public Demand withTimeLeft(long us) {
+        return us == timeLeftUs
                 ? this
-                : new Demand(requestClass, plan, key, volume, units, shard, setSize, repeat, write, us);
+                : new Demand(classIndex, planIndex, key, volume, units, shard, gatewaySetSize, clientRepeat, write, us);
     }
 }
--- a/src/main/java/petrelstand/core/Exchange.java
+++ b/src/main/java/petrelstand/core/Exchange.java
@@ -11,23 +11,23 @@
 public final class Exchange {
     private final long id;
     private final Demand demand;
-    private final RequestClass kind;
+    private final RequestClass requestClass;
     private final Object message;
-    private final ClientSide client;
-    private long takenUs;
+    private final ClientHandler client;
+    private long acceptedUs;
     private final List<Attempt> attempts = new ArrayList<>(1);
-    private boolean over;
-    private boolean begun;
+    private boolean isFinished;
+    private boolean isCommitted;
     private boolean streaming;
-    private Timers.Timer guard;
+    private Timers.Timer setOverdueTimer;
 
-    Exchange(long id, Demand demand, RequestClass kind, Object message, ClientSide client, long takenUs) {
+    Exchange(long id, Demand demand, RequestClass kind, Object message, ClientHandler client, long takenUs) {
         this.id = id;
         this.demand = demand;
-        this.kind = kind;
+        this.requestClass = kind;
         this.message = message;
         this.client = client;
-        this.takenUs = takenUs;
+        this.acceptedUs = takenUs;
     }
 
     public long id() {
@@ -39,79 +39,79 @@
     }
 
     /** Its class as the settings had it when it was taken. */
-    public RequestClass kind() {
-        return kind;
+    public RequestClass requestClass() {
+        return requestClass;
     }
 
     public Object message() {
         return message;
     }
 
-    public ClientSide client() {
+    public ClientHandler client() {
         return client;
     }
 
     public long deadlineUs() {
-        return takenUs + demand.leftUs();
+        return acceptedUs + demand.timeLeftUs();
     }
 
     /** True once the final answer was given, or the client left. */
-    public boolean over() {
-        return over;
+    public boolean isFinished() {
+        return isFinished;
     }
 
-    public boolean begun() {
-        return begun;
+    public boolean isCommitted() {
+        return isCommitted;
     }
 
     List<Attempt> attempts() {
         return attempts;
     }
 
-    Attempt last() {
+    Attempt lastAttempt() {
         return attempts.isEmpty() ? null : attempts.get(attempts.size() - 1);
     }
 
     /** The attempt that is out; null where there is none. */
-    public Attempt out() {
-        Attempt last = last();
+    public Attempt activeAttempt() {
+        Attempt last = lastAttempt();
         return last == null || last.isEnded() ? null : last;
     }
 
-    boolean outstanding() {
+    boolean hasActiveAttempt() {
         return attempts.stream().anyMatch(attempt -> !attempt.isEnded());
     }
 
-    void begin() {
-        begun = true;
+    void commit() {
+        isCommitted = true;
     }
 
     /** True from the first piece of a body that passes in pieces. */
-    boolean isStreaming() {
+    boolean isBodyStreamed() {
         return streaming;
     }
 
     /** Its time does not run while its body comes. */
-    void streams() {
+    void beginBodyStream() {
         streaming = true;
-        guard.cancel();
+        setOverdueTimer.cancel();
     }
 
     /** Its time begins. */
-    void restart(long nowUs) {
-        takenUs = nowUs;
+    void restartDeadline(long nowUs) {
+        acceptedUs = nowUs;
     }
 
-    void guard(Timers.Timer timer) {
-        guard = timer;
+    void setOverdueTimer(Timers.Timer timer) {
+        setOverdueTimer = timer;
     }
 
     /** Takes the right to give the final answer; only the first caller gets it. */
     boolean finish() {
-        boolean first = !over;
-        over = true;
-        if (guard != null) {
-            guard.cancel();
+        boolean first = !isFinished;
+        isFinished = true;
+        if (setOverdueTimer != null) {
+            setOverdueTimer.cancel();
         }
         return first;
     }
--- a/src/main/java/petrelstand/core/Node.java
+++ b/src/main/java/petrelstand/core/Node.java
@@ -9,7 +9,7 @@
         return entry.node();
     }
 
-    public boolean gone() {
+    public boolean isGone() {
         return entry.state() == NodeState.GONE;
     }
 
@@ -20,11 +20,11 @@
 
     /** The same node, no longer listed. */
     public Node asGone() {
-        return as(NodeState.GONE);
+        return withState(NodeState.GONE);
     }
 
     /** The same node in a state. */
-    public Node as(NodeState state) {
+    public Node withState(NodeState state) {
         return new Node(
                 name,
                 address,
--- a/src/main/java/petrelstand/core/Figures.java
+++ b/src/main/java/petrelstand/core/RequestCounts.java
@@ -7,9 +7,9 @@
  * What became of requests, by class, and attempts written whole to nodes, since the process began: each counted once,
  * where it happens. Classes come from the settings, which bound them; one that is dropped keeps its counts.
  */
-public final class Figures {
+public final class RequestCounts {
     /** How a request ended. */
-    public enum End {
+    public enum RequestResult {
         SERVED,
         REFUSED,
         FAILED,
@@ -18,41 +18,41 @@
 
     /** One class's counts. */
     private static final class Row {
-        private final long[] ends = new long[End.values().length];
+        private final long[] ends = new long[RequestResult.values().length];
     }
 
     private final Map<String, Row> rows = new LinkedHashMap<>();
-    private long tries;
+    private long attempts;
 
     /** A class that requests can have from here on. */
-    void knows(String requestClass) {
+    void addClass(String requestClass) {
         rows.computeIfAbsent(requestClass, name -> new Row());
     }
 
-    void ended(String requestClass, End how) {
+    void recordResult(String requestClass, RequestResult how) {
         Row row = rows.get(requestClass);
         if (row != null) {
             row.ends[how.ordinal()]++;
         }
     }
 
-    void tried() {
-        tries++;
+    void recordAttempt() {
+        attempts++;
     }
 
     /** Requests of a class that ended so; 0 for a class that was never known. */
-    public long count(String requestClass, End how) {
+    public long count(String requestClass, RequestResult how) {
         Row row = rows.get(requestClass);
         return row == null ? 0 : row.ends[how.ordinal()];
     }
 
     /** The classes, in the order in which they came to be known. */
-    public Iterable<String> classes() {
+    public Iterable<String> classNames() {
         return rows.keySet();
     }
 
     /** Attempts whose last byte was written to a node. */
-    public long tries() {
-        return tries;
+    public long attempts() {
+        return attempts;
     }
 }
--- a/src/main/java/petrelstand/core/Timers.java
+++ b/src/main/java/petrelstand/core/Timers.java
@@ -41,7 +41,7 @@
     }
 
     /** Sets a timer. Where half of those kept were cancelled, these are dropped: they would wait for their time. */
-    public Timer at(long atUs, Runnable action) {
+    public Timer schedule(long atUs, Runnable action) {
         if (cancelled > FEW && cancelled > queue.size() / 2) {
             queue.removeIf(timer -> timer.action == null);
             cancelled = 0;
@@ -52,7 +52,7 @@
     }
 
     /** When the next timer is due; Long.MAX_VALUE where none is set. */
-    public long nextUs() {
+    public long nextDueUs() {
         while (!queue.isEmpty() && queue.peek().action == null) {
             queue.poll();
             cancelled--;
@@ -64,9 +64,9 @@
      * Runs what is due. A timer set meanwhile waits for the next call even where it is due already: guards against a
      * turn of the loop that never ends because each timer sets one for now.
      */
-    public void run(long nowUs) {
+    public void runDue(long nowUs) {
         long limit = order;
-        while (nextUs() <= nowUs && queue.peek().order < limit) {
+        while (nextDueUs() <= nowUs && queue.peek().order < limit) {
             Timer timer = queue.poll();
             Runnable action = timer.action;
             timer.action = null;
--- a/src/main/java/petrelstand/discovery/Watch.java
+++ b/src/main/java/petrelstand/discovery/Watch.java
@@ -157,7 +157,7 @@
             if (timeout != null) {
                 timeout.cancel();
             }
-            timeout = timers.at(begunUs + us, this::late);
+            timeout = timers.schedule(begunUs + us, this::late);
         }
 
         private void on(UpstreamConnection open) {
@@ -237,7 +237,7 @@
             try {
                 NodeList list =
                         NodeList.parse(StandardCharsets.UTF_8.decode(body).toString(), zones);
-                counters.add("discovery.answers");
+                counters.increment("discovery.answers");
                 if (failures > 0) {
                     log.accept("discovery: answers again");
                 }
@@ -273,12 +273,12 @@
 
         private void failed(String why) {
             if (finish()) {
-                counters.add("discovery.failures");
+                counters.increment("discovery.failures");
                 if (failures++ == 0) {
                     soon = SOON_CALLS;
                     log.accept("discovery: " + why + "; asking again");
                 }
-                rest = last ? null : timers.at(clock.getAsLong() + REST_US, Watch.this::next);
+                rest = last ? null : timers.schedule(clock.getAsLong() + REST_US, Watch.this::next);
             }
         }
     }
--- a/src/main/java/petrelstand/fleet/Fleet.java
+++ b/src/main/java/petrelstand/fleet/Fleet.java
@@ -156,13 +156,13 @@
         if (module.ended()) {
             left();
         } else {
-            timers.at(nowUs.getAsLong() + Timing.TICK_US, this::tick);
+            timers.schedule(nowUs.getAsLong() + Timing.TICK_US, this::tick);
         }
     }
 
     private void receive(Envelope envelope) {
         if (module != null) {
-            counters.add("fleet.taken");
+            counters.increment("fleet.taken");
             module.receive(nowUs.getAsLong(), envelope);
         }
     }
@@ -215,7 +215,7 @@
 
     /** Sends a content about rules, on the loop; it may get lost. */
     public void sendRules(String address, byte[] content) {
-        counters.add("rules.sent");
+        counters.increment("rules.sent");
         bytesOut += link.send(address, Seal.RULES, content);
     }
 
@@ -256,7 +256,7 @@
 
     @Override
     public void send(String address, Envelope message) {
-        counters.add("fleet.sent");
+        counters.increment("fleet.sent");
         bytesOut += link.send(address, message);
     }
 
@@ -287,7 +287,7 @@
 
     @Override
     public void standing(Standing standing) {
-        counters.add("fleet.standing");
+        counters.increment("fleet.standing");
         log.accept("sees " + standing.seen() + " of " + standing.of() + ": "
                 + standing.reach().name().toLowerCase(java.util.Locale.ROOT));
         JsonObject line = new JsonObject();
@@ -307,7 +307,7 @@
 
     @Override
     public void count(String what) {
-        counters.add(what);
+        counters.increment(what);
     }
 
     @Override
--- a/src/main/java/petrelstand/fleet/FleetMetrics.java
+++ b/src/main/java/petrelstand/fleet/FleetMetrics.java
@@ -43,13 +43,17 @@
         CounterSnapshot.Builder events = CounterSnapshot.builder()
                 .name("petrelstand_fleet_events")
                 .help("Messages and events of membership, by kind");
-        fleet.counters().text().lines().filter(line -> line.startsWith(COUNTED)).forEach(line -> {
-            int space = line.indexOf(' ');
-            events.dataPoint(CounterDataPointSnapshot.builder()
-                    .labels(Labels.of("kind", line.substring(COUNTED.length(), space)))
-                    .value(Double.parseDouble(line.substring(space + 1)))
-                    .build());
-        });
+        fleet.counters()
+                .toLines()
+                .lines()
+                .filter(line -> line.startsWith(COUNTED))
+                .forEach(line -> {
+                    int space = line.indexOf(' ');
+                    events.dataPoint(CounterDataPointSnapshot.builder()
+                            .labels(Labels.of("kind", line.substring(COUNTED.length(), space)))
+                            .value(Double.parseDouble(line.substring(space + 1)))
+                            .build());
+                });
         CounterSnapshot bytes = CounterSnapshot.builder()
                 .name("petrelstand_fleet_sent_bytes")
                 .help("Bytes of datagrams sent to other members")
--- a/src/main/java/petrelstand/http/Budgets.java
+++ b/src/main/java/petrelstand/http/Budgets.java
@@ -1,6 +1,6 @@
 package petrelstand.http;
 
-import petrelstand.lifecycle.MemoryPlan;
+import petrelstand.lifecycle.MemoryLimits;
 
 /**
  * Bytes of bodies that a gateway's connections may keep: of requests being read, of those in work, of answers being
@@ -8,12 +8,12 @@
  */
 public record Budgets(Budget requests, Budget inWork, Budget answersRead, Budget answersWritten) {
     /** What a plan allows. */
-    public static Budgets of(MemoryPlan plan) {
+    public static Budgets of(MemoryLimits plan) {
         Budget all = new Budget(plan.bodyBytes());
         return new Budgets(
-                new Budget(plan.requestBytes(), all),
+                new Budget(plan.requestReadBytes(), all),
                 new Budget(plan.bodyBytes(), all),
-                new Budget(plan.answerBytes(), all),
-                new Budget(plan.writtenBytes(), all));
+                new Budget(plan.answerReadBytes(), all),
+                new Budget(plan.answerWriteBytes(), all));
     }
 }
--- a/src/main/java/petrelstand/http/ClientConnection.java
+++ b/src/main/java/petrelstand/http/ClientConnection.java
@@ -12,10 +12,10 @@
 import org.eclipse.jetty.io.EndPoint;
 import org.eclipse.jetty.util.BufferUtil;
 import petrelstand.core.Attempt;
-import petrelstand.core.ClientSide;
+import petrelstand.core.ClientHandler;
 import petrelstand.core.Demand;
 import petrelstand.core.Exchange;
-import petrelstand.core.Figures.End;
+import petrelstand.core.RequestCounts.RequestResult;
 import petrelstand.core.Timers;
 import petrelstand.decision.Scheduling.Outcome;
 import petrelstand.net.LoopConnection;
@@ -28,7 +28,7 @@
  * as it comes, and a large answer too: of each, one piece is here at a time.
  */
 final class ClientConnection extends LoopConnection
-        implements HttpParser.RequestHandler, ClientSide, Flow.Taker, Upload.Source {
+        implements HttpParser.RequestHandler, ClientHandler, Flow.Taker, Upload.Source {
     enum State {
         READING,
         TAKEN,
@@ -187,18 +187,18 @@
     public void onOpen() {
         super.onOpen();
         if (unwanted) {
-            front.broker().counters().add("connections.closed_at_once");
+            front.broker().counters().increment("connections.closed_at_once");
             close();
             return;
         }
-        limit = front.timers().at(openedUs + (full ? Front.FULL_US : Front.REQUEST_US), this::late);
+        limit = front.timers().schedule(openedUs + (full ? Front.FULL_US : Front.REQUEST_US), this::late);
         fillInterested();
     }
 
     /** Guards against clients that say nothing, or half a request: the one is closed, the other told. */
     private void late() {
         limit = null;
-        front.broker().counters().add("connections.late");
+        front.broker().counters().increment("connections.late");
         if (idle()) {
             endIfIdle(Long.MAX_VALUE, false);
             return;
@@ -449,7 +449,7 @@
     /** What is to come next has its time from now on. */
     private void allowMore() {
         stopLimit();
-        limit = front.timers().at(front.broker().nowUs() + Front.REQUEST_US, this::late);
+        limit = front.timers().schedule(front.broker().nowUs() + Front.REQUEST_US, this::late);
     }
 
     @Override
@@ -536,7 +536,7 @@
             stopLimit();
             Upload whole = upload;
             upload = null;
-            front.broker().bodyComplete(exchange, arrivals.lastUsed(input.remaining()));
+            front.broker().requestBodyComplete(exchange, arrivals.lastUsed(input.remaining()));
             whole.whole();
             return true;
         }
@@ -550,9 +550,9 @@
             if (full) {
                 refuseFull();
             } else if (target.equals("/ready")) {
-                local(front.life().saysYes() ? 200 : 503, front.life().saysYes() ? "ready\n" : "not ready\n");
+                local(front.life().isReady() ? 200 : 503, front.life().isReady() ? "ready\n" : "not ready\n");
             } else if (target.equals("/counters")) {
-                local(200, front.broker().counters().text());
+                local(200, front.broker().counters().toLines());
             } else if (front.page(target) != null) {
                 local(200, front.page(target).get());
             } else {
@@ -565,20 +565,20 @@
     }
 
     private void refuseFull() {
-        front.broker().counters().add("connections.full");
+        front.broker().counters().increment("connections.full");
         front.rejected(target);
         answer(503, null, Front.FULL_US, BufferUtil.EMPTY_BUFFER, true);
     }
 
     /** All connections together keep as much of bodies as they may. */
     private void refuseNoRoom() {
-        front.broker().counters().add("requests_no_room");
+        front.broker().counters().increment("requests_no_room");
         front.rejected(target);
         answer(503, null, Front.FULL_US, BufferUtil.EMPTY_BUFFER, true);
     }
 
     private void malformed(DemandReader.Malformed e) {
-        front.broker().counters().add("malformed." + e.status());
+        front.broker().counters().increment("malformed." + e.status());
         answer(e.status(), "text/plain", 0, BufferUtil.toBuffer(e.getMessage() + "\n"), true);
     }
 
@@ -586,16 +586,16 @@
         Demand demand = front.reader().read(method, target, fields, bytes.length);
         long now = front.broker().nowUs();
         long waitedUs = upload != null ? 0 : now - arrivals.lastUsed(input.remaining());
-        if (waitedUs > 0 && waitedUs >= demand.leftUs()) {
-            front.broker().counters().add("refused.waited");
+        if (waitedUs > 0 && waitedUs >= demand.timeLeftUs()) {
+            front.broker().counters().increment("refused.waited");
             front.rejected(target);
             refused(0);
             return;
         }
-        long wantedUs = demand.leftUs() - waitedUs;
-        long leftUs = front.life().grantsUs(now, wantedUs);
+        long wantedUs = demand.timeLeftUs() - waitedUs;
+        long leftUs = front.life().allowedTimeUs(now, wantedUs);
         if (leftUs < wantedUs && leftUs == 0) {
-            front.broker().counters().add("refused.ending");
+            front.broker().counters().increment("refused.ending");
             front.rejected(target);
             refused(front.life().retryAfterUs(now));
             return;
@@ -612,8 +612,8 @@
         }
         state = State.TAKEN;
         front.broker()
-                .take(
-                        demand.within(leftUs),
+                .submit(
+                        demand.withTimeLeft(leftUs),
                         new Message.Ask(
                                 method,
                                 target,
@@ -627,12 +627,12 @@
     }
 
     @Override
-    public boolean incoming() {
+    public boolean isReceiving() {
         return upload != null;
     }
 
     @Override
-    public void forgotten(Exchange done) {
+    public void exchangeClosed(Exchange done) {
         Message.Ask ask = (Message.Ask) done.message();
         front.release(ask.txn());
         front.inWork().give(ask.body().length);
@@ -650,7 +650,7 @@
 
     private void malformed(int status, String why) {
         if (state == State.READING) {
-            front.broker().counters().add("malformed." + status);
+            front.broker().counters().increment("malformed." + status);
             answer(status, "text/plain", 0, BufferUtil.toBuffer(why + "\n", StandardCharsets.UTF_8), true);
         }
     }
@@ -676,8 +676,8 @@
             return true;
         }
         // Guards the memory against clients that do not take their answers.
-        front.broker().counters().add("answers_no_room");
-        front.broker().passed(exchange, End.FAILED);
+        front.broker().counters().increment("answers_no_room");
+        front.broker().streamedAnswerEnded(exchange, RequestResult.FAILED);
         answer(502, null, 0, BufferUtil.EMPTY_BUFFER, false);
         return false;
     }
@@ -700,7 +700,7 @@
     @Override
     public void piece(ByteBuffer piece) {
         stopLimit();
-        limit = front.timers().at(front.broker().nowUs() + Front.PIECE_US, this::close);
+        limit = front.timers().schedule(front.broker().nowUs() + Front.PIECE_US, this::close);
         writer.write(
                 piece,
                 false,
@@ -719,7 +719,7 @@
                 BufferUtil.EMPTY_BUFFER,
                 true,
                 () -> {
-                    passed(End.SERVED);
+                    passed(RequestResult.SERVED);
                     written(lastAnswer);
                 },
                 this::notWritten);
@@ -728,13 +728,13 @@
     @Override
     public void cut() {
         flow = null;
-        passed(End.FAILED);
+        passed(RequestResult.FAILED);
         close();
     }
 
-    private void passed(End how) {
+    private void passed(RequestResult how) {
         if (flowing != null) {
-            front.broker().passed(flowing, how);
+            front.broker().streamedAnswerEnded(flowing, how);
             flowing = null;
         }
     }
@@ -744,7 +744,7 @@
         return !persistent
                 || overrun
                 || upload != null
-                || front.life().endsWithAnswer(front.broker().nowUs());
+                || front.life().closesAfterAnswer(front.broker().nowUs());
     }
 
     @Override
@@ -767,7 +767,7 @@
         state = State.ANSWERING;
         exchange = null;
         boolean last = close || endsHere();
-        limit = front.timers().at(front.broker().nowUs() + Front.ANSWER_US, this::close);
+        limit = front.timers().schedule(front.broker().nowUs() + Front.ANSWER_US, this::close);
         ByteBuffer head = Wire.answer(status, type, retryAfterUs, last, content.remaining());
         getEndPoint().write(nonBlocking(() -> written(last), this::notWritten), head, content);
     }
@@ -804,7 +804,7 @@
         getEndPoint().shutdownOutput();
         lingerHeard = false;
         lingerUntilUs = front.broker().nowUs() + (upload != null ? Front.LINGER_BODY_US : Front.LINGER_MOST_US);
-        limit = front.timers().at(front.broker().nowUs() + Front.LINGER_US, this::lingered);
+        limit = front.timers().schedule(front.broker().nowUs() + Front.LINGER_US, this::lingered);
     }
 
     private void lingered() {
@@ -813,7 +813,7 @@
             close();
         } else {
             lingerHeard = false;
-            limit = front.timers().at(Math.min(now + Front.LINGER_US, lingerUntilUs), this::lingered);
+            limit = front.timers().schedule(Math.min(now + Front.LINGER_US, lingerUntilUs), this::lingered);
         }
     }
 
@@ -832,7 +832,9 @@
         }
         if (sawEnd) {
             close();
-        } else if (last || overrun || front.life().closesIdle(front.broker().nowUs())) {
+        } else if (last
+                || overrun
+                || front.life().closesIdleConnections(front.broker().nowUs())) {
             linger();
         } else {
             next();
@@ -841,7 +843,7 @@
     }
 
     private void notWritten(Throwable cause) {
-        front.broker().counters().add("answers_not_written");
+        front.broker().counters().increment("answers_not_written");
         close();
     }
 
@@ -868,7 +870,7 @@
                 flow = null;
                 left.stop();
             }
-            passed(End.GONE);
+            passed(RequestResult.GONE);
             if (before == State.TAKEN && exchange != null) {
                 front.broker().clientGone(exchange);
             }
--- a/src/main/java/petrelstand/http/Front.java
+++ b/src/main/java/petrelstand/http/Front.java
@@ -15,7 +15,7 @@
 import petrelstand.core.Timers;
 import petrelstand.decision.Scheduling.Settings;
 import petrelstand.lifecycle.Lifecycle;
-import petrelstand.lifecycle.MemoryPlan;
+import petrelstand.lifecycle.MemoryLimits;
 
 /** The platform's front: its client connections, and what they share. */
 public final class Front {
@@ -81,7 +81,7 @@
 
     /** A front whose memory is not short. */
     public Front(Broker broker, Timers timers, int mostConnections, Lifecycle life) {
-        this(broker, timers, mostConnections, life, Budgets.of(MemoryPlan.AMPLE));
+        this(broker, timers, mostConnections, life, Budgets.of(MemoryLimits.MAXIMUM));
     }
 
     /** A front that does what the process's life says, with so many connections and the budgets' bytes at most. */
@@ -101,7 +101,7 @@
      * descriptors are at stake, and it closes at once.
      */
     public Connection accept(EndPoint endPoint) {
-        broker.counters().add("connections.clients");
+        broker.counters().increment("connections.clients");
         if (connections.size() >= mostConnections) {
             makeRoom();
         }
@@ -124,7 +124,7 @@
         for (int rank = 0; rank < ClientConnection.RANKS; rank++) {
             for (ClientConnection connection : List.copyOf(connections)) {
                 if (connection.rank(now) == rank && connection.giveWay()) {
-                    broker.counters().add("connections.gave_way");
+                    broker.counters().increment("connections.gave_way");
                     return;
                 }
             }
@@ -203,7 +203,7 @@
      */
     void rejected(String target) {
         int end = target.indexOf('/', 1);
-        broker.rejected(end < 0 ? target : target.substring(1, end));
+        broker.recordRejected(end < 0 ? target : target.substring(1, end));
     }
 
     Budget requests() {
--- a/src/main/java/petrelstand/http/NodePool.java
+++ b/src/main/java/petrelstand/http/NodePool.java
@@ -18,16 +18,16 @@
 import petrelstand.core.Attempt;
 import petrelstand.core.Counters;
 import petrelstand.core.Node;
-import petrelstand.core.ServerSide;
+import petrelstand.core.NodeTransport;
 import petrelstand.core.Timers;
 import petrelstand.decision.Scheduling.Outcome;
 import petrelstand.decision.Scheduling.Settings;
-import petrelstand.lifecycle.MemoryPlan;
+import petrelstand.lifecycle.MemoryLimits;
 import petrelstand.net.Addresses;
 import petrelstand.net.EventLoop;
 
 /** The side that faces the storage nodes: attempts over a bounded pool of connections, one attempt on each. */
-public final class NodePool implements ServerSide {
+public final class NodePool implements NodeTransport {
     /** How a connection out is started; the event loop's way but in tests. */
     public interface Dialer {
         SocketChannel connect(InetSocketAddress address, EventLoop.Connector connector) throws IOException;
@@ -75,7 +75,7 @@
             Settings settings,
             String host,
             int mostOpen) {
-        this(dialer, clock, timers, counters, settings, host, mostOpen, Budgets.of(MemoryPlan.AMPLE));
+        this(dialer, clock, timers, counters, settings, host, mostOpen, Budgets.of(MemoryLimits.MAXIMUM));
     }
 
     /** A pool of so many connections at most, and the budgets' bytes of answers. */
@@ -109,7 +109,7 @@
     public void bound(int most) {
         mostOpen = Math.min(most, mostByMemory);
         while (open > mostOpen && dropOldestIdle()) {
-            counters.add("connections.gave_way");
+            counters.increment("connections.gave_way");
         }
     }
 
@@ -121,21 +121,21 @@
     @Override
     public void start(Attempt attempt) {
         Sending sending = new Sending(attempt);
-        attempt.handle(sending);
+        attempt.attachment(sending);
         begin(attempt.node(), sending);
     }
 
     @Override
     public void abandon(Attempt attempt) {
-        if (attempt.handle() instanceof Sending sending) {
+        if (attempt.attachment() instanceof Sending sending) {
             sending.drop();
         }
     }
 
     @Override
-    public void probe(Node node, long timeoutUs, ProbeResult result) {
+    public void probe(Node node, long timeoutUs, ProbeCallback result) {
         Probe probe = new Probe(result);
-        probe.timeout = timers.at(clock.getAsLong() + timeoutUs, () -> {
+        probe.timeout = timers.schedule(clock.getAsLong() + timeoutUs, () -> {
             probe.drop();
             probe.end(Outcome.TIMED_OUT, Map.of());
         });
@@ -143,7 +143,7 @@
     }
 
     @Override
-    public void forget(Node node) {
+    public void discardConnections(Node node) {
         ArrayDeque<UpstreamConnection> kept = idle.remove(node.address());
         if (kept != null) {
             List.copyOf(kept).forEach(UpstreamConnection::drop);
@@ -168,7 +168,7 @@
             connection.drop();
         }
         if (open >= mostOpen && !dropOldestIdle()) {
-            counters.add("connections.none_left");
+            counters.increment("connections.none_left");
             leg.notConnected();
             return;
         }
@@ -201,11 +201,11 @@
     }
 
     private void dial(Leg leg) {
-        counters.add("connections.nodes");
+        counters.increment("connections.nodes");
         open++;
         Dial dial = new Dial(leg);
         leg.dial = dial;
-        dial.timeout = timers.at(clock.getAsLong() + connectUs, () -> dial.fail());
+        dial.timeout = timers.schedule(clock.getAsLong() + connectUs, () -> dial.fail());
         try {
             dial.channel = dialer.connect(Addresses.parse(leg.address), dial);
         } catch (IOException | RuntimeException e) {
@@ -251,7 +251,7 @@
 
         @Override
         public void connectFailed(Throwable cause) {
-            counters.add("connections.failed." + cause.getClass().getSimpleName());
+            counters.increment("connections.failed." + cause.getClass().getSimpleName());
             fail();
         }
 
@@ -303,7 +303,7 @@
     private void sweepLater() {
         if (!sweeping) {
             sweeping = true;
-            timers.at(clock.getAsLong() + 1_000_000, this::sweep);
+            timers.schedule(clock.getAsLong() + 1_000_000, this::sweep);
         }
     }
 
@@ -339,11 +339,11 @@
         @Override
         public void partial() {
             watch(connection.received());
-            timers.at(clock.getAsLong() + GATHER_US, () -> connection.beginPieces(this));
+            timers.schedule(clock.getAsLong() + GATHER_US, () -> connection.beginPieces(this));
         }
 
         private void watch(long received) {
-            timers.at(clock.getAsLong() + STALL_US, () -> {
+            timers.schedule(clock.getAsLong() + STALL_US, () -> {
                 if (!inPieces && connection.goesOn(this, received)) {
                     watch(connection.received());
                 }
@@ -361,7 +361,7 @@
         private void watchPieces(long before) {
             long now = connection.received() + connection.streamed();
             if (connection.isHeld() || awaitsClient() || now != before) {
-                timers.at(clock.getAsLong() + PIECE_STALL_US, () -> {
+                timers.schedule(clock.getAsLong() + PIECE_STALL_US, () -> {
                     if (connection.has(this)) {
                         watchPieces(now);
                     }
@@ -399,7 +399,7 @@
         /** What nobody waits for any more is not begun; the connection that came up for it is kept. */
         @Override
         void on(UpstreamConnection free) {
-            if (attempt.begins()) {
+            if (attempt.beginWrite()) {
                 super.on(free);
             } else {
                 changed(free, true);
@@ -408,7 +408,7 @@
 
         @Override
         public void written() {
-            attempt.written();
+            attempt.requestWritten();
         }
 
         @Override
@@ -427,7 +427,7 @@
 
         @Override
         public void streams() {
-            attempt.streams();
+            attempt.beginBodyStream();
             watchPieces();
         }
 
@@ -439,8 +439,8 @@
         @Override
         public boolean flows(Flow flow) {
             watchPieces();
-            attempt.reports(Wire.use(flow.fields()));
-            attempt.ended(Outcome.SERVED, flow, Wire.load(flow.fields().get(Wire.PRESSURE)));
+            attempt.setVolumeUsage(Wire.use(flow.fields()));
+            attempt.end(Outcome.SERVED, flow, Wire.load(flow.fields().get(Wire.PRESSURE)));
             return true;
         }
 
@@ -460,29 +460,29 @@
             if (ask.type() != null) {
                 fields.put(HttpHeader.CONTENT_TYPE, ask.type());
             }
-            long leftMs = Math.max(0, (attempt.untilUs() - clock.getAsLong()) / 1000);
+            long leftMs = Math.max(0, (attempt.timeoutAtUs() - clock.getAsLong()) / 1000);
             return fields.put(Wire.REMAINING, Long.toString(leftMs));
         }
 
         @Override
         public void answered(int status, HttpFields fields, ByteBuffer body) {
             Map<String, Double> load = Wire.load(fields.get(Wire.PRESSURE));
-            attempt.reports(Wire.use(fields));
+            attempt.setVolumeUsage(Wire.use(fields));
             Outcome outcome = outcome(status, fields);
             Object answer =
                     outcome == Outcome.SERVED ? new Message.Answer(fields.get(HttpHeader.CONTENT_TYPE), body) : null;
-            attempt.ended(outcome, answer, load);
+            attempt.end(outcome, answer, load);
         }
 
         @Override
         public void broke(Break how) {
-            counters.add("connections.broke." + how.name().toLowerCase(Locale.ROOT));
-            attempt.ended(outcome(how), null, null);
+            counters.increment("connections.broke." + how.name().toLowerCase(Locale.ROOT));
+            attempt.end(outcome(how), null, null);
         }
 
         @Override
         void notConnected() {
-            attempt.ended(Outcome.NOT_CONNECTED, null, null);
+            attempt.end(Outcome.NOT_CONNECTED, null, null);
         }
     }
 
@@ -511,11 +511,11 @@
     }
 
     private final class Probe extends Leg {
-        private final ProbeResult result;
+        private final ProbeCallback result;
         private Timers.Timer timeout;
         private boolean over;
 
-        Probe(ProbeResult result) {
+        Probe(ProbeCallback result) {
             this.result = result;
         }
 
@@ -523,7 +523,7 @@
             if (!over) {
                 over = true;
                 timeout.cancel();
-                result.ended(outcome, load);
+                result.probeEnded(outcome, load);
             }
         }
 
--- a/src/main/java/petrelstand/http/Rehearsal.java
+++ b/src/main/java/petrelstand/http/Rehearsal.java
@@ -40,8 +40,8 @@
         this.settings = settings;
         NodePool pool = new NodePool(this::dial, () -> nowUs, timers, counters, settings, "backend.local", 64);
         this.broker = new Broker(settings, 1, () -> nowUs, timers, pool, counters, line -> {});
-        Lifecycle life = new Lifecycle(Lifecycle.Times.of(0));
-        life.serving(nowUs);
+        Lifecycle life = new Lifecycle(Lifecycle.Delays.of(0));
+        life.startServing(nowUs);
         this.front = new Front(broker, timers, 64, life);
     }
 
@@ -63,7 +63,7 @@
             nodes.add(new Node(
                     "s-0000000" + i, "127.0.0.1:" + (9000 + i), new NodeEntry(i, 0, i, NodeState.READY, 1, 0)));
         }
-        broker.nodes(ListKind.WHOLE, nodes);
+        broker.updateNodes(ListKind.WHOLE, nodes);
         List<MemoryEnd> clients = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
             clients.add(MemoryEnd.open(front::accept));
@@ -76,7 +76,7 @@
                 clients.forEach(MemoryEnd::taken);
             }
             nowUs += STEP_US;
-            timers.run(nowUs);
+            timers.runDue(nowUs);
         }
     }
 
--- a/src/main/java/petrelstand/http/Wire.java
+++ b/src/main/java/petrelstand/http/Wire.java
@@ -14,7 +14,7 @@
 import org.eclipse.jetty.http.HttpVersion;
 import org.eclipse.jetty.http.MetaData;
 import org.eclipse.jetty.util.BufferUtil;
-import petrelstand.core.VolumeUse;
+import petrelstand.core.VolumeUsage;
 
 /** Names of the platform's headers, and messages as bytes. */
 public final class Wire {
@@ -149,8 +149,9 @@
     }
 
     /** What an answer tells of its volume: a figure that cannot be read, or cannot be, is not told. */
-    static VolumeUse use(HttpFields fields) {
-        return new VolumeUse(count(fields.get(VOLUME_USE), VolumeUse.UNTOLD), count(fields.get(FROM_OTHERS), 0));
+    static VolumeUsage use(HttpFields fields) {
+        return new VolumeUsage(
+                count(fields.get(VOLUME_USE), VolumeUsage.UNKNOWN_PERCENT), count(fields.get(FROM_OTHERS), 0));
     }
 
     private static int count(String text, int without) {
@@ -159,7 +160,7 @@
         }
         try {
             long value = Math.round(Double.parseDouble(text));
-            return value >= 0 && value <= VolumeUse.MOST ? (int) value : without;
+            return value >= 0 && value <= VolumeUsage.MAX_VALUE ? (int) value : without;
         } catch (NumberFormatException e) {
             return without;
         }
--- a/src/main/java/petrelstand/lab/AccountsCost.java
+++ b/src/main/java/petrelstand/lab/AccountsCost.java
@@ -64,11 +64,11 @@
             double units = 1 + random.nextInt(4);
             while (!out.isEmpty() && (out.peekFirst().endUs <= nowUs || out.size() > 4 * nodes)) {
                 Out over = out.removeFirst();
-                accounts.ended(over.id, 0, Outcome.SERVED, nowUs);
-                accounts.answered(over.id, true, nowUs);
-                accounts.forgotten(over.id, nowUs);
+                accounts.attemptEnded(over.id, 0, Outcome.SERVED, nowUs);
+                accounts.requestAnswered(over.id, true, nowUs);
+                accounts.requestClosed(over.id, nowUs);
             }
-            accounts.taken(
+            accounts.requestAccepted(
                     id,
                     new Demand(
                             random.nextInt(3),
@@ -82,8 +82,8 @@
                             false,
                             1_500_000),
                     nowUs);
-            accounts.sent(id, 0, all[place], false, nowUs);
-            accounts.written(id, 0, nowUs);
+            accounts.attemptStarted(id, 0, all[place], false, nowUs);
+            accounts.attemptWritten(id, 0, nowUs);
             freeUs[place] = Math.max(freeUs[place], nowUs) + (long) (units * 1_000_000L * nodes / perSecond / 4);
             out.addLast(new Out(id, freeUs[place]));
         }
--- a/src/main/java/petrelstand/lab/Day.java
+++ b/src/main/java/petrelstand/lab/Day.java
@@ -7,12 +7,12 @@
 import org.HdrHistogram.Histogram;
 import petrelstand.core.Attempt;
 import petrelstand.core.Broker;
-import petrelstand.core.ClientSide;
+import petrelstand.core.ClientHandler;
 import petrelstand.core.Counters;
 import petrelstand.core.Demand;
 import petrelstand.core.Exchange;
 import petrelstand.core.Node;
-import petrelstand.core.ServerSide;
+import petrelstand.core.NodeTransport;
 import petrelstand.core.Timers;
 import petrelstand.decision.Scheduling.ListKind;
 import petrelstand.decision.Scheduling.NodeState;
@@ -140,13 +140,13 @@
             Host[] host = {hosts[i]};
             int index = i;
             Snapshot[] kept = new Snapshot[1];
-            timers.at(EPOCH_US + scenario.restart().captureUs(), () -> kept[0] = host[0].snapshot());
-            timers.at(
+            timers.schedule(EPOCH_US + scenario.restart().captureUs(), () -> kept[0] = host[0].snapshot());
+            timers.schedule(
                     Math.max(
                             restartUs - scenario.restart().downUs(),
                             EPOCH_US + scenario.restart().captureUs() + 1),
                     () -> host[0].leave(way != Way.ALL_KEPT));
-            timers.at(restartUs, () -> {
+            timers.schedule(restartUs, () -> {
                 if (way == Way.ALL_KEPT) {
                     host[0].away = false;
                     return;
@@ -162,7 +162,7 @@
         Workload.Ask ask = workload.next();
         while (nowUs < untilUs + 6_000_000) {
             long askUs = EPOCH_US + ask.atUs();
-            long next = Math.min(timers.nextUs(), askUs);
+            long next = Math.min(timers.nextDueUs(), askUs);
             nowUs = Math.max(nowUs, next);
             if (askUs <= nowUs) {
                 if (askUs < untilUs) {
@@ -170,7 +170,7 @@
                 }
                 ask = workload.next();
             } else {
-                timers.run(nowUs);
+                timers.runDue(nowUs);
             }
         }
         outcome.fallen = (int) ever.stream().filter(LabNode::fallen).count();
@@ -189,8 +189,8 @@
         for (int i = fault.first(); i < fault.first() + fault.count(); i++) {
             int place = i;
             if (fault.kind() == Scenario.Kind.KILLED) {
-                timers.at(from, () -> hosts[place].leave(true));
-                timers.at(until, () -> {
+                timers.schedule(from, () -> hosts[place].leave(true));
+                timers.schedule(until, () -> {
                     hosts[place] = new Host(place, nowUs);
                     hosts[place].begin(null);
                 });
@@ -199,29 +199,29 @@
             LabNode node = nodes.get(i);
             switch (fault.kind()) {
                 case SLOW -> {
-                    timers.at(from, () -> node.slow(nowUs, fault.size()));
-                    timers.at(until, () -> node.slow(nowUs, 1));
+                    timers.schedule(from, () -> node.slow(nowUs, fault.size()));
+                    timers.schedule(until, () -> node.slow(nowUs, 1));
                 }
                 case NEIGHBOUR -> {
-                    timers.at(from, () -> node.share(nowUs, fault.size()));
-                    timers.at(until, () -> node.share(nowUs, 0));
+                    timers.schedule(from, () -> node.share(nowUs, fault.size()));
+                    timers.schedule(until, () -> node.share(nowUs, 0));
                 }
-                case PAUSES -> timers.at(from, () -> pause(node, fault, until));
+                case PAUSES -> timers.schedule(from, () -> pause(node, fault, until));
                 case SILENT -> {
-                    timers.at(from, () -> node.vanish(nowUs));
-                    timers.at(until, () -> {
+                    timers.schedule(from, () -> node.vanish(nowUs));
+                    timers.schedule(until, () -> {
                         node.comeBack(nowUs);
                         listed.set(place, node.listed());
                         tell(List.of(node.listed()));
                     });
                 }
                 case ERRORS -> {
-                    timers.at(from, () -> node.err(fault.size()));
-                    timers.at(until, () -> node.err(0));
+                    timers.schedule(from, () -> node.err(fault.size()));
+                    timers.schedule(until, () -> node.err(0));
                 }
                 case REPLACED -> {
-                    timers.at(from, () -> tell(List.of(node.listed().as(NodeState.DRAINING))));
-                    timers.at(until, () -> replace(place));
+                    timers.schedule(from, () -> tell(List.of(node.listed().withState(NodeState.DRAINING))));
+                    timers.schedule(until, () -> replace(place));
                 }
                 case KILLED -> throw new IllegalStateException();
             }
@@ -233,8 +233,8 @@
             return;
         }
         node.pause(nowUs, true);
-        timers.at(nowUs + (long) (fault.size() * 1000), () -> node.pause(nowUs, false));
-        timers.at(nowUs + 2_000_000, () -> pause(node, fault, until));
+        timers.schedule(nowUs + (long) (fault.size() * 1000), () -> node.pause(nowUs, false));
+        timers.schedule(nowUs + 2_000_000, () -> pause(node, fault, until));
     }
 
     /** A new node takes the shard; the old one's machine is gone. */
@@ -254,9 +254,9 @@
     private void tell(List<Node> changes) {
         for (int i = 0; i < hosts.length; i++) {
             int index = i;
-            timers.at(nowUs + scenario.listDelayUs() + i * scenario.listSpreadUs(), () -> {
+            timers.schedule(nowUs + scenario.listDelayUs() + i * scenario.listSpreadUs(), () -> {
                 if (!hosts[index].dead) {
-                    hosts[index].broker.nodes(ListKind.CHANGES, changes);
+                    hosts[index].broker.updateNodes(ListKind.CHANGES, changes);
                 }
             });
         }
@@ -264,7 +264,7 @@
 
     // ---- Gateways ----
 
-    private final class Host implements ServerSide {
+    private final class Host implements NodeTransport {
         private final int index;
         private final Settings settings;
         private final Broker broker;
@@ -284,12 +284,12 @@
             if (kept != null) {
                 Trust.Verdict verdict = new Trust("g" + index, settings).weigh(kept, nowUs / 1000.0);
                 outcome.remembered += verdict.learned().nodes().size();
-                broker.recall(verdict.learned());
+                broker.restoreLearnedState(verdict.learned());
             }
-            broker.nodes(ListKind.CACHED, List.copyOf(listed));
-            timers.at(nowUs + LIST_AT_START_US, () -> {
+            broker.updateNodes(ListKind.CACHED, List.copyOf(listed));
+            timers.schedule(nowUs + LIST_AT_START_US, () -> {
                 if (!dead) {
-                    broker.nodes(ListKind.WHOLE, List.copyOf(listed));
+                    broker.updateNodes(ListKind.WHOLE, List.copyOf(listed));
                 }
             });
         }
@@ -301,7 +301,7 @@
                     1,
                     nowUs / 1000,
                     scenario.restart().clean(),
-                    broker.learned());
+                    broker.learnedState());
         }
 
         void leave(boolean killed) {
@@ -317,15 +317,15 @@
             LabNode node = byName.get(attempt.node().name());
             Try of = (Try) attempt.exchange().message();
             long arrivesUs = nowUs + NETWORK_US;
-            timers.at(
+            timers.schedule(
                     arrivesUs,
                     () -> node.accept(
                             arrivesUs,
                             of.ask.workMs(),
                             of.ask.kind() == 1,
-                            how -> timers.at(nowUs + NETWORK_US, () -> {
+                            how -> timers.schedule(nowUs + NETWORK_US, () -> {
                                 if (!dead) {
-                                    attempt.ended(how, "body", Map.of());
+                                    attempt.end(how, "body", Map.of());
                                 }
                             })));
         }
@@ -334,16 +334,16 @@
         public void abandon(Attempt attempt) {}
 
         @Override
-        public void probe(Node node, long timeoutUs, ProbeResult result) {}
+        public void probe(Node node, long timeoutUs, ProbeCallback result) {}
 
         @Override
-        public void forget(Node node) {}
+        public void discardConnections(Node node) {}
     }
 
     // ---- Clients ----
 
     /** A request of a client, with its one repeat. */
-    private final class Try implements ClientSide {
+    private final class Try implements ClientHandler {
         private final Workload.Ask ask;
         private final long firstUs;
         private final double[] due;
@@ -397,7 +397,7 @@
             if (host.away || leftUs <= 1000) {
                 return;
             }
-            host.broker.take(
+            host.broker.submit(
                     new Demand(
                             ask.kind(),
                             ask.plan(),
@@ -444,7 +444,7 @@
             unserved();
             if (scenario.retries() && !repeated) {
                 repeated = true;
-                timers.at(nowUs + Math.max(100_000, retryAfterUs), this::go);
+                timers.schedule(nowUs + Math.max(100_000, retryAfterUs), this::go);
             }
         }
 
@@ -460,7 +460,7 @@
         }
 
         @Override
-        public void forgotten(Exchange exchange) {}
+        public void exchangeClosed(Exchange exchange) {}
     }
 
     /** Requests of the gateways that restart, from the restart on; all of a day without one. */
--- a/src/main/java/petrelstand/lab/LabNode.java
+++ b/src/main/java/petrelstand/lab/LabNode.java
@@ -84,7 +84,7 @@
         this.timers = timers;
         this.advancedUs = nowUs;
         // Nodes do not flush in step.
-        timers.at(nowUs + FLUSH_US * (1 + number % 7) / 7, () -> flush(nowUs + FLUSH_US * (1 + number % 7) / 7));
+        timers.schedule(nowUs + FLUSH_US * (1 + number % 7) / 7, () -> flush(nowUs + FLUSH_US * (1 + number % 7) / 7));
     }
 
     /** The node as discovery lists it. */
@@ -172,7 +172,7 @@
             putOffMs = 0;
         }
         plan(nowUs);
-        timers.at(nowUs + FLUSH_US, () -> flush(nowUs + FLUSH_US));
+        timers.schedule(nowUs + FLUSH_US, () -> flush(nowUs + FLUSH_US));
     }
 
     /** Does the work since the last look; a change of speed in between must have been looked at. */
@@ -201,7 +201,7 @@
             long atUs = nowUs + Math.max(1, (long) Math.ceil(leastMs / speed * 1000));
             // While it warms its speed changes, so it is looked at often.
             long lookUs = warmth(nowUs) < 1 ? Math.min(atUs, nowUs + WARM_STEP_US) : atUs;
-            next = timers.at(lookUs, () -> {
+            next = timers.schedule(lookUs, () -> {
                 next = null;
                 advance(lookUs);
                 plan(lookUs);
--- a/src/main/java/petrelstand/lab/WaitTrial.java
+++ b/src/main/java/petrelstand/lab/WaitTrial.java
@@ -10,11 +10,11 @@
 import petrelstand.config.IniFile;
 import petrelstand.core.Attempt;
 import petrelstand.core.Broker;
-import petrelstand.core.ClientSide;
+import petrelstand.core.ClientHandler;
 import petrelstand.core.Counters;
 import petrelstand.core.Demand;
 import petrelstand.core.Node;
-import petrelstand.core.ServerSide;
+import petrelstand.core.NodeTransport;
 import petrelstand.core.Timers;
 import petrelstand.decision.Scheduling.ListKind;
 
@@ -98,8 +98,8 @@
         this.broker =
                 new Broker(WORLD.settings(0), seed, () -> nowUs, timers, new Server(), new Counters(), line -> {});
         Accounts accounts = new Accounts(WORLD.cores(), LabNode.WARM_MS, this::over);
-        broker.watch(accounts);
-        broker.nodes(
+        broker.setObserver(accounts);
+        broker.updateNodes(
                 ListKind.WHOLE,
                 java.util.Arrays.stream(nodes).map(LabNode::listed).toList());
     }
@@ -134,20 +134,20 @@
                         UNTIL_US,
                         () -> nodes[0].accept(nowUs, others.nextInt(3, 6) * WORLD.unitMs(), false, how -> {}));
             case SLOW -> {
-                timers.at(FROM_US, () -> nodes[0].slow(nowUs, 3));
-                timers.at(UNTIL_US, () -> nodes[0].slow(nowUs, 1));
+                timers.schedule(FROM_US, () -> nodes[0].slow(nowUs, 3));
+                timers.schedule(UNTIL_US, () -> nodes[0].slow(nowUs, 1));
             }
             case PAUSES -> {
                 for (long at = FROM_US; at < UNTIL_US; at += 1_000_000) {
-                    timers.at(at, () -> nodes[0].pause(nowUs, true));
-                    timers.at(at + 250_000, () -> nodes[0].pause(nowUs, false));
+                    timers.schedule(at, () -> nodes[0].pause(nowUs, true));
+                    timers.schedule(at + 250_000, () -> nodes[0].pause(nowUs, false));
                 }
             }
             default -> {}
         }
-        while (timers.nextUs() <= END_US + 8_000_000) {
-            nowUs = Math.max(nowUs, timers.nextUs());
-            timers.run(nowUs);
+        while (timers.nextDueUs() <= END_US + 8_000_000) {
+            nowUs = Math.max(nowUs, timers.nextDueUs());
+            timers.runDue(nowUs);
         }
         return waits;
     }
@@ -160,7 +160,7 @@
     private void every(SplittableRandom random, double perSecond, long fromUs, long untilUs, Runnable what) {
         long at = fromUs + 1 + (long) (-Math.log(1 - random.nextDouble()) / perSecond * 1e6);
         if (at < untilUs) {
-            timers.at(at, () -> {
+            timers.schedule(at, () -> {
                 what.run();
                 every(random, perSecond, at, untilUs, what);
             });
@@ -170,11 +170,11 @@
     private void ask(int kind, long volume, int shard, double units, SplittableRandom random) {
         double work = units * WORLD.unitMs() * random.nextDouble(0.85, 1.15);
         boolean counts = kind == 0 && shard == 0 && nowUs >= FROM_US && nowUs < UNTIL_US + 2_000_000;
-        broker.take(
+        broker.submit(
                 new Demand(kind, 1, random.nextLong(), volume, units, shard, 1, false, false, (long)
                         (WORLD.settings(0).classes().get(kind).deadlineMs() * 1000)),
                 work,
-                new ClientSide() {
+                new ClientHandler() {
                     @Override
                     public boolean served(Object answer) {
                         return true;
@@ -204,19 +204,19 @@
         }
     }
 
-    private final class Server implements ServerSide {
+    private final class Server implements NodeTransport {
         @Override
         public void start(Attempt attempt) {
             LabNode node = byNumber.get(attempt.node().number());
             double work = (double) attempt.exchange().message();
             long arrivesUs = nowUs + NETWORK_US;
-            timers.at(arrivesUs, () -> {
-                attempt.written();
+            timers.schedule(arrivesUs, () -> {
+                attempt.requestWritten();
                 node.accept(
                         arrivesUs,
                         work,
                         false,
-                        how -> timers.at(nowUs + NETWORK_US, () -> attempt.ended(how, "body", Map.of())));
+                        how -> timers.schedule(nowUs + NETWORK_US, () -> attempt.end(how, "body", Map.of())));
             });
         }
 
@@ -224,10 +224,10 @@
         public void abandon(Attempt attempt) {}
 
         @Override
-        public void probe(Node node, long timeoutUs, ProbeResult result) {}
+        public void probe(Node node, long timeoutUs, ProbeCallback result) {}
 
         @Override
-        public void forget(Node node) {}
+        public void discardConnections(Node node) {}
     }
 
     /** The table of what was added to the reads' waits, and on whom it was laid, over seeds. */
--- a/src/main/java/petrelstand/lifecycle/ExitStatus.java
+++ b/src/main/java/petrelstand/lifecycle/ExitStatus.java
@@ -10,7 +10,7 @@
     public static final int FATAL_ERROR = 70;
     /** Its event loop has stood still for {@link StallDetector#LIMIT_NS}. */
     public static final int LOOP_STALLED = 71;
-    /** After SIGTERM or SIGINT it had not ended by itself in {@link Lifecycle.Times#forcedEndUs()}. */
+    /** After SIGTERM or SIGINT it had not ended by itself in {@link Lifecycle.Delays#forcedEndUs()}. */
     public static final int SHUTDOWN_OVERDUE = 72;
 
     private ExitStatus() {}
--- a/src/main/java/petrelstand/lifecycle/Lifecycle.java
+++ b/src/main/java/petrelstand/lifecycle/Lifecycle.java
@@ -6,7 +6,7 @@
 /**
  * What a gateway's process does with connections and requests in each part of its life, from the start to the end: a
  * function of what was asked of it, and when, and of the time. No timer belongs to it, so nothing of a former phase is
- * left behind where phases cross: whoever carries it out asks at the turn's time, and again at {@link #nextUs}.
+ * left behind where phases cross: whoever carries it out asks at the turn's time, and again at {@link #nextChangeUs}.
  *
  * <p>Times are microseconds of the loop's clock. Not for several threads, but for {@link #forcedEndUs}.
  */
@@ -31,23 +31,26 @@
      * @param lastOpenUs from SIGTERM until no connection is opened here any more, where no other process takes them
      * @param killUs from SIGTERM until the process may be killed
      */
-    public record Times(long notedUs, long drainedUs, long lastOpenUs, long killUs) {
+    public record Delays(long readinessLagUs, long drainAcceptUs, long shutdownAcceptUs, long killUs) {
         /** The front asks ten times a second, and stops 0.2 s after a no; a tenth of a second is margin. */
-        static final long NOTED_US = 400_000;
+        static final long READINESS_LAG_US = 400_000;
         /** A connection may not have a request of the last 2 s 4 s after the call; a tenth of a second is margin. */
-        static final long DRAINED_US = 1_900_000;
+        static final long DRAIN_ACCEPT_US = 1_900_000;
         /** Connections come for up to 0.4 s after SIGTERM; the rest is margin. */
-        static final long LAST_OPEN_US = 550_000;
+        static final long SHUTDOWN_ACCEPT_US = 550_000;
 
-        static final long LEAST_DEADLINE_US = 3_000_000;
+        static final long MIN_DEADLINE_US = 3_000_000;
         static final long KILL_AFTER_US = 700_000;
         /** Before the kill: what has not ended by itself is ended then, so that it says so. */
         static final long FORCED_BEFORE_KILL_US = 50_000;
 
-        public Times {
-            if (notedUs < 0 || drainedUs < notedUs || lastOpenUs < 0 || killUs < lastOpenUs) {
-                throw new IllegalArgumentException(
-                        "times out of order: " + notedUs + ", " + drainedUs + ", " + lastOpenUs + ", " + killUs);
+        public Delays {
+            if (readinessLagUs < 0
+                    || drainAcceptUs < readinessLagUs
+                    || shutdownAcceptUs < 0
+                    || killUs < shutdownAcceptUs) {
+                throw new IllegalArgumentException("times out of order: " + readinessLagUs + ", " + drainAcceptUs + ", "
+                        + shutdownAcceptUs + ", " + killUs);
             }
         }
 
@@ -57,7 +60,7 @@
         }
 
         /** The platform's, under settings. */
-        public static Times of(Settings settings) {
+        public static Delays of(Settings settings) {
             return of((long) (1000
                     * settings.classes().stream()
                             .mapToDouble(RequestClass::deadlineMs)
@@ -66,9 +69,12 @@
         }
 
         /** The platform's, where the longest deadline is so long. */
-        public static Times of(long longestDeadlineUs) {
-            return new Times(
-                    NOTED_US, DRAINED_US, LAST_OPEN_US, Math.max(LEAST_DEADLINE_US, longestDeadlineUs) + KILL_AFTER_US);
+        public static Delays of(long longestDeadlineUs) {
+            return new Delays(
+                    READINESS_LAG_US,
+                    DRAIN_ACCEPT_US,
+                    SHUTDOWN_ACCEPT_US,
+                    Math.max(MIN_DEADLINE_US, longestDeadlineUs) + KILL_AFTER_US);
         }
     }
 
@@ -76,21 +82,21 @@
     /** Before the kill: an answer that is given by then is written whole. */
     static final long LAST_ANSWER_US = 200_000;
     /** With less time than this left a request is not begun. */
-    static final long LEAST_GRANT_US = 100_000;
+    static final long MIN_ALLOWED_TIME_US = 100_000;
 
     private static final long AGAIN_US = 500_000;
 
     /** Replaced on the loop's thread alone. */
-    private volatile Times times;
+    private volatile Delays setDelays;
 
     private Phase phase = Phase.STARTING;
     /** When the phase began. */
     private long sinceUs;
     /** A second process of this gateway listens at the same address. */
-    private boolean hotRestart;
+    private boolean setSuccessorListening;
 
-    public Lifecycle(Times times) {
-        this.times = times;
+    public Lifecycle(Delays times) {
+        this.setDelays = times;
     }
 
     public Phase phase() {
@@ -98,21 +104,21 @@
     }
 
     /** Other settings: a process that is being ended keeps the times by which it was told to end. */
-    public void times(Times changed) {
+    public void setDelays(Delays changed) {
         if (phase != Phase.ENDING) {
-            times = changed;
+            setDelays = changed;
         }
     }
 
     /** From SIGTERM until the process ends whatever its loop does, under the settings in use; from any thread. */
     public long forcedEndUs() {
-        return times.forcedEndUs();
+        return setDelays.forcedEndUs();
     }
 
     // ---- What happens to it ----
 
     /** Its listeners are open. */
-    public void serving(long nowUs) {
+    public void startServing(long nowUs) {
         if (phase == Phase.STARTING) {
             enter(Phase.SERVING, nowUs);
         }
@@ -147,8 +153,8 @@
     }
 
     /** Whether a second process of this gateway listens at the clients' address. */
-    public void hotRestart(boolean listens) {
-        hotRestart = listens;
+    public void setSuccessorListening(boolean listens) {
+        setSuccessorListening = listens;
     }
 
     private void enter(Phase next, long nowUs) {
@@ -159,7 +165,7 @@
     // ---- What it means ----
 
     /** What {@code /ready} says at the clients' address. */
-    public boolean saysYes() {
+    public boolean isReady() {
         return phase == Phase.SERVING;
     }
 
@@ -169,26 +175,28 @@
     }
 
     /** Whether an answer given now ends its connection. */
-    public boolean endsWithAnswer(long nowUs) {
-        return phase == Phase.ENDING || phase == Phase.DRAINED && nowUs >= sinceUs + times.notedUs();
+    public boolean closesAfterAnswer(long nowUs) {
+        return phase == Phase.ENDING || phase == Phase.DRAINED && nowUs >= sinceUs + setDelays.readinessLagUs();
     }
 
     /** Whether connections close that are between requests. */
-    public boolean closesIdle(long nowUs) {
-        return phase == Phase.ENDING ? !listens(nowUs) : endsWithAnswer(nowUs);
+    public boolean closesIdleConnections(long nowUs) {
+        return phase == Phase.ENDING ? !acceptsConnections(nowUs) : closesAfterAnswer(nowUs);
     }
 
     /**
      * Whether idle connections close some at a time: their clients come back at once, to a process that has just begun
      * or to other gateways. Where nobody takes them yet, the sooner this process is gone the better.
      */
-    public boolean spreads() {
-        return phase == Phase.DRAINED || hotRestart;
+    public boolean closesIdleGradually() {
+        return phase == Phase.DRAINED || setSuccessorListening;
     }
 
     /** Whether new connections are taken: to the end of them after SIGTERM, unless the other process takes them. */
-    public boolean listens(long nowUs) {
-        return phase == Phase.ENDING ? !hotRestart && nowUs < sinceUs + times.lastOpenUs() : phase != Phase.STARTING;
+    public boolean acceptsConnections(long nowUs) {
+        return phase == Phase.ENDING
+                ? !setSuccessorListening && nowUs < sinceUs + setDelays.shutdownAcceptUs()
+                : phase != Phase.STARTING;
     }
 
     /**
@@ -196,13 +204,13 @@
      * once. Late in a drain nothing is taken, and after SIGTERM what is taken is given up in time for its answer to be
      * written before the process may be killed.
      */
-    public long grantsUs(long nowUs, long leftUs) {
+    public long allowedTimeUs(long nowUs, long leftUs) {
         long lastUs = lastAnswerUs() - nowUs;
         return switch (phase) {
             case STARTING -> 0;
             case SERVING -> leftUs;
-            case DRAINED -> nowUs < sinceUs + times.drainedUs() ? leftUs : 0;
-            case ENDING -> leftUs <= lastUs ? leftUs : lastUs >= LEAST_GRANT_US ? lastUs : 0;
+            case DRAINED -> nowUs < sinceUs + setDelays.drainAcceptUs() ? leftUs : 0;
+            case ENDING -> leftUs <= lastUs ? leftUs : lastUs >= MIN_ALLOWED_TIME_US ? lastUs : 0;
         };
     }
 
@@ -210,22 +218,24 @@
      * When the last answer has to be given, once the process ends: what was taken before under longer deadlines too.
      */
     public long lastAnswerUs() {
-        return phase == Phase.ENDING ? sinceUs + times.killUs() - LAST_ANSWER_US : NEVER;
+        return phase == Phase.ENDING ? sinceUs + setDelays.killUs() - LAST_ANSWER_US : NEVER;
     }
 
     /**
      * When a request that is not taken may come again, µs: another gateway is told by then, or the next process serves.
      */
     public long retryAfterUs(long nowUs) {
-        return phase == Phase.ENDING && !hotRestart ? Math.max(AGAIN_US, sinceUs + times.killUs() - nowUs) : AGAIN_US;
+        return phase == Phase.ENDING && !setSuccessorListening
+                ? Math.max(AGAIN_US, sinceUs + setDelays.killUs() - nowUs)
+                : AGAIN_US;
     }
 
     /** The next moment at which one of the answers above changes by time alone; Long.MAX_VALUE: none does. */
-    public long nextUs(long nowUs) {
+    public long nextChangeUs(long nowUs) {
         long next = NEVER;
         long[] moments = phase == Phase.DRAINED
-                ? new long[] {times.notedUs(), times.drainedUs()}
-                : phase == Phase.ENDING ? new long[] {times.lastOpenUs()} : new long[0];
+                ? new long[] {setDelays.readinessLagUs(), setDelays.drainAcceptUs()}
+                : phase == Phase.ENDING ? new long[] {setDelays.shutdownAcceptUs()} : new long[0];
         for (long moment : moments) {
             next = sinceUs + moment > nowUs ? Math.min(next, sinceUs + moment) : next;
         }
--- a/src/main/java/petrelstand/lifecycle/MemoryPlan.java
+++ b/src/main/java/petrelstand/lifecycle/MemoryLimits.java
@@ -13,8 +13,13 @@
  * @param answerBytes answers that are being read
  * @param writtenBytes answers that are being written
  */
-public record MemoryPlan(
-        int clients, int nodes, long bodyBytes, long requestBytes, long answerBytes, long writtenBytes) {
+public record MemoryLimits(
+        int clientConnections,
+        int nodeConnections,
+        long bodyBytes,
+        long requestReadBytes,
+        long answerReadBytes,
+        long answerWriteBytes) {
     private static final long MIB = 1 << 20;
     /** Live after a start and its first requests (4.4 MB were measured), and as much again for what is garbage soon. */
     static final long BASE_BYTES = 9 * MIB;
@@ -35,12 +40,12 @@
     private static final long MOST_BODIES = MOST_REQUESTS + MOST_ANSWERS + MOST_WRITTEN;
 
     /** Below these a gateway serves nobody. */
-    static final int LEAST_CONNECTIONS = 8;
+    static final int MIN_CONNECTIONS = 8;
 
-    static final long LEAST_BODIES = MIB;
+    static final long MIN_BODY_BYTES = MIB;
 
     /** The bounds where memory is not short. */
-    public static final MemoryPlan AMPLE = bodies(Integer.MAX_VALUE, Integer.MAX_VALUE, MOST_BODIES);
+    public static final MemoryLimits MAXIMUM = bodies(Integer.MAX_VALUE, Integer.MAX_VALUE, MOST_BODIES);
 
     /**
      * The bounds for a gateway. Connections have half at most of what the fixed parts leave.
@@ -54,11 +59,11 @@
      * @param volumes volumes that are remembered at most
      * @throws IllegalArgumentException where not even the least fits; its text names the field
      */
-    public static MemoryPlan of(
+    public static MemoryLimits of(
             long heapBytes, long memoryBytes, int sockets, int clients, int nodes, int listedNodes, int volumes) {
-        if (Math.min(clients, nodes) < LEAST_CONNECTIONS) {
+        if (Math.min(clients, nodes) < MIN_CONNECTIONS) {
             throw new IllegalArgumentException("limits.sockets: " + sockets + " leave " + Math.max(0, clients)
-                    + " connections for clients and " + Math.max(0, nodes) + " for nodes; " + LEAST_CONNECTIONS
+                    + " connections for clients and " + Math.max(0, nodes) + " for nodes; " + MIN_CONNECTIONS
                     + " of each are needed");
         }
         boolean told = memoryBytes > 0 && memoryBytes < heapBytes;
@@ -68,7 +73,7 @@
         int clientsHeld = (int) (clients * part);
         int nodesHeld = (int) (nodes * part);
         long bodies = free - clientsHeld * CLIENT_BYTES - nodesHeld * NODE_CONNECTION_BYTES;
-        if (Math.min(clientsHeld, nodesHeld) < LEAST_CONNECTIONS || bodies < LEAST_BODIES) {
+        if (Math.min(clientsHeld, nodesHeld) < MIN_CONNECTIONS || bodies < MIN_BODY_BYTES) {
             throw new IllegalArgumentException((told ? "limits.memory_mb: " : "the heap (-Xmx): ") + memory / MIB
                     + " MiB leave " + Math.max(0, free) / MIB + " MiB beside " + volumes + " volumes and " + listedNodes
                     + " nodes, too little for connections and bodies");
@@ -76,8 +81,8 @@
         return bodies(clientsHeld, nodesHeld, Math.min(MOST_BODIES, bodies));
     }
 
-    private static MemoryPlan bodies(int clients, int nodes, long bytes) {
-        return new MemoryPlan(
+    private static MemoryLimits bodies(int clients, int nodes, long bytes) {
+        return new MemoryLimits(
                 clients,
                 nodes,
                 bytes,
@@ -87,10 +92,12 @@
     }
 
     /** The bounds as one line of the log. */
-    public String line() {
-        return "memory: at most " + clients + " connections of clients and " + nodes + " to nodes; bodies "
-                + kib(bodyBytes) + " KiB in all, of requests being read " + kib(requestBytes)
-                + ", of answers being read " + kib(answerBytes) + ", of answers being written " + kib(writtenBytes);
+    public String toLogLine() {
+        return "memory: at most " + clientConnections + " connections of clients and " + nodeConnections
+                + " to nodes; bodies "
+                + kib(bodyBytes) + " KiB in all, of requests being read " + kib(requestReadBytes)
+                + ", of answers being read " + kib(answerReadBytes) + ", of answers being written "
+                + kib(answerWriteBytes);
     }
 
     private static long kib(long bytes) {
--- a/src/main/java/petrelstand/lifecycle/ProcessShare.java
+++ b/src/main/java/petrelstand/lifecycle/ProcessShare.java
@@ -18,9 +18,9 @@
     /** How long the findings of a look may be relied on. Looks come ten times as often. */
     public static final long LEASE_US = 1_000_000;
     /** Beyond the lease, for a turn of the other process's loop that goes by the time at which it began. */
-    public static final long LONGEST_TURN_US = 500_000;
+    public static final long MAX_TURN_US = 500_000;
 
-    private boolean marked;
+    private boolean recordMark;
     private long spendsFromUs;
     private long lookedUs;
     private int others;
@@ -29,15 +29,15 @@
      * This process left its mark, at the latest at a time, and then looked and found so many others. Called anew where
      * its mark had vanished and was left again.
      */
-    public void marked(long atUs, int found) {
-        boolean first = !marked;
-        marked = true;
-        spendsFromUs = first && found == 0 ? Long.MIN_VALUE : atUs + LEASE_US + LONGEST_TURN_US;
-        looked(atUs, found);
+    public void recordMark(long atUs, int found) {
+        boolean first = !recordMark;
+        recordMark = true;
+        spendsFromUs = first && found == 0 ? Long.MIN_VALUE : atUs + LEASE_US + MAX_TURN_US;
+        recordScan(atUs, found);
     }
 
     /** A look that began at a time found so many other processes. */
-    public void looked(long beganUs, int found) {
+    public void recordScan(long beganUs, int found) {
         lookedUs = beganUs;
         others = found;
     }
@@ -46,8 +46,8 @@
      * From 0 to 1. A process that could not leave a mark can't be seen either: it has half, as the other one has whose
      * mark failed in the same folder.
      */
-    public double part(long nowUs) {
-        if (!marked) {
+    public double share(long nowUs) {
+        if (!recordMark) {
             return 0.5;
         }
         if (nowUs < spendsFromUs) {
--- a/src/main/java/petrelstand/net/EventLoop.java
+++ b/src/main/java/petrelstand/net/EventLoop.java
@@ -394,9 +394,9 @@
         private int turn(Selector selector) throws IOException {
             turns++;
             executor.selector = selector;
-            guarded(() -> timers.run(clock.nowUs()));
+            guarded(() -> timers.runDue(clock.nowUs()));
             executor.runAll();
-            long waitUs = timers.nextUs() - clock.readUs();
+            long waitUs = timers.nextDueUs() - clock.readUs();
             int selected = waitUs <= 0 || !executor.isEmpty()
                     ? selector.selectNow()
                     : selector.select(waitUs > 60_000_000 ? 60_000 : (waitUs + 999) / 1000);
@@ -472,7 +472,7 @@
 
         @Override
         public Task schedule(Runnable task, long delay, TimeUnit units) {
-            return timers.at(clock.nowUs() + units.toMicros(delay), task)::cancel;
+            return timers.schedule(clock.nowUs() + units.toMicros(delay), task)::cancel;
         }
     }
 }
--- a/src/main/java/petrelstand/operation/OperatorConnection.java
+++ b/src/main/java/petrelstand/operation/OperatorConnection.java
@@ -49,7 +49,8 @@
     @Override
     public void onOpen() {
         super.onOpen();
-        limit = door.timers().at(door.nowUs() + OperatorDoor.CALL_US, () -> answer(408, "the call did not come whole"));
+        limit = door.timers()
+                .schedule(door.nowUs() + OperatorDoor.CALL_US, () -> answer(408, "the call did not come whole"));
         fillInterested();
     }
 
@@ -152,7 +153,7 @@
         state = State.ANSWERING;
         ByteBuffer content = BufferUtil.toBuffer(text.endsWith("\n") ? text : text + "\n", StandardCharsets.UTF_8);
         limit.cancel();
-        limit = door.timers().at(door.nowUs() + OperatorDoor.CALL_US, this::close);
+        limit = door.timers().schedule(door.nowUs() + OperatorDoor.CALL_US, this::close);
         getEndPoint()
                 .write(
                         nonBlocking(this::linger, cause -> close()),
@@ -166,7 +167,7 @@
             state = State.LINGERING;
             getEndPoint().shutdownOutput();
             limit.cancel();
-            limit = door.timers().at(door.nowUs() + OperatorDoor.LINGER_US, this::close);
+            limit = door.timers().schedule(door.nowUs() + OperatorDoor.LINGER_US, this::close);
         }
     }
 
--- a/src/main/java/petrelstand/operation/OperatorDoor.java
+++ b/src/main/java/petrelstand/operation/OperatorDoor.java
@@ -45,9 +45,9 @@
 
     /** A connection; where there are too many, the oldest goes. */
     public Connection accept(EndPoint endPoint) {
-        counters.add("operator.connections");
+        counters.increment("operator.connections");
         if (connections.size() >= MOST_CONNECTIONS) {
-            counters.add("operator.gave_way");
+            counters.increment("operator.gave_way");
             connections.iterator().next().close();
         }
         OperatorConnection connection = new OperatorConnection(endPoint, this);
@@ -71,7 +71,7 @@
         if (!call.method().equals(method)) {
             return new Answer(405, path + " is called by " + call.method());
         }
-        counters.add("operator.calls");
+        counters.increment("operator.calls");
         return call.action().get();
     }
 
--- a/src/main/java/petrelstand/operation/Telemetry.java
+++ b/src/main/java/petrelstand/operation/Telemetry.java
@@ -3,8 +3,8 @@
 import java.util.function.IntSupplier;
 import petrelstand.core.Broker;
 import petrelstand.core.Counters;
-import petrelstand.core.Figures;
-import petrelstand.core.Figures.End;
+import petrelstand.core.RequestCounts;
+import petrelstand.core.RequestCounts.RequestResult;
 
 /** The figures as a text, one a line: {@code name:value|c} for what counts up, {@code |g} for what is now. */
 public final class Telemetry {
@@ -23,17 +23,17 @@
 
     /** The page as of this turn. */
     public String text() {
-        Figures figures = broker.figures();
+        RequestCounts figures = broker.requestCounts();
         StringBuilder text = new StringBuilder();
-        for (String kind : figures.classes()) {
-            count(text, "passed." + kind, figures.count(kind, End.SERVED));
-            count(text, "dropped." + kind, figures.count(kind, End.REFUSED));
-            count(text, "bad_gateway." + kind, figures.count(kind, End.FAILED));
+        for (String kind : figures.classNames()) {
+            count(text, "passed." + kind, figures.count(kind, RequestResult.SERVED));
+            count(text, "dropped." + kind, figures.count(kind, RequestResult.REFUSED));
+            count(text, "bad_gateway." + kind, figures.count(kind, RequestResult.FAILED));
         }
-        count(text, "upstream_tries", figures.tries());
-        gauge(text, "in_progress", broker.inProgress() + writing.getAsInt());
-        gauge(text, "known_storage_nodes", broker.listedNodes());
-        gauge(text, "skipped_storage_nodes", broker.avoidedNodes());
+        count(text, "upstream_tries", figures.attempts());
+        gauge(text, "in_progress", broker.requestsInProgress() + writing.getAsInt());
+        gauge(text, "known_storage_nodes", broker.listedNodeCount());
+        gauge(text, "skipped_storage_nodes", broker.avoidedNodeCount());
         count(text, "loads", counters.get("reloads"));
         count(text, "load_errors", counters.get("reloads.failed"));
         return text.toString();
--- a/src/main/java/petrelstand/report/AccountsPage.java
+++ b/src/main/java/petrelstand/report/AccountsPage.java
@@ -36,7 +36,7 @@
     public static AccountsPage watch(Broker broker, int nodeCores) {
         Book book = new Book();
         Accounts accounts = new Accounts(nodeCores, broker.settings().rules().warmUpMs(), book);
-        broker.watch(accounts);
+        broker.setObserver(accounts);
         return new AccountsPage(broker, accounts, book);
     }
 
@@ -77,7 +77,7 @@
 
     /** The same accounts as metrics. */
     public MetricsPage metrics() {
-        return new MetricsPage(settings, book, broker.figures());
+        return new MetricsPage(settings, book, broker.requestCounts());
     }
 
     AccountsPage(Broker broker, Accounts accounts, Book book) {
--- a/src/main/java/petrelstand/report/MetricsPage.java
+++ b/src/main/java/petrelstand/report/MetricsPage.java
@@ -17,7 +17,7 @@
 import java.util.function.Supplier;
 import petrelstand.accounts.Book;
 import petrelstand.accounts.Cause;
-import petrelstand.core.Figures;
+import petrelstand.core.RequestCounts;
 import petrelstand.decision.Scheduling.Settings;
 
 /**
@@ -30,9 +30,9 @@
 
     private final Supplier<Settings> settings;
     private final Book book;
-    private final Figures figures;
+    private final RequestCounts figures;
 
-    MetricsPage(Supplier<Settings> settings, Book book, Figures figures) {
+    MetricsPage(Supplier<Settings> settings, Book book, RequestCounts figures) {
         this.figures = figures;
         this.settings = settings;
         this.book = book;
@@ -95,8 +95,8 @@
         CounterSnapshot.Builder ends = CounterSnapshot.builder()
                 .name("petrelstand_ends")
                 .help("Requests that are over, by class and how they ended");
-        for (String kind : figures.classes()) {
-            for (Figures.End end : Figures.End.values()) {
+        for (String kind : figures.classNames()) {
+            for (RequestCounts.RequestResult end : RequestCounts.RequestResult.values()) {
                 ends.dataPoint(CounterDataPointSnapshot.builder()
                         .labels(Labels.of("class", kind, "how", end.name().toLowerCase(Locale.ROOT)))
                         .value(figures.count(kind, end))
@@ -111,7 +111,7 @@
                 .name("petrelstand_upstream_tries")
                 .help("Attempts written whole to storage nodes")
                 .dataPoint(CounterDataPointSnapshot.builder()
-                        .value(figures.tries())
+                        .value(figures.attempts())
                         .build())
                 .build();
     }
--- a/src/main/java/petrelstand/retuning/Retuning.java
+++ b/src/main/java/petrelstand/retuning/SettingsTransition.java
@@ -21,18 +21,18 @@
  *
  * <p>Classes and capabilities change so; what else the settings hold needs a restart.
  */
-public final class Retuning {
+public final class SettingsTransition {
     /** Clients name a new class so long after the reload, ms, and its rules bind from then. */
-    static final double BINDS_MS = 1_200;
+    static final double NEW_RULES_DELAY_MS = 1_200;
     /** Classes that a process can have known: each takes a place for good. */
-    static final int MOST_CLASSES = 256;
+    static final int MAX_CLASSES = 256;
 
     private static final double US = 1000;
 
     /** Settings in use from a time on, µs, and the names of classes that are no longer taken then. */
-    public record Step(long atUs, Settings settings, Set<String> closed) {}
+    public record Step(long atUs, Settings settings, Set<String> closedClasses) {}
 
-    private Retuning() {}
+    private SettingsTransition() {}
 
     /**
      * What holds after a reload, in order of time; the first step holds from now on.
@@ -54,7 +54,7 @@
                 .orElseThrow();
         Set<String> dropped = new HashSet<>(names(between));
         dropped.removeAll(named);
-        long bindsUs = nowUs + (long) (US * BINDS_MS);
+        long bindsUs = nowUs + (long) (US * NEW_RULES_DELAY_MS);
         List<Step> steps =
                 new ArrayList<>(List.of(new Step(nowUs, between, reopened), new Step(bindsUs, after, reopened)));
         if (!dropped.equals(reopened)) {
@@ -64,7 +64,7 @@
     }
 
     /** What differs that only a restart can take, by the names that the file has for it. */
-    public static List<String> fixed(Settings inUse, Settings changed) {
+    public static List<String> restartOnlyChanges(Settings inUse, Settings changed) {
         List<String> names = new ArrayList<>();
         note(names, "plans", inUse.plans().equals(changed.plans()));
         note(names, "rules", inUse.rules().equals(changed.rules()));
@@ -92,14 +92,14 @@
         List<RequestClass> classes = new ArrayList<>();
         for (RequestClass old : inUse.classes()) {
             RequestClass now = find(changed.classes(), old.name());
-            classes.add(now == null ? dropped(old, both) : both ? stricter(old, now) : now);
+            classes.add(now == null ? dropped(old, both) : both ? stricterOf(old, now) : now);
         }
         changed.classes().stream()
                 .filter(now -> find(inUse.classes(), now.name()) == null)
                 .forEach(classes::add);
-        if (classes.size() > MOST_CLASSES) {
+        if (classes.size() > MAX_CLASSES) {
             throw new IllegalArgumentException("settings: classes: " + classes.size() + " since the start, where "
-                    + MOST_CLASSES + " can be known; a restart forgets those that were dropped");
+                    + MAX_CLASSES + " can be known; a restart forgets those that were dropped");
         }
         return classes;
     }
@@ -131,7 +131,7 @@
     }
 
     /** What both allow of a class; for the rest, which breaks no rule, the new figures. */
-    static RequestClass stricter(RequestClass old, RequestClass now) {
+    static RequestClass stricterOf(RequestClass old, RequestClass now) {
         Effect effect =
                 Effect.values()[Math.max(old.effect().ordinal(), now.effect().ordinal())];
         boolean bothKeyed = old.effect() == Effect.KEYED && now.effect() == Effect.KEYED;
--- a/src/main/java/petrelstand/rsync/ByWire.java
+++ b/src/main/java/petrelstand/rsync/ByWire.java
@@ -2,11 +2,11 @@
 
 import petrelstand.core.Attempt;
 import petrelstand.core.Node;
-import petrelstand.core.ServerSide;
+import petrelstand.core.NodeTransport;
 
 /** Sends each attempt to the server side that speaks its node's wire: private shards are rsync nodes. */
-public record ByWire(ServerSide platform, ServerSide rsync) implements ServerSide {
-    private ServerSide of(Node node) {
+public record ByWire(NodeTransport platform, NodeTransport rsync) implements NodeTransport {
+    private NodeTransport of(Node node) {
         return node.isPrivate() ? rsync : platform;
     }
 
@@ -21,12 +21,12 @@
     }
 
     @Override
-    public void probe(Node node, long timeoutUs, ProbeResult result) {
+    public void probe(Node node, long timeoutUs, ProbeCallback result) {
         of(node).probe(node, timeoutUs, result);
     }
 
     @Override
-    public void forget(Node node) {
-        of(node).forget(node);
+    public void discardConnections(Node node) {
+        of(node).discardConnections(node);
     }
 }
--- a/src/main/java/petrelstand/rsync/ClientSession.java
+++ b/src/main/java/petrelstand/rsync/ClientSession.java
@@ -7,7 +7,7 @@
 import org.eclipse.jetty.io.EndPoint;
 import petrelstand.config.RsyncConfig;
 import petrelstand.core.Attempt;
-import petrelstand.core.ClientSide;
+import petrelstand.core.ClientHandler;
 import petrelstand.core.Demand;
 import petrelstand.core.Exchange;
 import petrelstand.core.Timers;
@@ -17,7 +17,7 @@
  * An rsync client's connection. The request is taken when the client names its module, so a refusal is still one line
  * that every client understands; the client hears OK only when a node has opened the module for it.
  */
-final class ClientSession extends Session implements ClientSide, Transfer.ClientEnd {
+final class ClientSession extends Session implements ClientHandler, Transfer.ClientEnd {
     enum State {
         GREETING,
         MODULE,
@@ -56,7 +56,7 @@
     void opened() {
         write(Lines.GREETING);
         movedUs = front.broker().nowUs();
-        idle = front.timers().at(movedUs + front.config().idleUs(), this::checkIdle);
+        idle = front.timers().schedule(movedUs + front.config().idleUs(), this::checkIdle);
     }
 
     @Override
@@ -74,9 +74,9 @@
             due = now + front.config().idleUs();
         }
         if (now < due) {
-            idle = front.timers().at(due, this::checkIdle);
+            idle = front.timers().schedule(due, this::checkIdle);
         } else if (!isClosed()) {
-            front.broker().counters().add("rsync.idle");
+            front.broker().counters().increment("rsync.idle");
             front.log("a session idle for " + Lines.seconds(front.config().idleUs()) + " s was cut, " + state);
             leave("idle for " + Lines.seconds(front.config().idleUs()) + " s");
         }
@@ -145,7 +145,7 @@
         }
         RsyncConfig.Module module = front.config().module(name);
         if (module == null) {
-            front.broker().counters().add("rsync.unknown_module");
+            front.broker().counters().increment("rsync.unknown_module");
             end("Unknown module '" + name + "'");
         } else if (front.isDraining()) {
             end("draining, come again in " + Lines.seconds(COME_BACK_US) + " s");
@@ -164,7 +164,7 @@
                     .get(module.requestClass())
                     .writes();
             front.broker()
-                    .take(
+                    .submit(
                             new Demand(
                                     module.requestClass(),
                                     module.plan(),
@@ -238,7 +238,7 @@
 
     @Override
     void malformed(String why) {
-        front.broker().counters().add("rsync.malformed");
+        front.broker().counters().increment("rsync.malformed");
         leave(why);
     }
 
@@ -287,7 +287,7 @@
         finish();
         write(bytes, () -> {
             getEndPoint().shutdownOutput();
-            idle = front.timers().at(front.broker().nowUs() + 500_000, this::close);
+            idle = front.timers().schedule(front.broker().nowUs() + 500_000, this::close);
         });
         resume();
     }
@@ -296,7 +296,7 @@
         state = State.ENDING;
         exchange = null;
         idle.cancel();
-        idle = front.timers().at(front.broker().nowUs() + front.config().idleUs(), this::close);
+        idle = front.timers().schedule(front.broker().nowUs() + front.config().idleUs(), this::close);
     }
 
     @Override
--- a/src/main/java/petrelstand/rsync/NodeSession.java
+++ b/src/main/java/petrelstand/rsync/NodeSession.java
@@ -106,7 +106,7 @@
 
     private void end(Outcome outcome) {
         close();
-        attempt.ended(outcome, null, null);
+        attempt.end(outcome, null, null);
     }
 
     @Override
--- a/src/main/java/petrelstand/rsync/RsyncFront.java
+++ b/src/main/java/petrelstand/rsync/RsyncFront.java
@@ -37,7 +37,7 @@
         boolean full = sessions.size() >= config.mostTransfers();
         ClientSession session = new ClientSession(endPoint, this, full);
         sessions.add(session);
-        broker.counters().add("rsync.connections");
+        broker.counters().increment("rsync.connections");
         return session;
     }
 
@@ -82,7 +82,7 @@
 
     /** The client's arguments go on to the node: from here on the transfer may run. */
     void began(Exchange exchange) {
-        exchange.out().began();
+        exchange.activeAttempt().commit();
     }
 
     void closed(ClientSession session) {
--- a/src/main/java/petrelstand/rsync/RsyncNodes.java
+++ b/src/main/java/petrelstand/rsync/RsyncNodes.java
@@ -7,7 +7,7 @@
 import org.eclipse.jetty.io.EndPoint;
 import petrelstand.core.Attempt;
 import petrelstand.core.Node;
-import petrelstand.core.ServerSide;
+import petrelstand.core.NodeTransport;
 import petrelstand.core.Timers;
 import petrelstand.decision.Scheduling.Outcome;
 import petrelstand.http.NodePool;
@@ -15,7 +15,7 @@
 import petrelstand.net.EventLoop;
 
 /** The side that faces the rsync nodes: one new connection an attempt, since a daemon serves one transfer on each. */
-public final class RsyncNodes implements ServerSide {
+public final class RsyncNodes implements NodeTransport {
     /** Connect time-outs within which a node must have opened the module. */
     private static final int OPENING_TIMES = 4;
 
@@ -34,8 +34,8 @@
     @Override
     public void start(Attempt attempt) {
         Dial dial = new Dial(attempt);
-        attempt.handle(dial);
-        dial.timeout = timers.at(clock.getAsLong() + connectUs, dial::late);
+        attempt.attachment(dial);
+        dial.timeout = timers.schedule(clock.getAsLong() + connectUs, dial::late);
         try {
             dial.channel = dialer.connect(Addresses.parse(attempt.node().address()), dial);
         } catch (IOException | RuntimeException e) {
@@ -45,18 +45,18 @@
 
     @Override
     public void abandon(Attempt attempt) {
-        if (attempt.handle() instanceof Dial dial) {
+        if (attempt.attachment() instanceof Dial dial) {
             dial.drop();
         }
     }
 
     @Override
-    public void probe(Node node, long timeoutUs, ProbeResult result) {
+    public void probe(Node node, long timeoutUs, ProbeCallback result) {
         throw new UnsupportedOperationException("rsync nodes have no probe");
     }
 
     @Override
-    public void forget(Node node) {
+    public void discardConnections(Node node) {
         // No connection outlives its attempt.
     }
 
@@ -75,7 +75,7 @@
         public Connection connected(EndPoint endPoint) {
             session = new NodeSession(endPoint, attempt);
             timeout.cancel();
-            timeout = timers.at(clock.getAsLong() + OPENING_TIMES * connectUs, this::late);
+            timeout = timers.schedule(clock.getAsLong() + OPENING_TIMES * connectUs, this::late);
             return session;
         }
 
@@ -93,7 +93,7 @@
 
         private void fail() {
             drop();
-            attempt.ended(Outcome.NOT_CONNECTED, null, null);
+            attempt.end(Outcome.NOT_CONNECTED, null, null);
         }
 
         private void drop() {
--- a/src/main/java/petrelstand/store/AccountsLog.java
+++ b/src/main/java/petrelstand/store/AccountsLog.java
@@ -84,7 +84,7 @@
 
     private void offer(byte[] frame) {
         if (!waiting.offer(frame)) {
-            counters.add("accounts.dropped");
+            counters.increment("accounts.dropped");
         }
     }
 
--- a/src/main/java/petrelstand/store/StateKeeper.java
+++ b/src/main/java/petrelstand/store/StateKeeper.java
@@ -165,12 +165,12 @@
     public void start(Broker of) {
         broker = of;
         if (recalled != null) {
-            broker.recall(recalled);
+            broker.restoreLearnedState(recalled);
             recalled = null;
         }
         if (!off) {
             // The first look takes some 15 ms, for its code is not linked yet: better now than while it serves.
-            broker.learned();
+            broker.learnedState();
             plan = new WritePlan(nowUs.getAsLong(), everyUs);
             tick();
         }
@@ -190,14 +190,14 @@
             write(false);
         }
         plan.look(now).ifPresent(line -> {
-            counters.add("state.hung");
+            counters.increment("state.hung");
             log.accept(line);
         });
-        timers.at(plan.nextUs(now), this::tick);
+        timers.schedule(plan.nextUs(now), this::tick);
     }
 
     private void write(boolean clean) {
-        Snapshot snapshot = new Snapshot(gateway, settingsPrint, 0, wallMs.getAsLong(), clean, broker.learned());
+        Snapshot snapshot = new Snapshot(gateway, settingsPrint, 0, wallMs.getAsLong(), clean, broker.learnedState());
         plan.began(nowUs.getAsLong());
         disk.execute(() -> {
             String fault = null;
@@ -228,7 +228,7 @@
     }
 
     private void wrote(String fault) {
-        counters.add(fault == null ? "state.written" : "state.failed");
+        counters.increment(fault == null ? "state.written" : "state.failed");
         plan.ended(nowUs.getAsLong(), fault).ifPresent(log);
         if (atLast != null) {
             Runnable next = atLast;
@@ -263,7 +263,7 @@
             atLast = end;
             write(true);
         }
-        timers.at(untilUs, () -> {
+        timers.schedule(untilUs, () -> {
             if (plan.writing()) {
                 log.accept("the last snapshot was not written in " + LAST_WRITE_US / 1000 + " ms");
             }
--- a/src/test/java/petrelstand/accounts/AccountsTest.java
+++ b/src/test/java/petrelstand/accounts/AccountsTest.java
@@ -49,9 +49,9 @@
 
     private long send(long takenMs, long sentMs, int kind, long volume, double units, boolean repeat) {
         long id = nextId++;
-        accounts.taken(id, demand(kind, volume, units, repeat), takenMs * 1000);
-        accounts.sent(id, 0, node, false, sentMs * 1000);
-        accounts.written(id, 0, sentMs * 1000);
+        accounts.requestAccepted(id, demand(kind, volume, units, repeat), takenMs * 1000);
+        accounts.attemptStarted(id, 0, node, false, sentMs * 1000);
+        accounts.attemptWritten(id, 0, sentMs * 1000);
         return id;
     }
 
@@ -60,9 +60,9 @@
     }
 
     private Account end(long id, int attempt, long atMs, Outcome outcome) {
-        accounts.ended(id, attempt, outcome, atMs * 1000);
-        accounts.answered(id, outcome == Outcome.SERVED, atMs * 1000);
-        accounts.forgotten(id, atMs * 1000);
+        accounts.attemptEnded(id, attempt, outcome, atMs * 1000);
+        accounts.requestAnswered(id, outcome == Outcome.SERVED, atMs * 1000);
+        accounts.requestClosed(id, atMs * 1000);
         Account account = over.get(over.size() - 1);
         assertEquals(id, account.request());
         return account;
@@ -161,10 +161,10 @@
     void anAttemptCancelledWhileItRanStaysAheadUntilItsAnswer() {
         long at = learn();
         long export = send(at, EXPORT, TEAM, 4);
-        accounts.answered(export, false, (at + 10) * 1000);
+        accounts.requestAnswered(export, false, (at + 10) * 1000);
         long read = send(at + 12, READ, READER, 1);
-        accounts.ended(export, 0, Outcome.SERVED, (at + 40) * 1000);
-        accounts.forgotten(export, (at + 40) * 1000);
+        accounts.attemptEnded(export, 0, Outcome.SERVED, (at + 40) * 1000);
+        accounts.requestClosed(export, (at + 40) * 1000);
         Account account = end(read, at + 50, Outcome.SERVED);
         assertEquals(28_000, us(account, SURGE));
     }
@@ -173,9 +173,9 @@
     void aFurtherAttemptCountsWithItsFirst() {
         long at = learn();
         long id = send(at, READ, READER, 1);
-        accounts.ended(id, 0, Outcome.ERROR, (at + 20) * 1000);
-        accounts.sent(id, 1, node, false, (at + 25) * 1000);
-        accounts.written(id, 1, (at + 25) * 1000);
+        accounts.attemptEnded(id, 0, Outcome.ERROR, (at + 20) * 1000);
+        accounts.attemptStarted(id, 1, node, false, (at + 25) * 1000);
+        accounts.attemptWritten(id, 1, (at + 25) * 1000);
         Account account = end(id, 1, at + 35, Outcome.SERVED);
         assertEquals(2, account.attempts());
         assertEquals(35_000, account.totalUs());
@@ -188,9 +188,9 @@
     void aClientsRepeatCountsWithItsFirstTryAndWhatCannotBeLinkedIsSaid() {
         long at = learn();
         long first = nextId++;
-        accounts.taken(first, demand(READ, READER, 1, false), at * 1000);
-        accounts.answered(first, false, at * 1000);
-        accounts.forgotten(first, at * 1000);
+        accounts.requestAccepted(first, demand(READ, READER, 1, false), at * 1000);
+        accounts.requestAnswered(first, false, at * 1000);
+        accounts.requestClosed(first, at * 1000);
         Account second = end(send(at + 300, at + 300, READ, READER, 1, true), at + 310, Outcome.SERVED);
         assertEquals(300_000, second.awayUs());
         assertEquals(310_000, second.totalUs());
@@ -227,9 +227,9 @@
     void aTransferStandsInNoQueue() {
         long at = learn();
         long transfer = nextId++;
-        accounts.taken(transfer, demand(EXPORT, TEAM, 4, false), at * 1000);
-        accounts.sent(transfer, 0, node, true, at * 1000);
-        accounts.written(transfer, 0, (at + 3) * 1000);
+        accounts.requestAccepted(transfer, demand(EXPORT, TEAM, 4, false), at * 1000);
+        accounts.attemptStarted(transfer, 0, node, true, at * 1000);
+        accounts.attemptWritten(transfer, 0, (at + 3) * 1000);
         Account read = end(send(at + 10, READ, READER, 1), at + 40, Outcome.SERVED);
         assertEquals(0, us(read, SURGE));
         Account account = end(transfer, at + 2_000, Outcome.SERVED);
@@ -267,7 +267,7 @@
             long id = ids.isEmpty() ? 0 : ids.get(random.nextInt(ids.size()));
             switch (ids.isEmpty() || ids.size() < 8 && random.nextBoolean() ? 0 : 1 + random.nextInt(4)) {
                 case 0 -> {
-                    of.taken(
+                    of.requestAccepted(
                             i + 1,
                             demand(random.nextInt(3), random.nextInt(6), 1 + random.nextInt(5), random.nextInt(9) == 0),
                             now);
@@ -275,20 +275,21 @@
                 }
                 case 1 -> {
                     int attempt = open.merge(id, 1, Integer::sum);
-                    of.sent(
+                    of.attemptStarted(
                             id,
                             attempt,
                             node(random.nextInt(30) == 0 ? now / 1000.0 : 0),
                             random.nextInt(20) == 0,
                             now);
                 }
-                case 2 -> of.written(id, open.get(id), now);
-                case 3 -> of.ended(id, open.get(id), Outcome.values()[random.nextInt(Outcome.values().length)], now);
+                case 2 -> of.attemptWritten(id, open.get(id), now);
+                case 3 ->
+                    of.attemptEnded(id, open.get(id), Outcome.values()[random.nextInt(Outcome.values().length)], now);
                 default -> {
                     if (answered.put(id, true) == null) {
-                        of.answered(id, random.nextBoolean(), now);
+                        of.requestAnswered(id, random.nextBoolean(), now);
                     } else {
-                        of.forgotten(id, now);
+                        of.requestClosed(id, now);
                         open.remove(id);
                     }
                 }
@@ -349,12 +350,12 @@
         Accounts of = new Accounts(2, 18_000, account -> {});
         for (int i = 0; i < 50_000; i++) {
             Node to = new Node("n" + i, "127.0.0.1:1", new NodeEntry(i % 5_000, 0, 3, NodeState.READY, 1, 0));
-            of.taken(i, demand(READ, i, 1, false), i * 1000L);
-            of.sent(i, 0, to, false, i * 1000L);
-            of.written(i, 0, i * 1000L);
-            of.ended(i, 0, Outcome.ERROR, i * 1000L + 500);
-            of.answered(i, false, i * 1000L + 500);
-            of.forgotten(i, i * 1000L + 500);
+            of.requestAccepted(i, demand(READ, i, 1, false), i * 1000L);
+            of.attemptStarted(i, 0, to, false, i * 1000L);
+            of.attemptWritten(i, 0, i * 1000L);
+            of.attemptEnded(i, 0, Outcome.ERROR, i * 1000L + 500);
+            of.requestAnswered(i, false, i * 1000L + 500);
+            of.requestClosed(i, i * 1000L + 500);
         }
         assertTrue(of.size() <= Accounts.MOST_NODES + Accounts.MOST_FIRST_TRIES, "kept " + of.size());
     }
--- a/src/test/java/petrelstand/config/ConfigTest.java
+++ b/src/test/java/petrelstand/config/ConfigTest.java
@@ -68,7 +68,7 @@
         assertEquals(1764600000000.0, list.nodes().get(0).entry().upSinceMs());
         assertEquals(NodeState.DRAINING, list.nodes().get(0).entry().state());
         assertEquals(1, list.nodes().get(0).entry().zone());
-        assertTrue(list.nodes().get(1).gone());
+        assertTrue(list.nodes().get(1).isGone());
     }
 
     @Test
--- a/src/test/java/petrelstand/core/BrokerTest.java
+++ b/src/test/java/petrelstand/core/BrokerTest.java
@@ -25,7 +25,7 @@
     private final Harness world = new Harness();
     private final List<Attempt> started = new ArrayList<>();
     private final List<Attempt> abandoned = new ArrayList<>();
-    private final ServerSide server = new ServerSide() {
+    private final NodeTransport server = new NodeTransport() {
         @Override
         public void start(Attempt attempt) {
             started.add(attempt);
@@ -37,16 +37,16 @@
         }
 
         @Override
-        public void probe(Node node, long timeoutUs, ProbeResult result) {
-            result.ended(Outcome.SERVED, Map.of());
+        public void probe(Node node, long timeoutUs, ProbeCallback result) {
+            result.probeEnded(Outcome.SERVED, Map.of());
         }
 
         @Override
-        public void forget(Node node) {}
+        public void discardConnections(Node node) {}
     };
     private final Broker broker = world.broker(server);
 
-    private static final class Client implements ClientSide {
+    private static final class Client implements ClientHandler {
         private final List<String> answers = new ArrayList<>();
         private final List<Long> retryAfterUs = new ArrayList<>();
         private Exchange exchange;
@@ -71,7 +71,7 @@
 
     private Client take(int requestClass, int shard, long leftUs) {
         Client client = new Client();
-        broker.take(
+        broker.submit(
                 new Demand(requestClass, 0, 5, 9, 2, shard, 1, false, requestClass == 1, leftUs),
                 "ask",
                 client,
@@ -89,14 +89,14 @@
         listOne();
         Client waits = take(2, 3, 4_000_000);
         Client shorter = take(0, 3, 1_000_000);
-        broker.answerBy(world.nowUs + 2_000_000);
+        broker.setAnswerDeadline(world.nowUs + 2_000_000);
         world.run(1_100_000);
         assertEquals(1, shorter.answers.size());
         world.run(800_000);
         assertEquals(List.of(), waits.answers);
         world.run(100_000);
         assertEquals(List.of("failed"), waits.answers);
-        assertEquals(0, broker.open());
+        assertEquals(0, broker.openRequests());
     }
 
     /** Guards against a body whose last byte comes after SIGTERM: its time begins then, and ends with the process's. */
@@ -104,15 +104,15 @@
     void aBodyThatIsWholeOnlyAfterTheEndWasToldIsAnsweredByTheLastMomentToo() {
         listOne();
         Client writes = take(1, 3, 2_000_000);
-        started.get(0).streams();
-        broker.answerBy(world.nowUs + 3_000_000);
+        started.get(0).beginBodyStream();
+        broker.setAnswerDeadline(world.nowUs + 3_000_000);
         world.run(2_500_000);
-        broker.bodyComplete(writes.exchange, world.nowUs);
+        broker.requestBodyComplete(writes.exchange, world.nowUs);
         world.run(499_999);
         assertEquals(List.of(), writes.answers);
         world.run(1);
         assertEquals(List.of("failed"), writes.answers);
-        assertEquals(0, broker.open());
+        assertEquals(0, broker.openRequests());
     }
 
     @Test
@@ -120,12 +120,12 @@
         listOne();
         Client client = take(0, 3, 1_500_000);
         assertEquals(1, started.size());
-        assertEquals(client.exchange.deadlineUs(), started.get(0).untilUs());
-        started.get(0).ended(Outcome.SERVED, "body", null);
-        started.get(0).ended(Outcome.RESET, null, null);
+        assertEquals(client.exchange.deadlineUs(), started.get(0).timeoutAtUs());
+        started.get(0).end(Outcome.SERVED, "body", null);
+        started.get(0).end(Outcome.RESET, null, null);
         world.run(5_000_000);
         assertEquals(List.of("served"), client.answers);
-        assertEquals(0, broker.open());
+        assertEquals(0, broker.openRequests());
     }
 
     @Test
@@ -171,8 +171,8 @@
     void onceBytesWereRelayedABreakIsTheEnd() {
         listOne();
         Client client = take(0, 3, 1_500_000);
-        started.get(0).began();
-        started.get(0).ended(Outcome.RESET, null, null);
+        started.get(0).commit();
+        started.get(0).end(Outcome.RESET, null, null);
         world.run(2_000_000);
         assertEquals(1, started.size());
         assertEquals(List.of("failed"), client.answers);
@@ -182,7 +182,7 @@
     void aTransferThatRunsPastItsDeadlineIsCut() {
         listOne();
         Client client = take(2, 3, 5_000_000);
-        started.get(0).began();
+        started.get(0).commit();
         world.run(4_999_999);
         assertEquals(List.of(), client.answers);
         world.run(1);
@@ -196,7 +196,7 @@
     void aBreakBeforeTheNodeRanIsTriedAgain() {
         listOne();
         take(1, 3, 2_500_000);
-        started.get(0).ended(Outcome.NOT_CONNECTED, null, null);
+        started.get(0).end(Outcome.NOT_CONNECTED, null, null);
         world.run(1_000_000);
         assertTrue(started.size() > 1);
         assertEquals(1, started.get(1).number());
@@ -226,7 +226,7 @@
                     world.counters,
                     world.log::add);
             Client client = new Client();
-            forgets.take(new Demand(0, 0, 5, 9, 2, 3, 1, false, false, 1_000_000), "ask", client, exchange -> {});
+            forgets.submit(new Demand(0, 0, 5, 9, 2, 3, 1, false, false, 1_000_000), "ask", client, exchange -> {});
             world.run(1_000_000 + Math.min(2_000, (long) (250 * graceMs)) - 1);
             assertEquals(List.of(), client.answers);
             world.run(1);
@@ -251,15 +251,15 @@
                 server,
                 world.counters,
                 world.log::add);
-        faulty.take(new Demand(0, 0, 5, 9, 2, 3, 1, false, false, 1000), "ask", client, exchange -> {});
+        faulty.submit(new Demand(0, 0, 5, 9, 2, 3, 1, false, false, 1000), "ask", client, exchange -> {});
         world.run(10_000);
         assertEquals(List.of("failed"), client.answers);
     }
 
     @Test
     void theModulesTimesAreRoundedUpSoThatNoTimerIsEarly() {
-        assertEquals(1001, Broker.us(1.0000001));
-        assertEquals(1.5, Broker.ms(1500));
+        assertEquals(1001, Broker.toUs(1.0000001));
+        assertEquals(1.5, Broker.toMs(1500));
     }
 
     @Test
@@ -277,16 +277,16 @@
             if (i % 2 == 0) {
                 world.list(now);
             } else {
-                broker.nodes(
+                broker.updateNodes(
                         petrelstand.decision.Scheduling.ListKind.CHANGES,
                         List.of(now, Harness.node(String.format("s-%08x", i - 1), 3, NodeState.GONE, 0)));
             }
             Client client = take(0, 3, 1_500_000);
-            started.get(started.size() - 1).ended(Outcome.SERVED, "body", null);
+            started.get(started.size() - 1).end(Outcome.SERVED, "body", null);
             assertEquals(List.of("served"), client.answers);
             world.run(1_000);
         }
-        assertEquals(1, broker.knownNodes());
+        assertEquals(1, broker.knownNodeCount());
         assertTrue(world.timers.size() < 3_000, "timers kept: " + world.timers.size());
     }
 
@@ -316,7 +316,7 @@
                             });
                 default -> {
                     if (out != null) {
-                        out.ended(
+                        out.end(
                                 List.of(Outcome.SERVED, Outcome.ERROR, Outcome.NOT_CONNECTED, Outcome.RESET)
                                         .get(step - 8),
                                 null,
@@ -336,7 +336,7 @@
             }
         }
         test.world.run(6_000_000);
-        assertEquals(0, test.broker.open());
+        assertEquals(0, test.broker.openRequests());
         assertTrue(test.started.stream().allMatch(Attempt::isEnded));
     }
 
@@ -383,15 +383,15 @@
         boolean gone = false;
         for (int what : order) {
             switch (what) {
-                case 0 -> first.ended(how, "body", null);
-                case 1 -> world.timers.run(world.nowUs);
+                case 0 -> first.end(how, "body", null);
+                case 1 -> world.timers.runDue(world.nowUs);
                 case 2 -> {
                     gone |= client.answers.isEmpty();
                     broker.clientGone(client.exchange);
                 }
-                case 3 -> broker.nodes(ListKind.CHANGES, List.of(node.as(NodeState.DRAINING)));
-                case 4 -> broker.nodes(ListKind.CHANGES, List.of(node.asGone()));
-                default -> broker.answerBy(world.nowUs);
+                case 3 -> broker.updateNodes(ListKind.CHANGES, List.of(node.withState(NodeState.DRAINING)));
+                case 4 -> broker.updateNodes(ListKind.CHANGES, List.of(node.asGone()));
+                default -> broker.setAnswerDeadline(world.nowUs);
             }
             assertTrue(
                     started.stream().filter(attempt -> !attempt.isEnded()).count() <= 1, "two attempts out: " + order);
@@ -399,7 +399,7 @@
         world.run(10_000_000);
         String told = order + " " + how + " class " + requestClass + ": " + client.answers;
         assertEquals(gone ? 0 : 1, client.answers.size(), told);
-        assertEquals(0, broker.open(), told);
+        assertEquals(0, broker.openRequests(), told);
         long outcomes = java.util.stream.Stream.of(Outcome.values())
                 .mapToLong(each -> world.counters.get("outcome." + each.name().toLowerCase(java.util.Locale.ROOT)))
                 .sum();
--- a/src/test/java/petrelstand/core/LimitBoundTest.java
+++ b/src/test/java/petrelstand/core/LimitBoundTest.java
@@ -77,7 +77,7 @@
                 replaceLater(gateway);
             }
             for (long end = nowUs + DAY_US; nowUs < end; nowUs += STEP_US) {
-                timers.run(nowUs);
+                timers.runDue(nowUs);
                 for (List<Process> processes : gateways) {
                     ask(processes);
                     processes.forEach(Process::turn);
@@ -99,7 +99,7 @@
         }
 
         private void replaceLater(int gateway) {
-            timers.at(nowUs + 2_000_000 + random.nextInt(4_000_000), () -> replace(gateway));
+            timers.schedule(nowUs + 2_000_000 + random.nextInt(4_000_000), () -> replace(gateway));
         }
 
         /** A second process starts; one of the two goes; either may be stopped for a while at any step. */
@@ -115,7 +115,7 @@
                 case 3 -> older.looks = false;
                 default -> {}
             }
-            timers.at(nowUs + 500_000 + random.nextInt(5_000_000), () -> {
+            timers.schedule(nowUs + 500_000 + random.nextInt(5_000_000), () -> {
                 Process gone = random.nextInt(3) == 0 ? newer : older;
                 gone.die();
                 processes.remove(gone);
@@ -124,12 +124,12 @@
         }
 
         private void stopForAWhile(Process process) {
-            timers.at(nowUs + random.nextInt(2_000_000), () -> process.stopped = process.marked);
-            timers.at(nowUs + 2_000_000 + random.nextInt(2_000_000), () -> process.stopped = false);
+            timers.schedule(nowUs + random.nextInt(2_000_000), () -> process.stopped = process.marked);
+            timers.schedule(nowUs + 2_000_000 + random.nextInt(2_000_000), () -> process.stopped = false);
         }
 
         void arrive(Exchange exchange, long delayUs) {
-            timers.at(nowUs + delayUs, () -> {
+            timers.schedule(nowUs + delayUs, () -> {
                 if (counted.add(exchange)) {
                     meter.arrive(nowUs, exchange.demand().units());
                 }
@@ -162,14 +162,14 @@
             Settings settings = SettingsReader.ofText(SETTINGS);
             this.broker = new Broker(
                     settings, world.random.nextLong(), () -> nowUs, timers, this, new Counters(), line -> {});
-            share.marked(nowUs, others());
-            broker.share(share::part);
+            share.recordMark(nowUs, others());
+            broker.setShareFunction(share::share);
             List<Node> nodes = new ArrayList<>();
             for (int shard = 0; shard < NODES; shard++) {
                 nodes.add(Harness.node(
                         "s-0000000" + Integer.toHexString(shard % 16) + shard / 16, shard, NodeState.READY, 0));
             }
-            broker.nodes(ListKind.WHOLE, nodes);
+            broker.updateNodes(ListKind.WHOLE, nodes);
         }
 
         private int others() {
@@ -184,7 +184,7 @@
         }
 
         private void later(long us, Runnable action) {
-            world.timers.at(world.nowUs + us, () -> {
+            world.timers.schedule(world.nowUs + us, () -> {
                 if (!dead) {
                     action.run();
                 }
@@ -207,7 +207,7 @@
             List<Integer> come = List.copyOf(inbox);
             inbox.clear();
             come.forEach(this::take);
-            timers.run(nowUs);
+            timers.runDue(nowUs);
         }
 
         private void look() {
@@ -219,11 +219,11 @@
             boolean wasMarked = marked;
             marked = true;
             int found = others();
-            timers.at(nowUs + world.random.nextInt(100_000), () -> {
+            timers.schedule(nowUs + world.random.nextInt(100_000), () -> {
                 if (wasMarked) {
-                    share.looked(beganUs, found);
+                    share.recordScan(beganUs, found);
                 } else {
-                    share.marked(nowUs, found);
+                    share.recordMark(nowUs, found);
                 }
             });
         }
@@ -241,7 +241,7 @@
                     false,
                     requestClass == 1,
                     1_500_000 + world.random.nextInt(1_000_000));
-            broker.take(demand, "ask", new SilentClient(), exchange -> {});
+            broker.submit(demand, "ask", new SilentClient(), exchange -> {});
         }
 
         // ---- Server side ----
@@ -249,17 +249,17 @@
         @Override
         public void start(Attempt attempt) {
             boolean slowConnection = world.random.nextInt(4) == 0;
-            timers.at(nowUs + (slowConnection ? world.random.nextInt(250_000) : 0), () -> connected(attempt));
+            timers.schedule(nowUs + (slowConnection ? world.random.nextInt(250_000) : 0), () -> connected(attempt));
         }
 
         private void connected(Attempt attempt) {
             if (world.random.nextInt(20) == 0) {
-                attempt.ended(Outcome.NOT_CONNECTED, null, null);
-            } else if (attempt.begins()) {
+                attempt.end(Outcome.NOT_CONNECTED, null, null);
+            } else if (attempt.beginWrite()) {
                 if (world.random.nextInt(10) < world.slowBodies) {
                     stream(attempt);
                 } else {
-                    attempt.written();
+                    attempt.requestWritten();
                     world.arrive(attempt.exchange(), WIRE_US);
                     answer(attempt, 20_000 + world.random.nextInt(200_000));
                 }
@@ -268,12 +268,12 @@
 
         /** Bodies that began at any time end in the same moments. */
         private void stream(Attempt attempt) {
-            attempt.streams();
+            attempt.beginBodyStream();
             long endUs = (nowUs / 3_000_000 + 1) * 3_000_000;
-            timers.at(endUs, () -> {
+            timers.schedule(endUs, () -> {
                 if (!attempt.isEnded()) {
-                    broker.bodyComplete(attempt.exchange(), nowUs);
-                    attempt.written();
+                    broker.requestBodyComplete(attempt.exchange(), nowUs);
+                    attempt.requestWritten();
                     long inBuffersUs = world.random.nextInt(1_000_000);
                     world.arrive(attempt.exchange(), inBuffersUs);
                     answer(attempt, inBuffersUs + 20_000);
@@ -282,7 +282,7 @@
         }
 
         private void answer(Attempt attempt, long us) {
-            timers.at(nowUs + us, () -> attempt.ended(Outcome.SERVED, "body", null));
+            timers.schedule(nowUs + us, () -> attempt.end(Outcome.SERVED, "body", null));
         }
     }
 
--- a/src/test/java/petrelstand/core/ModuleMemoryTest.java
+++ b/src/test/java/petrelstand/core/ModuleMemoryTest.java
@@ -9,7 +9,7 @@
 import petrelstand.decision.Policy;
 import petrelstand.decision.Scheduling.NodeState;
 import petrelstand.decision.Scheduling.Outcome;
-import petrelstand.lifecycle.MemoryPlan;
+import petrelstand.lifecycle.MemoryLimits;
 import petrelstand.testing.Harness;
 import petrelstand.testing.InertNodes;
 import petrelstand.testing.SilentClient;
@@ -24,7 +24,7 @@
     private final Broker broker = world.broker(new InertNodes() {
         @Override
         public void start(Attempt attempt) {
-            attempt.ended(Outcome.SERVED, "answer", null);
+            attempt.end(Outcome.SERVED, "answer", null);
         }
     });
     private int served;
@@ -59,18 +59,18 @@
     /** Each volume asks once, of one node after another. */
     private void ask(int volumes) {
         for (int i = 0; i < volumes; i++) {
-            broker.take(new Demand(0, 0, i, i, 1, i % NODES, 1, false, false, 1_000_000), "ask", client, taken -> {});
+            broker.submit(new Demand(0, 0, i, i, 1, i % NODES, 1, false, false, 1_000_000), "ask", client, taken -> {});
             world.run(STEP_US);
         }
         world.run(5_000_000);
-        assertEquals(0, broker.open());
+        assertEquals(0, broker.openRequests());
     }
 
     @Test
     void volumesAndNodesKeepNoMoreThanIsSetAsideHoweverManyAsk() {
         long before = used();
         list();
-        long most = NODES * MemoryPlan.NODE_BYTES + Policy.MOST_VOLUMES * MemoryPlan.VOLUME_BYTES;
+        long most = NODES * MemoryLimits.NODE_BYTES + Policy.MOST_VOLUMES * MemoryLimits.VOLUME_BYTES;
         for (int factor : FACTORS) {
             ask(factor * Policy.MOST_VOLUMES);
             long held = used() - before;
--- a/src/test/java/petrelstand/core/FiguresTest.java
+++ b/src/test/java/petrelstand/core/RequestCountsTest.java
@@ -10,26 +10,26 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
-import petrelstand.core.Figures.End;
+import petrelstand.core.RequestCounts.RequestResult;
 import petrelstand.decision.Scheduling.NodeState;
 import petrelstand.decision.Scheduling.Outcome;
 import petrelstand.testing.Harness;
 
 /** The figures against a count by the clients and nodes themselves, over random histories. */
-class FiguresTest {
+class RequestCountsTest {
     /** Clients and nodes that count what they see. */
-    private static final class World implements ServerSide {
+    private static final class World implements NodeTransport {
         private final Harness harness = new Harness();
         private final Random random;
         private final List<Attempt> out = new ArrayList<>();
         private final List<Exchange> waiting = new ArrayList<>();
-        private final List<Map<End, Integer>> seen = new ArrayList<>();
+        private final List<Map<RequestResult, Integer>> seen = new ArrayList<>();
         private int written;
 
         World(long seed) {
             random = new Random(seed);
             for (int i = 0; i < 3; i++) {
-                seen.add(new EnumMap<>(End.class));
+                seen.add(new EnumMap<>(RequestResult.class));
             }
             harness.broker(this);
             harness.list(
@@ -37,11 +37,11 @@
                     Harness.node("s-00000002", 1, NodeState.READY, 0));
         }
 
-        private void note(int kind, End end) {
+        private void note(int kind, RequestResult end) {
             seen.get(kind).merge(end, 1, Integer::sum);
         }
 
-        private final class Client implements ClientSide {
+        private final class Client implements ClientHandler {
             private final int kind;
             private Exchange exchange;
 
@@ -49,25 +49,25 @@
                 this.kind = kind;
             }
 
-            private void heard(End end) {
+            private void heard(RequestResult end) {
                 waiting.remove(exchange);
                 note(kind, end);
             }
 
             @Override
             public boolean served(Object answer) {
-                heard(End.SERVED);
+                heard(RequestResult.SERVED);
                 return true;
             }
 
             @Override
             public void refused(long retryAfterUs) {
-                heard(End.REFUSED);
+                heard(RequestResult.REFUSED);
             }
 
             @Override
             public void failed(Attempt last) {
-                heard(End.FAILED);
+                heard(RequestResult.FAILED);
             }
         }
 
@@ -82,10 +82,10 @@
         }
 
         @Override
-        public void probe(Node node, long timeoutUs, ProbeResult result) {}
+        public void probe(Node node, long timeoutUs, ProbeCallback result) {}
 
         @Override
-        public void forget(Node node) {}
+        public void discardConnections(Node node) {}
 
         void step() {
             int kind = random.nextInt(3);
@@ -103,7 +103,7 @@
                             random.nextInt(5) == 0,
                             kind == 1,
                             50_000 + random.nextInt(1_000_000));
-                    harness.broker.take(demand, "ask", client, exchange -> {
+                    harness.broker.submit(demand, "ask", client, exchange -> {
                         client.exchange = exchange;
                         waiting.add(exchange);
                     });
@@ -111,7 +111,7 @@
                 case 2 -> {
                     if (!waiting.isEmpty()) {
                         Exchange left = waiting.remove(random.nextInt(waiting.size()));
-                        note(left.demand().requestClass(), End.GONE);
+                        note(left.demand().classIndex(), RequestResult.GONE);
                         harness.broker.clientGone(left);
                     }
                 }
@@ -128,10 +128,10 @@
                         };
                         Outcome end = ends[random.nextInt(ends.length)];
                         if (end != Outcome.NOT_CONNECTED) {
-                            attempt.written();
+                            attempt.requestWritten();
                             written++;
                         }
-                        attempt.ended(end, "answer", Map.of());
+                        attempt.end(end, "answer", Map.of());
                     }
                 }
                 default -> harness.run(random.nextInt(300_000));
@@ -143,19 +143,20 @@
     void whatIsAvoidedIsWhatDrainsAndWhatTheModuleHasForSilent() {
         World world = new World(1);
         Broker broker = world.harness.broker;
-        assertEquals(2, broker.listedNodes());
-        assertEquals(0, broker.avoidedNodes());
+        assertEquals(2, broker.listedNodeCount());
+        assertEquals(0, broker.avoidedNodeCount());
         World.Client client = world.new Client(0);
-        broker.take(new Demand(0, 0, 1, 1, 1, 0, 1, false, false, 1_400_000), "ask", client, e -> client.exchange = e);
+        broker.submit(
+                new Demand(0, 0, 1, 1, 1, 0, 1, false, false, 1_400_000), "ask", client, e -> client.exchange = e);
         world.harness.run(1_000_000);
-        assertEquals(1, broker.avoidedNodes());
+        assertEquals(1, broker.avoidedNodeCount());
         world.harness.list(
                 Harness.node("s-00000001", 0, NodeState.READY, 0),
                 Harness.node("s-00000002", 1, NodeState.DRAINING, 0));
-        assertEquals(2, broker.avoidedNodes());
-        world.out.get(0).ended(Outcome.SERVED, "answer", Map.of());
-        assertEquals(1, broker.avoidedNodes());
-        assertEquals(2, broker.listedNodes());
+        assertEquals(2, broker.avoidedNodeCount());
+        world.out.get(0).end(Outcome.SERVED, "answer", Map.of());
+        assertEquals(1, broker.avoidedNodeCount());
+        assertEquals(2, broker.listedNodeCount());
     }
 
     @Property(tries = 200)
@@ -163,17 +164,17 @@
         World world = new World(seed);
         for (int i = 0; i < 300; i++) {
             world.step();
-            assertEquals(world.waiting.size(), world.harness.broker.open());
+            assertEquals(world.waiting.size(), world.harness.broker.openRequests());
         }
         world.harness.run(10_000_000);
-        Figures figures = world.harness.broker.figures();
+        RequestCounts figures = world.harness.broker.requestCounts();
         for (int kind = 0; kind < 3; kind++) {
             String name = world.harness.settings.classes().get(kind).name();
-            for (End end : End.values()) {
+            for (RequestResult end : RequestResult.values()) {
                 assertEquals(
                         world.seen.get(kind).getOrDefault(end, 0).longValue(), figures.count(name, end), name + end);
             }
         }
-        assertEquals(world.written, figures.tries());
+        assertEquals(world.written, figures.attempts());
     }
 }
--- a/src/test/java/petrelstand/discovery/WatchTest.java
+++ b/src/test/java/petrelstand/discovery/WatchTest.java
@@ -259,7 +259,7 @@
         HeldEnd agent = settled();
         world.nowUs += 5_000_000;
         agent.putUnread(list(42, false));
-        world.timers.run(world.nowUs);
+        world.timers.runDue(world.nowUs);
         assertEquals(42, heard.get(heard.size() - 1).version());
         assertTrue(agent.isOpen());
     }
--- a/src/test/java/petrelstand/http/BudgetsTest.java
+++ b/src/test/java/petrelstand/http/BudgetsTest.java
@@ -7,13 +7,13 @@
 import org.junit.jupiter.api.Test;
 import petrelstand.decision.Scheduling.NodeState;
 import petrelstand.lifecycle.Lifecycle;
-import petrelstand.lifecycle.MemoryPlan;
+import petrelstand.lifecycle.MemoryLimits;
 import petrelstand.net.MemoryEnd;
 import petrelstand.testing.Harness;
 
 /** Bodies of each kind within their bound, and all kinds together within theirs. */
 class BudgetsTest {
-    private final Budgets budgets = Budgets.of(new MemoryPlan(10, 10, 100, 50, 40, 50));
+    private final Budgets budgets = Budgets.of(new MemoryLimits(10, 10, 100, 50, 40, 50));
 
     @Test
     void noKindHoldsMoreThanItsOwnBound() {
@@ -47,8 +47,8 @@
                 "backend.local",
                 10,
                 small);
-        Lifecycle life = new Lifecycle(Lifecycle.Times.of(5_000_000));
-        life.serving(world.nowUs);
+        Lifecycle life = new Lifecycle(Lifecycle.Delays.of(5_000_000));
+        life.startServing(world.nowUs);
         Front front = new Front(world.broker(pool), world.timers, 10, life, small);
         world.list(Harness.node("s-00000001", 3, NodeState.READY, 0));
         MemoryEnd first = MemoryEnd.open(front::accept);
--- a/src/test/java/petrelstand/http/FrontSearchTest.java
+++ b/src/test/java/petrelstand/http/FrontSearchTest.java
@@ -103,7 +103,7 @@
 
         private final Harness world;
         private final NodePool pool;
-        private final Lifecycle life = new Lifecycle(Lifecycle.Times.of(5_000_000));
+        private final Lifecycle life = new Lifecycle(Lifecycle.Delays.of(5_000_000));
         private final Front front;
         private final List<Client> clients = new ArrayList<>();
         private final Map<String, Client> clientOf = new HashMap<>();
@@ -119,7 +119,7 @@
             pool = new NodePool(
                     world::dial, () -> world.nowUs, world.timers, world.counters, world.settings, "backend.local", 6);
             front = new Front(world.broker(pool), world.timers, 5, life);
-            life.serving(world.nowUs);
+            life.startServing(world.nowUs);
             world.list(Harness.node("s-00000001", 3, NodeState.READY, 0));
             clients.add(new Client());
         }
@@ -138,7 +138,7 @@
             look();
             world.run(80_000_000);
             look();
-            assertEquals(0, world.broker.open(), "open requests");
+            assertEquals(0, world.broker.openRequests(), "open requests");
             assertEquals(0, front.openIds(), "ids");
             assertEquals(0, front.connections(), "connections");
             assertEquals(8L * 1024 * 1024, front.requests().left(), "room for requests");
@@ -180,7 +180,7 @@
 
         private void list(NodeState state, double upSinceMs) {
             listed = state == NodeState.READY;
-            world.broker.nodes(ListKind.CHANGES, List.of(Harness.node("s-00000001", 3, state, upSinceMs)));
+            world.broker.updateNodes(ListKind.CHANGES, List.of(Harness.node("s-00000001", 3, state, upSinceMs)));
         }
 
         private void act(Act act, int pick) {
