--- a/src/test/java/petrelstand/http/FrontTest.java
+++ b/src/test/java/petrelstand/http/FrontTest.java
@@ -13,8 +13,8 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
-import petrelstand.core.Figures.End;
 import petrelstand.core.Node;
+import petrelstand.core.RequestCounts.RequestResult;
 import petrelstand.decision.Scheduling.ListKind;
 import petrelstand.decision.Scheduling.NodeState;
 import petrelstand.lifecycle.Lifecycle;
@@ -27,12 +27,12 @@
     private final Harness world = new Harness();
     private final NodePool pool = new NodePool(
             world::dial, () -> world.nowUs, world.timers, world.counters, world.settings, "backend.local", 40);
-    private final Lifecycle life = new Lifecycle(Lifecycle.Times.of(5_000_000));
+    private final Lifecycle life = new Lifecycle(Lifecycle.Delays.of(5_000_000));
     private final Front front = new Front(world.broker(pool), world.timers, 50, life);
     private final HeldEnd client = HeldEnd.open(front::accept);
 
     {
-        life.serving(world.nowUs);
+        life.startServing(world.nowUs);
     }
 
     private void listOne() {
@@ -106,7 +106,7 @@
     }
 
     private static double partOfUse(Harness world) {
-        return world.broker.learned().volumes().get(0).ownPart();
+        return world.broker.learnedState().volumes().get(0).ownPart();
     }
 
     @Test
@@ -170,7 +170,7 @@
         world.run(1_402_000);
         assertEquals(3, statuses(client.taken()).size());
         assertEquals(1, world.counters.get("sent"));
-        assertEquals(0, world.broker.open());
+        assertEquals(0, world.broker.openRequests());
     }
 
     /**
@@ -238,18 +238,18 @@
             Harness.Dialed before = other.dialed.remove(0);
             List<Node> drains = List.of(Harness.node("s-00000001", 3, NodeState.DRAINING, 0));
             if (drainFirst) {
-                other.broker.nodes(ListKind.CHANGES, drains);
+                other.broker.updateNodes(ListKind.CHANGES, drains);
             }
-            other.broker.retune(
+            other.broker.updateSettings(
                     new Harness(Harness.SETTINGS.replace("caps.most_tries=3", "caps.most_tries=2")).settings);
             if (!drainFirst) {
-                other.broker.nodes(ListKind.CHANGES, drains);
+                other.broker.updateNodes(ListKind.CHANGES, drains);
             }
             assertEquals("", HeldEnd.open(before.connector()::connected).taken());
             end.put(read(2, ""));
             other.run(2_000_000);
             assertEquals(0, other.dialed.size());
-            assertEquals(0, other.broker.figures().tries());
+            assertEquals(0, other.broker.requestCounts().attempts());
             assertEquals(2, statuses(end.taken()).size());
         }
     }
@@ -303,7 +303,7 @@
         listOne();
         client.putUnread(read(1, ""));
         world.late(3_000_000);
-        assertEquals(1, world.broker.open());
+        assertEquals(1, world.broker.openRequests());
         HeldEnd half = HeldEnd.open(front::accept);
         half.put(read(2, "").substring(0, 80));
         half.putUnread(read(2, "").substring(80));
@@ -330,7 +330,7 @@
             }
             end.putEnd();
             assertEquals(gone + 1, world.counters.get("client_gone"), bytes + " bytes ahead");
-            assertEquals(0, world.broker.open());
+            assertEquals(0, world.broker.openRequests());
         }
         assertEquals(0, front.connections() - 1);
         assertEquals(8L * 1024 * 1024, front.requests().left(), "what waited gave its room back");
@@ -349,7 +349,7 @@
             for (int sent = 0; sent < bytes; sent += 5_000) {
                 end.put("x".repeat(5_000));
             }
-            assertEquals(1, world.broker.open());
+            assertEquals(1, world.broker.openRequests());
             end.putEnd();
             assertEquals(gone + 1, world.counters.get("client_gone"), bytes + " bytes of the body");
         }
@@ -420,7 +420,7 @@
             other.list(listed);
             MemoryEnd end = MemoryEnd.open(front::accept);
             end.put(read(1, ""));
-            other.broker.nodes(ListKind.CHANGES, List.of(change));
+            other.broker.updateNodes(ListKind.CHANGES, List.of(change));
             assertEquals("", other.up().taken(), change.toString());
             assertEquals(1, other.counters.get("outcome.not_connected"));
         }
@@ -705,7 +705,7 @@
         world.run(2 * NodePool.PIECE_STALL_US);
         assertFalse(node.isOpen());
         assertFalse(client.isOpen());
-        assertEquals(1, world.broker.figures().count("tile-read", End.FAILED));
+        assertEquals(1, world.broker.requestCounts().count("tile-read", RequestResult.FAILED));
         assertEquals(0, front.answering());
         MemoryEnd second = MemoryEnd.open(front::accept);
         second.put(read(2, ""));
@@ -715,7 +715,7 @@
         other.putEnd();
         assertFalse(second.isOpen());
         assertFalse(second.taken().contains("\r\n0\r\n"));
-        assertEquals(2, world.broker.figures().count("tile-read", End.FAILED));
+        assertEquals(2, world.broker.requestCounts().count("tile-read", RequestResult.FAILED));
     }
 
     /** Nodes were seen to answer with 380 KB, although the protocol says 64 KiB. */
@@ -771,7 +771,7 @@
         world.run(1_900_000);
         node.put(ok("stored"));
         assertTrue(client.taken().endsWith("stored"));
-        assertEquals(1, world.broker.figures().tries());
+        assertEquals(1, world.broker.requestCounts().attempts());
     }
 
     /**
@@ -806,8 +806,8 @@
             slow.put("x".repeat(400));
             world.run(100_000);
         }
-        assertEquals(0, world.broker.figures().tries());
-        assertEquals(0, world.broker.open());
+        assertEquals(0, world.broker.requestCounts().attempts());
+        assertEquals(0, world.broker.openRequests());
         assertTrue(world.counters.get("connections.late") >= 2);
     }
 
@@ -840,7 +840,7 @@
         MemoryEnd node = world.up();
         client.putEnd();
         assertFalse(node.isOpen());
-        assertEquals(0, world.broker.open());
+        assertEquals(0, world.broker.openRequests());
         assertEquals(0, pool.open());
         assertEquals(1, world.counters.get("client_gone"));
     }
@@ -961,7 +961,7 @@
     @Test
     void aRemovedNodeAndOneThatAWholeListLeavesOutGetNothing() {
         listOne();
-        world.broker.nodes(ListKind.CHANGES, List.of(Harness.node("s-00000001", 3, NodeState.GONE, 0)));
+        world.broker.updateNodes(ListKind.CHANGES, List.of(Harness.node("s-00000001", 3, NodeState.GONE, 0)));
         client.put(read(1, ""));
         listOne();
         world.list(Harness.node("s-00000002", 4, NodeState.READY, 0));
@@ -972,7 +972,7 @@
 
     @Test
     void aKnownListThatWasStaleGivesWayToTheWholeOne() {
-        world.broker.nodes(ListKind.CACHED, List.of(Harness.node("s-00000009", 3, NodeState.READY, 0)));
+        world.broker.updateNodes(ListKind.CACHED, List.of(Harness.node("s-00000009", 3, NodeState.READY, 0)));
         listOne();
         client.put(read(1, ""));
         assertEquals(1, world.dialed.size());
@@ -997,7 +997,7 @@
         assertTrue(between.isOutputShutdown());
         between.put(read(7, ""));
         assertEquals(List.of(), statuses(between.taken()), "what comes behind the end is dropped");
-        assertEquals(1, world.broker.open());
+        assertEquals(1, world.broker.openRequests());
         between.putEnd();
         assertFalse(between.isOpen());
         node.put(ok("kept"));
@@ -1116,7 +1116,7 @@
         }
         test.world.run(asked < 10 ? Front.REQUEST_US : 0);
         got.append(test.client.taken());
-        assertEquals(0, test.world.broker.open());
+        assertEquals(0, test.world.broker.openRequests());
         if (open && asked < 10) {
             assertEquals(whole, statuses(got.toString()).size());
         }
--- a/src/test/java/petrelstand/http/IdleConnectionMemoryTest.java
+++ b/src/test/java/petrelstand/http/IdleConnectionMemoryTest.java
@@ -28,11 +28,11 @@
     private final Harness world = new Harness();
     private final NodePool pool = new NodePool(
             world::dial, () -> world.nowUs, world.timers, world.counters, world.settings, "backend.local", CONNECTIONS);
-    private final Lifecycle life = new Lifecycle(Lifecycle.Times.of(5_000_000));
+    private final Lifecycle life = new Lifecycle(Lifecycle.Delays.of(5_000_000));
     private final Front front = new Front(world.broker(pool), world.timers, 2 * CONNECTIONS, life);
 
     {
-        life.serving(world.nowUs);
+        life.startServing(world.nowUs);
     }
 
     /** Bytes in use once what nobody holds has been collected. */
--- a/src/test/java/petrelstand/lab/LabTest.java
+++ b/src/test/java/petrelstand/lab/LabTest.java
@@ -28,9 +28,9 @@
 
     private void run(long ms) {
         long until = nowUs + ms * 1000;
-        while (timers.nextUs() <= until) {
-            nowUs = Math.max(nowUs, timers.nextUs());
-            timers.run(nowUs);
+        while (timers.nextDueUs() <= until) {
+            nowUs = Math.max(nowUs, timers.nextDueUs());
+            timers.runDue(nowUs);
         }
         nowUs = until;
     }
--- a/src/test/java/petrelstand/lifecycle/LifecycleTest.java
+++ b/src/test/java/petrelstand/lifecycle/LifecycleTest.java
@@ -8,7 +8,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import petrelstand.lifecycle.Lifecycle.Times;
+import petrelstand.lifecycle.Lifecycle.Delays;
 
 /**
  * Every order of five of twelve things that happen to a process, replayed against a small gateway that does with its
@@ -55,9 +55,9 @@
         private long killedUs = -1;
         private String broken;
 
-        Play(Times times) {
+        Play(Delays times) {
             life = new Lifecycle(times);
-            life.serving(nowUs);
+            life.startServing(nowUs);
         }
 
         private void breaks(String what) {
@@ -83,12 +83,14 @@
                 }
                 case HANG_UP -> {
                     longestUs = longestUs == LONGEST_US ? LONGEST_US - 1_500_000 : LONGEST_US;
-                    life.times(Times.of(longestUs));
+                    life.setDelays(Delays.of(longestUs));
                 }
-                case HOT_RESTART -> life.hotRestart(true);
+                case HOT_RESTART -> life.setSuccessorListening(true);
                 case OPEN -> {
                     // The front opens none where it was told no, or where the process is about to end.
-                    if (open.size() < 2 && life.listens(nowUs) && (drainedUs < 0 || nowUs < drainedUs + 300_000)) {
+                    if (open.size() < 2
+                            && life.acceptsConnections(nowUs)
+                            && (drainedUs < 0 || nowUs < drainedUs + 300_000)) {
                         open.add(new Connection());
                     }
                 }
@@ -105,7 +107,7 @@
         private void ask(long leftUs) {
             for (Connection connection : open) {
                 if (!connection.asked) {
-                    long granted = life.grantsUs(nowUs, leftUs);
+                    long granted = life.allowedTimeUs(nowUs, leftUs);
                     if (granted > leftUs) {
                         breaks("a client is waited for longer than it waits");
                     }
@@ -126,7 +128,7 @@
 
         private void answer(Connection connection) {
             connection.asked = false;
-            if (life.endsWithAnswer(nowUs)) {
+            if (life.closesAfterAnswer(nowUs)) {
                 open.remove(connection);
             }
         }
@@ -142,10 +144,10 @@
             List.copyOf(open).stream()
                     .filter(c -> c.asked && nowUs >= c.untilUs)
                     .forEach(this::answer);
-            if (life.closesIdle(nowUs)) {
+            if (life.closesIdleConnections(nowUs)) {
                 open.removeIf(c -> !c.asked && !c.begun);
             }
-            if (life.saysYes() != (drainedUs < 0 && endedUs < 0)) {
+            if (life.isReady() != (drainedUs < 0 && endedUs < 0)) {
                 breaks("/ready is wrong");
             }
             if (drainedUs >= 0 && endedUs < 0 && nowUs >= drainedUs + 4_000_000) {
@@ -156,14 +158,14 @@
             if (endedUs >= 0 && nowUs >= killedUs && open.stream().anyMatch(c -> c.asked)) {
                 breaks("killed with a request unanswered");
             }
-            if (endedUs >= 0 && nowUs >= killedUs && life.listens(nowUs)) {
+            if (endedUs >= 0 && nowUs >= killedUs && life.acceptsConnections(nowUs)) {
                 breaks("listens to the kill");
             }
         }
     }
 
     /** The first order that breaks something, and what; null where none does. */
-    private static String search(Times times) {
+    private static String search(Delays times) {
         Act[] acts = Act.values();
         long courses = 1;
         for (int i = 0; i < DEPTH; i++) {
@@ -190,47 +192,51 @@
 
     @Test
     void noOrderOfWhatHappensBreaksAPromise() {
-        assertEquals(null, search(Times.of(LONGEST_US)));
+        assertEquals(null, search(Delays.of(LONGEST_US)));
     }
 
     @Test
     void plantedMistakesAreFound() {
-        Times right = Times.of(LONGEST_US);
-        Times[] wrong = {
-            new Times(4_100_000, 4_200_000, right.lastOpenUs(), right.killUs()),
-            new Times(right.notedUs(), right.drainedUs(), right.lastOpenUs(), right.killUs() + 1_000_000),
-            new Times(right.notedUs(), right.drainedUs(), 7_000_000, 7_000_000),
+        Delays right = Delays.of(LONGEST_US);
+        Delays[] wrong = {
+            new Delays(4_100_000, 4_200_000, right.shutdownAcceptUs(), right.killUs()),
+            new Delays(
+                    right.readinessLagUs(),
+                    right.drainAcceptUs(),
+                    right.shutdownAcceptUs(),
+                    right.killUs() + 1_000_000),
+            new Delays(right.readinessLagUs(), right.drainAcceptUs(), 7_000_000, 7_000_000),
         };
-        for (Times times : wrong) {
+        for (Delays times : wrong) {
             assertNotEquals(null, search(times), times.toString());
         }
     }
 
     @Test
     void aHotRestartTakesTheConnectionsAtOnceAfterSigterm() {
-        Lifecycle life = new Lifecycle(Times.of(LONGEST_US));
+        Lifecycle life = new Lifecycle(Delays.of(LONGEST_US));
         assertFalse(life.evacuate(1));
         assertFalse(life.rejoin(1));
-        life.serving(1);
-        life.hotRestart(true);
-        assertTrue(life.listens(2));
+        life.startServing(1);
+        life.setSuccessorListening(true);
+        assertTrue(life.acceptsConnections(2));
         life.terminate(2);
-        assertFalse(life.listens(2));
-        assertTrue(life.closesIdle(2));
+        assertFalse(life.acceptsConnections(2));
+        assertTrue(life.closesIdleConnections(2));
     }
 
     /** Where nothing changes by time alone, nobody has to look again; else the next look is at the change. */
     @Test
     void theNextLookIsAtTheNextChange() {
-        Lifecycle life = new Lifecycle(Times.of(LONGEST_US));
-        life.serving(0);
-        assertEquals(Long.MAX_VALUE, life.nextUs(0));
+        Lifecycle life = new Lifecycle(Delays.of(LONGEST_US));
+        life.startServing(0);
+        assertEquals(Long.MAX_VALUE, life.nextChangeUs(0));
         life.evacuate(0);
-        long noted = life.nextUs(0);
-        assertFalse(life.closesIdle(noted - 1));
-        assertTrue(life.closesIdle(noted));
-        assertEquals(1, life.grantsUs(life.nextUs(noted) - 1, 1));
-        assertEquals(0, life.grantsUs(life.nextUs(noted), 1));
-        assertEquals(Long.MAX_VALUE, life.nextUs(life.nextUs(noted)));
+        long noted = life.nextChangeUs(0);
+        assertFalse(life.closesIdleConnections(noted - 1));
+        assertTrue(life.closesIdleConnections(noted));
+        assertEquals(1, life.allowedTimeUs(life.nextChangeUs(noted) - 1, 1));
+        assertEquals(0, life.allowedTimeUs(life.nextChangeUs(noted), 1));
+        assertEquals(Long.MAX_VALUE, life.nextChangeUs(life.nextChangeUs(noted)));
     }
 }
--- a/src/test/java/petrelstand/lifecycle/ProcessShareTest.java
+++ b/src/test/java/petrelstand/lifecycle/ProcessShareTest.java
@@ -7,53 +7,53 @@
 /** Who of a gateway's processes may spend what, at each step of a change from one to the next. */
 class ProcessShareTest {
     private static final long START_US = 5_000_000;
-    private static final long WAIT_US = ProcessShare.LEASE_US + ProcessShare.LONGEST_TURN_US;
+    private static final long WAIT_US = ProcessShare.LEASE_US + ProcessShare.MAX_TURN_US;
 
     private final ProcessShare share = new ProcessShare();
 
     @Test
     void aloneItHasAllAtOnceForAsLongAsItLooks() {
-        share.marked(START_US, 0);
-        assertEquals(1, share.part(START_US));
-        share.looked(START_US + 900_000, 0);
-        assertEquals(1, share.part(START_US + 1_800_000));
+        share.recordMark(START_US, 0);
+        assertEquals(1, share.share(START_US));
+        share.recordScan(START_US + 900_000, 0);
+        assertEquals(1, share.share(START_US + 1_800_000));
     }
 
     @Test
     void aLookThatIsTooOldLeavesRoomForOneMore() {
-        share.marked(START_US, 0);
-        assertEquals(1, share.part(START_US + ProcessShare.LEASE_US - 1));
-        assertEquals(0.5, share.part(START_US + ProcessShare.LEASE_US));
-        share.looked(START_US + 1_200_000, 0);
-        assertEquals(1, share.part(START_US + 1_200_000));
+        share.recordMark(START_US, 0);
+        assertEquals(1, share.share(START_US + ProcessShare.LEASE_US - 1));
+        assertEquals(0.5, share.share(START_US + ProcessShare.LEASE_US));
+        share.recordScan(START_US + 1_200_000, 0);
+        assertEquals(1, share.share(START_US + 1_200_000));
     }
 
     @Test
     void besideAnotherItWaitsUntilThatOneMustKnowAndThenHasHalf() {
-        share.marked(START_US, 1);
-        assertEquals(0, share.part(START_US + WAIT_US - 1));
-        share.looked(START_US + WAIT_US - 100_000, 1);
-        assertEquals(0.5, share.part(START_US + WAIT_US));
+        share.recordMark(START_US, 1);
+        assertEquals(0, share.share(START_US + WAIT_US - 1));
+        share.recordScan(START_US + WAIT_US - 100_000, 1);
+        assertEquals(0.5, share.share(START_US + WAIT_US));
     }
 
     @Test
     void theLastOneHasAllAgain() {
-        share.marked(START_US, 1);
-        share.looked(START_US + WAIT_US, 0);
-        assertEquals(1, share.part(START_US + WAIT_US));
+        share.recordMark(START_US, 1);
+        share.recordScan(START_US + WAIT_US, 0);
+        assertEquals(1, share.share(START_US + WAIT_US));
     }
 
     @Test
     void aMarkThatVanishedCountsAsANewOne() {
-        share.marked(START_US, 0);
-        share.marked(START_US + 2_000_000, 0);
-        assertEquals(0, share.part(START_US + 2_000_000));
-        share.looked(START_US + 2_000_000 + WAIT_US, 0);
-        assertEquals(1, share.part(START_US + 2_000_000 + WAIT_US));
+        share.recordMark(START_US, 0);
+        share.recordMark(START_US + 2_000_000, 0);
+        assertEquals(0, share.share(START_US + 2_000_000));
+        share.recordScan(START_US + 2_000_000 + WAIT_US, 0);
+        assertEquals(1, share.share(START_US + 2_000_000 + WAIT_US));
     }
 
     @Test
     void withoutAMarkItHasHalf() {
-        assertEquals(0.5, share.part(START_US));
+        assertEquals(0.5, share.share(START_US));
     }
 }
--- a/src/test/java/petrelstand/lifecycle/StallDetectorTest.java
+++ b/src/test/java/petrelstand/lifecycle/StallDetectorTest.java
@@ -66,10 +66,10 @@
     /** The forced end comes after the last answer and before the kill, whatever the longest deadline. */
     @Test
     void theForcedEndIsAtTheLongestDeadlineAndAStatedMargin() {
-        assertEquals(3_650_000, Lifecycle.Times.of(1_000_000).forcedEndUs());
-        assertEquals(5_650_000, Lifecycle.Times.of(5_000_000).forcedEndUs());
-        Lifecycle life = new Lifecycle(Lifecycle.Times.of(1_000_000));
-        life.times(Lifecycle.Times.of(8_000_000));
+        assertEquals(3_650_000, Lifecycle.Delays.of(1_000_000).forcedEndUs());
+        assertEquals(5_650_000, Lifecycle.Delays.of(5_000_000).forcedEndUs());
+        Lifecycle life = new Lifecycle(Lifecycle.Delays.of(1_000_000));
+        life.setDelays(Lifecycle.Delays.of(8_000_000));
         assertEquals(8_650_000, life.forcedEndUs());
         life.terminate(0);
         assertTrue(life.lastAnswerUs() < life.forcedEndUs());
--- a/src/test/java/petrelstand/net/EventLoopTest.java
+++ b/src/test/java/petrelstand/net/EventLoopTest.java
@@ -89,10 +89,10 @@
             throw new IllegalStateException("meant by the test");
         });
         loop.execute(() -> {
-            timers.at(clock.nowUs(), () -> {
+            timers.schedule(clock.nowUs(), () -> {
                 throw new IllegalStateException("meant by the test");
             });
-            timers.at(clock.nowUs() + 1000, () -> after.complete(null));
+            timers.schedule(clock.nowUs() + 1000, () -> after.complete(null));
         });
         after.get(20, TimeUnit.SECONDS);
     }
@@ -212,7 +212,7 @@
         CountDownLatch stands = new CountDownLatch(1);
         CountDownLatch goesOn = new CountDownLatch(1);
         loop.execute(() -> {
-            timers.at(clock.nowUs() + 20_000, () -> {
+            timers.schedule(clock.nowUs() + 20_000, () -> {
                 order.add("timer");
                 all.countDown();
             });
--- a/src/test/java/petrelstand/retuning/RetuningTest.java
+++ b/src/test/java/petrelstand/retuning/SettingsTransitionTest.java
@@ -15,11 +15,11 @@
 import petrelstand.decision.Scheduling.Effect;
 import petrelstand.decision.Scheduling.RequestClass;
 import petrelstand.decision.Scheduling.Settings;
-import petrelstand.retuning.Retuning.Step;
+import petrelstand.retuning.SettingsTransition.Step;
 import petrelstand.testing.Harness;
 
 /** Which settings hold while one file gives way to another. */
-class RetuningTest {
+class SettingsTransitionTest {
     private static final Settings FORMER = SettingsReader.ofText(Harness.SETTINGS);
 
     private static Settings read(String... changes) {
@@ -49,7 +49,7 @@
                 "classes.2.hard_limit_ms=4000.0",
                 "most_tries=3",
                 "most_tries=4");
-        List<Step> steps = Retuning.steps(FORMER, changed, Set.of(), 7_000_000);
+        List<Step> steps = SettingsTransition.steps(FORMER, changed, Set.of(), 7_000_000);
         Settings between = steps.get(0).settings();
         assertEquals(Effect.UNSAFE, named(between, "tile-read").effect());
         assertEquals(Effect.KEYED, named(between, "survey-write").effect());
@@ -64,20 +64,20 @@
     @Test
     void aDroppedClassIsTakenForItsRepeatsAndThenClosedInItsPlace() {
         Settings changed = read("classes.0.name=tile-read", "classes.0.name=sounding-read");
-        List<Step> steps = Retuning.steps(FORMER, changed, Set.of(), 0);
+        List<Step> steps = SettingsTransition.steps(FORMER, changed, Set.of(), 0);
         for (Step step : steps) {
             assertEquals(
                     List.of("tile-read", "survey-write", "bulk-export", "sounding-read"),
                     step.settings().classes().stream().map(RequestClass::name).toList());
         }
-        assertEquals(Set.of(), steps.get(1).closed());
-        assertEquals(Set.of("tile-read"), steps.get(2).closed());
+        assertEquals(Set.of(), steps.get(1).closedClasses());
+        assertEquals(Set.of("tile-read"), steps.get(2).closedClasses());
         assertEquals(1_200_000 + 5_000_000, steps.get(2).atUs());
         // Its aim no longer makes the slot of the emulation.
         assertEquals(1500, named(steps.get(2).settings(), "tile-read").aimMs());
-        List<Step> back =
-                Retuning.steps(steps.get(2).settings(), FORMER, steps.get(2).closed(), 9);
-        assertEquals(Set.of(), back.get(0).closed());
+        List<Step> back = SettingsTransition.steps(
+                steps.get(2).settings(), FORMER, steps.get(2).closedClasses(), 9);
+        assertEquals(Set.of(), back.get(0).closedClasses());
         assertEquals(250, named(back.get(1).settings(), "tile-read").aimMs());
     }
 
@@ -92,9 +92,10 @@
                 "balancers=2",
                 "most_tries=3",
                 "most_tries=2");
-        assertEquals(3, Retuning.fixed(FORMER, changed).size());
-        assertEquals(List.of(), Retuning.fixed(FORMER, read("most_tries=3", "most_tries=2")));
-        Settings after = Retuning.steps(FORMER, changed, Set.of(), 0).get(1).settings();
+        assertEquals(3, SettingsTransition.restartOnlyChanges(FORMER, changed).size());
+        assertEquals(List.of(), SettingsTransition.restartOnlyChanges(FORMER, read("most_tries=3", "most_tries=2")));
+        Settings after =
+                SettingsTransition.steps(FORMER, changed, Set.of(), 0).get(1).settings();
         assertEquals(FORMER.plans(), after.plans());
         assertEquals(FORMER.rules(), after.rules());
         assertEquals(1, after.hosts());
@@ -104,14 +105,15 @@
     @Test
     void placesAreBounded() {
         Settings inUse = FORMER;
-        for (int i = 0; i < Retuning.MOST_CLASSES - 3; i++) {
-            inUse = Retuning.steps(inUse, read("classes.0.name=tile-read", "classes.0.name=c" + i), Set.of(), 0)
+        for (int i = 0; i < SettingsTransition.MAX_CLASSES - 3; i++) {
+            inUse = SettingsTransition.steps(
+                            inUse, read("classes.0.name=tile-read", "classes.0.name=c" + i), Set.of(), 0)
                     .get(1)
                     .settings();
         }
         Settings full = inUse;
         Settings more = read("classes.0.name=tile-read", "classes.0.name=more");
-        assertThrows(IllegalArgumentException.class, () -> Retuning.steps(full, more, Set.of(), 0));
+        assertThrows(IllegalArgumentException.class, () -> SettingsTransition.steps(full, more, Set.of(), 0));
     }
 
     /** Whatever comes after what: a place is one class for good, and what both files forbid is never allowed. */
@@ -129,7 +131,7 @@
                             + List.of("by_key", "once", "repeatable").get(random.nextInt(3)),
                     "most_tries=3",
                     "most_tries=" + (1 + random.nextInt(4)));
-            List<Step> steps = Retuning.steps(inUse, changed, closed, i);
+            List<Step> steps = SettingsTransition.steps(inUse, changed, closed, i);
             for (Step step : steps) {
                 for (int place = 0; place < inUse.classes().size(); place++) {
                     assertEquals(
@@ -146,11 +148,11 @@
                 RequestClass before = named(inUse, kind.name());
                 assertTrue(held.effect().compareTo(kind.effect()) >= 0);
                 assertTrue(before == null || held.effect().compareTo(before.effect()) >= 0);
-                assertTrue(steps.stream().noneMatch(step -> step.closed().contains(kind.name())));
+                assertTrue(steps.stream().noneMatch(step -> step.closedClasses().contains(kind.name())));
             }
             Step last = steps.get(random.nextInt(steps.size()));
             inUse = last.settings();
-            closed = new HashSet<>(last.closed());
+            closed = new HashSet<>(last.closedClasses());
         }
     }
 }
--- a/src/test/java/petrelstand/rsync/SessionModelTest.java
+++ b/src/test/java/petrelstand/rsync/SessionModelTest.java
@@ -109,7 +109,7 @@
         }
         test.world.run(12_000_000);
         test.collect();
-        assertEquals(0, test.world.broker.open());
+        assertEquals(0, test.world.broker.openRequests());
         assertEquals(0, test.front.sessions());
         assertEquals(
                 test.count(TAKEN),
--- a/src/test/java/petrelstand/store/StateKeeperTest.java
+++ b/src/test/java/petrelstand/store/StateKeeperTest.java
@@ -15,7 +15,7 @@
 import petrelstand.core.Broker;
 import petrelstand.core.Demand;
 import petrelstand.core.Node;
-import petrelstand.core.ServerSide;
+import petrelstand.core.NodeTransport;
 import petrelstand.decision.Scheduling.LearnedNode;
 import petrelstand.decision.Scheduling.NodeState;
 import petrelstand.decision.Scheduling.Outcome;
@@ -31,20 +31,20 @@
     private final Harness world = new Harness();
     private StateKeeper.Opening opening = () -> disk;
 
-    private final class Server implements ServerSide {
+    private final class Server implements NodeTransport {
         @Override
         public void start(Attempt attempt) {
-            world.timers.at(world.nowUs + 20_000, () -> attempt.ended(Outcome.SERVED, "body", Map.of()));
+            world.timers.schedule(world.nowUs + 20_000, () -> attempt.end(Outcome.SERVED, "body", Map.of()));
         }
 
         @Override
         public void abandon(Attempt attempt) {}
 
         @Override
-        public void probe(Node node, long timeoutUs, ProbeResult result) {}
+        public void probe(Node node, long timeoutUs, ProbeCallback result) {}
 
         @Override
-        public void forget(Node node) {}
+        public void discardConnections(Node node) {}
     }
 
     private Broker broker() {
@@ -79,7 +79,7 @@
 
     private void serve(Broker broker, int requests) {
         for (int i = 0; i < requests; i++) {
-            broker.take(
+            broker.submit(
                     new Demand(0, 0, 5, 9, 2, 3, 1, false, false, 1_500_000),
                     "ask",
                     new SilentClient(),
@@ -100,7 +100,7 @@
         first.start(broker);
         world.list(Harness.node("s-00000001", 3, NodeState.READY, 0));
         serve(broker, 100);
-        LearnedNode before = broker.learned().nodes().get(0);
+        LearnedNode before = broker.learnedState().nodes().get(0);
         assertTrue(before.latencyMs() < 40, before.toString());
         boolean[] ended = new boolean[1];
         first.last(() -> ended[0] = true);
@@ -114,10 +114,10 @@
         Broker next = broker();
         second.start(next);
         world.list(Harness.node("s-00000001", 3, NodeState.READY, 0));
-        LearnedNode after = next.learned().nodes().get(0);
+        LearnedNode after = next.learnedState().nodes().get(0);
         assertEquals(before.latencyMs(), after.latencyMs(), 5);
         assertTrue(after.window() > 3, after.toString());
-        assertEquals(1, next.learned().volumes().size());
+        assertEquals(1, next.learnedState().volumes().size());
         assertTrue(
                 world.log.stream()
                         .anyMatch(
@@ -142,7 +142,7 @@
         world.list(
                 Harness.node("s-00000001", 3, NodeState.READY, world.nowUs / 1000.0),
                 Harness.node("s-00000002", 4, NodeState.READY, 0));
-        for (LearnedNode node : next.learned().nodes()) {
+        for (LearnedNode node : next.learnedState().nodes()) {
             assertEquals(0, node.slots());
             assertEquals(100, node.latencyMs());
         }
--- a/src/test/java/petrelstand/testing/Harness.java
+++ b/src/test/java/petrelstand/testing/Harness.java
@@ -8,7 +8,7 @@
 import petrelstand.core.Broker;
 import petrelstand.core.Counters;
 import petrelstand.core.Node;
-import petrelstand.core.ServerSide;
+import petrelstand.core.NodeTransport;
 import petrelstand.core.Timers;
 import petrelstand.decision.Scheduling.ListKind;
 import petrelstand.decision.Scheduling.NodeEntry;
@@ -88,9 +88,9 @@
     /** Moves the clock and runs the timers on the way, each at its time. */
     public void run(long us) {
         long until = nowUs + us;
-        while (timers.nextUs() <= until) {
-            nowUs = Math.max(nowUs, timers.nextUs());
-            timers.run(nowUs);
+        while (timers.nextDueUs() <= until) {
+            nowUs = Math.max(nowUs, timers.nextDueUs());
+            timers.runDue(nowUs);
         }
         nowUs = until;
     }
@@ -98,10 +98,10 @@
     /** A turn of the loop that comes late: the clock jumps, and all that is due runs at once. */
     public void late(long us) {
         nowUs += us;
-        timers.run(nowUs);
+        timers.runDue(nowUs);
     }
 
-    public Broker broker(ServerSide server) {
+    public Broker broker(NodeTransport server) {
         broker = new Broker(settings, 7, () -> nowUs, timers, server, counters, log::add);
         return broker;
     }
@@ -116,7 +116,7 @@
     }
 
     public void list(Node... nodes) {
-        broker.nodes(ListKind.WHOLE, List.of(nodes));
+        broker.updateNodes(ListKind.WHOLE, List.of(nodes));
     }
 
     /** Brings the last dialed connection up and gives its end in memory. */
--- a/src/test/java/petrelstand/testing/SilentClient.java
+++ b/src/test/java/petrelstand/testing/SilentClient.java
@@ -1,10 +1,10 @@
 package petrelstand.testing;
 
 import petrelstand.core.Attempt;
-import petrelstand.core.ClientSide;
+import petrelstand.core.ClientHandler;
 
 /** A client that takes every answer and does nothing with it. */
-public class SilentClient implements ClientSide {
+public class SilentClient implements ClientHandler {
     @Override
     public boolean served(Object answer) {
         return true;
