--- a/src/main/java/petrelstand/fleet/FleetService.java
+++ b/src/main/java/petrelstand/fleet/FleetService.java
@@ -156,13 +156,13 @@
         if (membership.hasLeft()) {
             left();
         } else {
-            timers.at(nowUs.getAsLong() + MembershipTiming.TICK_INTERVAL_US, this::tick);
+            timers.schedule(nowUs.getAsLong() + MembershipTiming.TICK_INTERVAL_US, this::tick);
         }
     }
 
     private void receive(Envelope envelope) {
         if (membership != null) {
-            counters.add("fleet.taken");
+            counters.increment("fleet.taken");
             membership.receive(nowUs.getAsLong(), envelope);
         }
     }
@@ -215,7 +215,7 @@
 
     /** Sends a content about rules, on the loop; it may get lost. */
     public void sendRulesMessage(String address, byte[] content) {
-        counters.add("rules.sent");
+        counters.increment("rules.sent");
         bytesSent += link.send(address, Seal.RULES, content);
     }
 
@@ -256,7 +256,7 @@
 
     @Override
     public void send(String address, Envelope message) {
-        counters.add("fleet.sent");
+        counters.increment("fleet.sent");
         bytesSent += link.send(address, message);
     }
 
@@ -289,7 +289,7 @@
 
     @Override
     public void onVisibilityChanged(FleetVisibility standing) {
-        counters.add("fleet.standing");
+        counters.increment("fleet.standing");
         log.accept("sees " + standing.visibleMembers() + " of " + standing.agreedSize() + ": "
                 + standing.reach().name().toLowerCase(java.util.Locale.ROOT));
         JsonObject line = new JsonObject();
@@ -309,7 +309,7 @@
 
     @Override
     public void incrementCounter(String what) {
-        counters.add(what);
+        counters.increment(what);
     }
 
     @Override
--- a/src/main/java/petrelstand/http/BodyBudgets.java
+++ b/src/main/java/petrelstand/http/BodyBudgets.java
@@ -1,6 +1,6 @@
 package petrelstand.http;
 
-import petrelstand.lifecycle.MemoryPlan;
+import petrelstand.lifecycle.MemoryLimits;
 
 /**
  * Bytes of bodies that a gateway's connections may keep: of requests being read, of those in work, of answers being
@@ -12,12 +12,12 @@
         ByteBudget incomingAnswers,
         ByteBudget outgoingAnswers) {
     /** What a plan allows. */
-    public static BodyBudgets of(MemoryPlan plan) {
+    public static BodyBudgets of(MemoryLimits plan) {
         ByteBudget all = new ByteBudget(plan.bodyBytes());
         return new BodyBudgets(
-                new ByteBudget(plan.requestBytes(), all),
+                new ByteBudget(plan.requestReadBytes(), all),
                 new ByteBudget(plan.bodyBytes(), all),
-                new ByteBudget(plan.answerBytes(), all),
-                new ByteBudget(plan.writtenBytes(), all));
+                new ByteBudget(plan.answerReadBytes(), all),
+                new ByteBudget(plan.answerWriteBytes(), all));
     }
 }
--- a/src/main/java/petrelstand/http/HttpProtocol.java
+++ b/src/main/java/petrelstand/http/HttpProtocol.java
@@ -14,7 +14,7 @@
 import org.eclipse.jetty.http.HttpVersion;
 import org.eclipse.jetty.http.MetaData;
 import org.eclipse.jetty.util.BufferUtil;
-import petrelstand.core.VolumeUse;
+import petrelstand.core.VolumeUsage;
 
 /** Names of the platform's headers, and messages as bytes. */
 public final class HttpProtocol {
@@ -150,9 +150,9 @@
     }
 
     /** What an answer tells of its volume: a figure that cannot be read, or cannot be, is not told. */
-    static VolumeUse parseVolumeUse(HttpFields fields) {
-        return new VolumeUse(
-                parseCount(fields.get(VOLUME_USE_HEADER), VolumeUse.UNTOLD),
+    static VolumeUsage parseVolumeUse(HttpFields fields) {
+        return new VolumeUsage(
+                parseCount(fields.get(VOLUME_USE_HEADER), VolumeUsage.UNKNOWN_PERCENT),
                 parseCount(fields.get(OTHER_GATEWAYS_UNITS_HEADER), 0));
     }
 
@@ -162,7 +162,7 @@
         }
         try {
             long value = Math.round(Double.parseDouble(text));
-            return value >= 0 && value <= VolumeUse.MOST ? (int) value : without;
+            return value >= 0 && value <= VolumeUsage.MAX_VALUE ? (int) value : without;
         } catch (NumberFormatException e) {
             return without;
         }
--- a/src/main/java/petrelstand/http/JvmWarmUp.java
+++ b/src/main/java/petrelstand/http/JvmWarmUp.java
@@ -41,8 +41,8 @@
         NodeConnectionPool pool =
                 new NodeConnectionPool(this::dial, () -> nowUs, timers, counters, settings, "backend.local", 64);
         this.broker = new Broker(settings, 1, () -> nowUs, timers, pool, counters, line -> {});
-        Lifecycle life = new Lifecycle(Lifecycle.Times.of(0));
-        life.serving(nowUs);
+        Lifecycle life = new Lifecycle(Lifecycle.Delays.of(0));
+        life.startServing(nowUs);
         this.front = new HttpFront(broker, timers, 64, life);
     }
 
@@ -64,7 +64,7 @@
             nodes.add(new Node(
                     "s-0000000" + i, "127.0.0.1:" + (9000 + i), new NodeEntry(i, 0, i, NodeState.READY, 1, 0)));
         }
-        broker.nodes(ListKind.WHOLE, nodes);
+        broker.updateNodes(ListKind.WHOLE, nodes);
         List<MemoryEndPoint> clients = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
             clients.add(MemoryEndPoint.open(front::accept));
@@ -77,7 +77,7 @@
                 clients.forEach(MemoryEndPoint::takeReceived);
             }
             nowUs += STEP_US;
-            timers.run(nowUs);
+            timers.runDue(nowUs);
         }
     }
 
--- a/src/test/java/petrelstand/http/FrontTest.java
+++ b/src/test/java/petrelstand/http/FrontTest.java
@@ -13,8 +13,8 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
-import petrelstand.core.Figures.End;
 import petrelstand.core.Node;
+import petrelstand.core.RequestCounts.RequestResult;
 import petrelstand.decision.Scheduling.ListKind;
 import petrelstand.decision.Scheduling.NodeState;
 import petrelstand.lifecycle.Lifecycle;
@@ -27,12 +27,12 @@
     private final Harness world = new Harness();
     private final NodeConnectionPool pool = new NodeConnectionPool(
             world::dial, () -> world.nowUs, world.timers, world.counters, world.settings, "backend.local", 40);
-    private final Lifecycle life = new Lifecycle(Lifecycle.Times.of(5_000_000));
+    private final Lifecycle life = new Lifecycle(Lifecycle.Delays.of(5_000_000));
     private final HttpFront front = new HttpFront(world.broker(pool), world.timers, 50, life);
     private final HeldEnd client = HeldEnd.open(front::accept);
 
     {
-        life.serving(world.nowUs);
+        life.startServing(world.nowUs);
     }
 
     private void listOne() {
@@ -106,7 +106,7 @@
     }
 
     private static double partOfUse(Harness world) {
-        return world.broker.learned().volumes().get(0).ownPart();
+        return world.broker.learnedState().volumes().get(0).ownPart();
     }
 
     @Test
@@ -171,7 +171,7 @@
         world.run(1_402_000);
         assertEquals(3, statuses(client.takeReceived()).size());
         assertEquals(1, world.counters.get("sent"));
-        assertEquals(0, world.broker.open());
+        assertEquals(0, world.broker.openRequests());
     }
 
     /**
@@ -239,18 +239,18 @@
             Harness.Dialed before = other.dialed.remove(0);
             List<Node> drains = List.of(Harness.node("s-00000001", 3, NodeState.DRAINING, 0));
             if (drainFirst) {
-                other.broker.nodes(ListKind.CHANGES, drains);
+                other.broker.updateNodes(ListKind.CHANGES, drains);
             }
-            other.broker.retune(
+            other.broker.updateSettings(
                     new Harness(Harness.SETTINGS.replace("caps.most_tries=3", "caps.most_tries=2")).settings);
             if (!drainFirst) {
-                other.broker.nodes(ListKind.CHANGES, drains);
+                other.broker.updateNodes(ListKind.CHANGES, drains);
             }
             assertEquals("", HeldEnd.open(before.connector()::connected).takeReceived());
             end.send(read(2, ""));
             other.run(2_000_000);
             assertEquals(0, other.dialed.size());
-            assertEquals(0, other.broker.figures().tries());
+            assertEquals(0, other.broker.requestCounts().attempts());
             assertEquals(2, statuses(end.takeReceived()).size());
         }
     }
@@ -304,7 +304,7 @@
         listOne();
         client.putUnread(read(1, ""));
         world.late(3_000_000);
-        assertEquals(1, world.broker.open());
+        assertEquals(1, world.broker.openRequests());
         HeldEnd half = HeldEnd.open(front::accept);
         half.send(read(2, "").substring(0, 80));
         half.putUnread(read(2, "").substring(80));
@@ -331,7 +331,7 @@
             }
             end.sendEof();
             assertEquals(gone + 1, world.counters.get("client_gone"), bytes + " bytes ahead");
-            assertEquals(0, world.broker.open());
+            assertEquals(0, world.broker.openRequests());
         }
         assertEquals(0, front.connectionCount() - 1);
         assertEquals(8L * 1024 * 1024, front.requests().left(), "what waited gave its room back");
@@ -350,7 +350,7 @@
             for (int sent = 0; sent < bytes; sent += 5_000) {
                 end.send("x".repeat(5_000));
             }
-            assertEquals(1, world.broker.open());
+            assertEquals(1, world.broker.openRequests());
             end.sendEof();
             assertEquals(gone + 1, world.counters.get("client_gone"), bytes + " bytes of the body");
         }
@@ -421,7 +421,7 @@
             other.list(listed);
             MemoryEndPoint end = MemoryEndPoint.open(front::accept);
             end.send(read(1, ""));
-            other.broker.nodes(ListKind.CHANGES, List.of(change));
+            other.broker.updateNodes(ListKind.CHANGES, List.of(change));
             assertEquals("", other.up().takeReceived(), change.toString());
             assertEquals(1, other.counters.get("outcome.not_connected"));
         }
@@ -706,7 +706,7 @@
         world.run(2 * NodeConnectionPool.PIECE_STALL_US);
         assertFalse(node.isOpen());
         assertFalse(client.isOpen());
-        assertEquals(1, world.broker.figures().count("tile-read", End.FAILED));
+        assertEquals(1, world.broker.requestCounts().count("tile-read", RequestResult.FAILED));
         assertEquals(0, front.answeringCount());
         MemoryEndPoint second = MemoryEndPoint.open(front::accept);
         second.send(read(2, ""));
@@ -716,7 +716,7 @@
         other.sendEof();
         assertFalse(second.isOpen());
         assertFalse(second.takeReceived().contains("\r\n0\r\n"));
-        assertEquals(2, world.broker.figures().count("tile-read", End.FAILED));
+        assertEquals(2, world.broker.requestCounts().count("tile-read", RequestResult.FAILED));
     }
 
     /** Nodes were seen to answer with 380 KB, although the protocol says 64 KiB. */
@@ -772,7 +772,7 @@
         world.run(1_900_000);
         node.send(ok("stored"));
         assertTrue(client.takeReceived().endsWith("stored"));
-        assertEquals(1, world.broker.figures().tries());
+        assertEquals(1, world.broker.requestCounts().attempts());
     }
 
     /**
@@ -808,8 +808,8 @@
             slow.send("x".repeat(400));
             world.run(100_000);
         }
-        assertEquals(0, world.broker.figures().tries());
-        assertEquals(0, world.broker.open());
+        assertEquals(0, world.broker.requestCounts().attempts());
+        assertEquals(0, world.broker.openRequests());
         assertTrue(world.counters.get("connections.late") >= 2);
     }
 
@@ -842,7 +842,7 @@
         MemoryEndPoint node = world.up();
         client.sendEof();
         assertFalse(node.isOpen());
-        assertEquals(0, world.broker.open());
+        assertEquals(0, world.broker.openRequests());
         assertEquals(0, pool.connectionCount());
         assertEquals(1, world.counters.get("client_gone"));
     }
@@ -963,7 +963,7 @@
     @Test
     void aRemovedNodeAndOneThatAWholeListLeavesOutGetNothing() {
         listOne();
-        world.broker.nodes(ListKind.CHANGES, List.of(Harness.node("s-00000001", 3, NodeState.GONE, 0)));
+        world.broker.updateNodes(ListKind.CHANGES, List.of(Harness.node("s-00000001", 3, NodeState.GONE, 0)));
         client.send(read(1, ""));
         listOne();
         world.list(Harness.node("s-00000002", 4, NodeState.READY, 0));
@@ -974,7 +974,7 @@
 
     @Test
     void aKnownListThatWasStaleGivesWayToTheWholeOne() {
-        world.broker.nodes(ListKind.CACHED, List.of(Harness.node("s-00000009", 3, NodeState.READY, 0)));
+        world.broker.updateNodes(ListKind.CACHED, List.of(Harness.node("s-00000009", 3, NodeState.READY, 0)));
         listOne();
         client.send(read(1, ""));
         assertEquals(1, world.dialed.size());
@@ -999,7 +999,7 @@
         assertTrue(between.isOutputShutdown());
         between.send(read(7, ""));
         assertEquals(List.of(), statuses(between.takeReceived()), "what comes behind the end is dropped");
-        assertEquals(1, world.broker.open());
+        assertEquals(1, world.broker.openRequests());
         between.sendEof();
         assertFalse(between.isOpen());
         node.send(ok("kept"));
@@ -1119,7 +1119,7 @@
         }
         test.world.run(asked < 10 ? HttpFront.REQUEST_US : 0);
         got.append(test.client.takeReceived());
-        assertEquals(0, test.world.broker.open());
+        assertEquals(0, test.world.broker.openRequests());
         if (open && asked < 10) {
             assertEquals(whole, statuses(got.toString()).size());
         }
