--- a/src/main/java/petrelstand/Gateway.java
+++ b/src/main/java/petrelstand/Gateway.java
@@ -20,7 +20,7 @@
 import petrelstand.core.ServerSide;
 import petrelstand.core.Timers;
 import petrelstand.decision.Policy;
-import petrelstand.decision.Scheduling.ListKind;
+import petrelstand.decision.Scheduling.NodeListKind;
 import petrelstand.discovery.Watch;
 import petrelstand.http.Budgets;
 import petrelstand.http.Front;
@@ -201,7 +201,7 @@
                 parts.clients(),
                 parts.nodes(),
                 config.known().nodes().size(),
-                Policy.MOST_VOLUMES);
+                Policy.MAX_VOLUMES);
     }
 
     /** The pool, and beside it the nodes that speak the rsync protocol. */
@@ -279,7 +279,7 @@
         if (operation != null) {
             operation.recall();
         }
-        broker.nodes(ListKind.CACHED, withOperators(config.known().nodes()));
+        broker.nodes(NodeListKind.CACHED, withOperators(config.known().nodes()));
         // All of this was one turn: its time is no silence of discovery's, so the next one begins to ask.
         timers.at(clock.nowUs() + 1, this::follow);
     }
@@ -360,9 +360,9 @@
 
     private void heard(NodeList list) {
         if (list.full()) {
-            broker.nodes(ListKind.WHOLE, withOperators(list.nodes()));
+            broker.nodes(NodeListKind.FULL, withOperators(list.nodes()));
         } else if (!list.nodes().isEmpty()) {
-            broker.nodes(ListKind.CHANGES, list.nodes());
+            broker.nodes(NodeListKind.CHANGES, list.nodes());
         }
         open();
     }
@@ -420,7 +420,7 @@
         rsyncFront.reload(rules == null ? changed : rules.allowed(changed));
         log.accept(
                 "rsync: the operator's file was read anew, " + changed.modules().size() + " modules");
-        broker.nodes(ListKind.CHANGES, nodes);
+        broker.nodes(NodeListKind.CHANGES, nodes);
     }
 
     /** Other rules are acted on: modules that they close take no new transfer, nodes that they remove no new work. */
@@ -428,7 +428,7 @@
         if (rsync != null) {
             RsyncConfig allowed = rules.allowed(rsync);
             rsyncFront.reload(allowed);
-            broker.nodes(ListKind.CHANGES, allowed.nodes());
+            broker.nodes(NodeListKind.CHANGES, allowed.nodes());
         }
     }
 
--- a/src/main/java/petrelstand/HotRestartPart.java
+++ b/src/main/java/petrelstand/HotRestartPart.java
@@ -12,8 +12,8 @@
 import java.util.function.LongSupplier;
 import petrelstand.config.GatewayConfig;
 import petrelstand.core.Broker;
-import petrelstand.decision.Scheduling.Learned;
 import petrelstand.decision.Scheduling.LearnedNode;
+import petrelstand.decision.Scheduling.LearnedState;
 import petrelstand.decision.Scheduling.LearnedVolume;
 import petrelstand.decision.Scheduling.Settings;
 import petrelstand.lifecycle.ProcessShare;
@@ -85,7 +85,7 @@
     /** Writes and reads a file as between two processes, so that the build's class-data archive has what that takes. */
     static void rehearse(GatewayConfig config) throws StateFault {
         long now = System.currentTimeMillis();
-        Learned learned = new Learned(
+        LearnedState learned = new LearnedState(
                 now,
                 1,
                 1,
@@ -120,7 +120,7 @@
     /**
      * What the other process has learned, weighed for this one; null where it has handed on nothing that can be used.
      */
-    Learned handed() {
+    LearnedState handed() {
         try {
             Path file = marks == null ? null : marks.handover();
             if (file == null || !Files.exists(file) || Files.size(file) > SnapshotFormat.MOST_BYTES) {
--- a/src/main/java/petrelstand/OperationPart.java
+++ b/src/main/java/petrelstand/OperationPart.java
@@ -11,7 +11,7 @@
 import petrelstand.core.Broker;
 import petrelstand.core.Counters;
 import petrelstand.core.Timers;
-import petrelstand.decision.Scheduling.Learned;
+import petrelstand.decision.Scheduling.LearnedState;
 import petrelstand.decision.Scheduling.Settings;
 import petrelstand.http.Front;
 import petrelstand.http.NodePool;
@@ -119,7 +119,7 @@
         if (other != Other.NONE) {
             log.accept("hot restart: this process takes the place of another");
             bound();
-            Learned learned = hotRestart.handed();
+            LearnedState learned = hotRestart.handed();
             if (learned != null) {
                 broker.recall(learned);
             }
--- a/src/main/java/petrelstand/cli/StateCommand.java
+++ b/src/main/java/petrelstand/cli/StateCommand.java
@@ -133,11 +133,11 @@
                         "%08x   %16.0f %8.1f %10.2f %8.2f %10.1f %8.1f %10.0f",
                         node.node(),
                         node.upSinceMs(),
-                        node.slots(),
-                        node.slots() > 0 ? node.served() / node.slots() : 0,
+                        node.measuredSlots(),
+                        node.measuredSlots() > 0 ? node.servedUnits() / node.measuredSlots() : 0,
                         node.window(),
                         node.latencyMs(),
-                        node.coldSent(),
+                        node.coldSentUnits(),
                         node.silentMs()));
             }
             lines.add(String.format(
@@ -156,8 +156,8 @@
                         "%016x %4d %5d %6.3f %8.1f %8.1f %8.1f",
                         volume.volume(),
                         volume.plan(),
-                        volume.setSize(),
-                        volume.ownPart(),
+                        volume.hostCount(),
+                        volume.localFraction(),
                         volume.limitLevel(),
                         volume.reserveLevel(),
                         volume.shareLevel()));
@@ -172,18 +172,18 @@
             json.addProperty("generation", snapshot.generation());
             json.addProperty("wall_ms", snapshot.wallMs());
             json.addProperty("clean", snapshot.clean());
-            json.addProperty("slots", snapshot.learned().slots());
-            json.addProperty("served", snapshot.learned().served());
+            json.addProperty("slots", snapshot.learned().measuredSlots());
+            json.addProperty("served", snapshot.learned().servedUnits());
             JsonArray nodes = new JsonArray();
             for (LearnedNode node : snapshot.learned().nodes()) {
                 JsonObject one = new JsonObject();
                 one.addProperty("node", String.format("%08x", node.node()));
                 one.addProperty("started_ms", node.upSinceMs());
-                one.addProperty("slots", node.slots());
-                one.addProperty("served", node.served());
+                one.addProperty("slots", node.measuredSlots());
+                one.addProperty("served", node.servedUnits());
                 one.addProperty("window", node.window());
                 one.addProperty("latency_ms", node.latencyMs());
-                one.addProperty("cold_units", node.coldSent());
+                one.addProperty("cold_units", node.coldSentUnits());
                 one.addProperty("silent_ms", node.silentMs());
                 nodes.add(one);
             }
@@ -193,8 +193,8 @@
                 JsonObject one = new JsonObject();
                 one.addProperty("volume", String.format("%016x", volume.volume()));
                 one.addProperty("plan", volume.plan());
-                one.addProperty("hosts", volume.setSize());
-                one.addProperty("own_part", volume.ownPart());
+                one.addProperty("hosts", volume.hostCount());
+                one.addProperty("own_part", volume.localFraction());
                 one.addProperty("limit_units", volume.limitLevel());
                 one.addProperty("reserve_units", volume.reserveLevel());
                 one.addProperty("share_units", volume.shareLevel());
--- a/src/main/java/petrelstand/config/NodeList.java
+++ b/src/main/java/petrelstand/config/NodeList.java
@@ -53,7 +53,7 @@
         int zone = json.has("zone") ? Math.max(0, zones.indexOf(json.get("zone").getAsString())) : 0;
         String address = json.has("addr") ? json.get("addr").getAsString() : "";
         int cell = number(json, "cell", -1).intValue();
-        if (cell >= NodeEntry.PRIVATE) {
+        if (cell >= NodeEntry.FIRST_PRIVATE_SHARD) {
             throw new IllegalArgumentException("node " + name + " has a cell that is out of range: " + cell);
         }
         if (state != NodeState.GONE) {
--- a/src/main/java/petrelstand/config/RsyncConfig.java
+++ b/src/main/java/petrelstand/config/RsyncConfig.java
@@ -69,7 +69,7 @@
         Fields file = new Fields("", GatewayConfig.object(text));
         for (Fields cluster : file.list("clusters")) {
             String name = cluster.text("name");
-            if (shards.putIfAbsent(name, NodeEntry.PRIVATE + shards.size()) != null) {
+            if (shards.putIfAbsent(name, NodeEntry.FIRST_PRIVATE_SHARD + shards.size()) != null) {
                 throw cluster.wrong("name", "is there twice: '" + name + "'");
             }
             String type = cluster.textOr("type", "STATIC");
--- a/src/main/java/petrelstand/config/SettingsReader.java
+++ b/src/main/java/petrelstand/config/SettingsReader.java
@@ -7,7 +7,7 @@
 import java.util.function.IntFunction;
 import petrelstand.decision.Scheduling.Capabilities;
 import petrelstand.decision.Scheduling.DedupGroup;
-import petrelstand.decision.Scheduling.Discovery;
+import petrelstand.decision.Scheduling.DiscoveryMode;
 import petrelstand.decision.Scheduling.Effect;
 import petrelstand.decision.Scheduling.Plan;
 import petrelstand.decision.Scheduling.RequestClass;
@@ -136,10 +136,10 @@
                 number("rules.ratio_span_ms", NOT_STATED));
     }
 
-    private Discovery discovery() {
+    private DiscoveryMode discovery() {
         return switch (needed("discovery")) {
-            case "push" -> Discovery.PUSHED;
-            case "ask" -> Discovery.ASKED;
+            case "push" -> DiscoveryMode.PUSHED;
+            case "ask" -> DiscoveryMode.ASKED;
             default -> throw unknown("discovery");
         };
     }
--- a/src/main/java/petrelstand/core/Broker.java
+++ b/src/main/java/petrelstand/core/Broker.java
@@ -14,13 +14,13 @@
 import java.util.stream.Collectors;
 import petrelstand.core.Figures.End;
 import petrelstand.decision.Policy;
-import petrelstand.decision.Scheduling.Actions;
 import petrelstand.decision.Scheduling.AttemptEnd;
-import petrelstand.decision.Scheduling.Events;
-import petrelstand.decision.Scheduling.Learned;
+import petrelstand.decision.Scheduling.HostActions;
+import petrelstand.decision.Scheduling.HostEvents;
 import petrelstand.decision.Scheduling.LearnedNode;
-import petrelstand.decision.Scheduling.ListKind;
+import petrelstand.decision.Scheduling.LearnedState;
 import petrelstand.decision.Scheduling.NodeEntry;
+import petrelstand.decision.Scheduling.NodeListKind;
 import petrelstand.decision.Scheduling.NodeState;
 import petrelstand.decision.Scheduling.Outcome;
 import petrelstand.decision.Scheduling.Request;
@@ -44,7 +44,7 @@
     private final Counters counters;
     private final Figures figures = new Figures();
     private final Consumer<String> log;
-    private final Events module;
+    private final HostEvents module;
     private final Map<Long, Exchange> exchanges = new HashMap<>();
     private final Map<Long, Node> nodes = new HashMap<>();
     /** Events that came while the module was at work: it is never entered twice. */
@@ -63,7 +63,7 @@
 
     /** Makes the decision module for a host: settings and actions. */
     public interface ModuleMaker {
-        Events make(double nowMs, Settings settings, Actions actions);
+        HostEvents make(double nowMs, Settings settings, HostActions actions);
     }
 
     public Broker(
@@ -117,7 +117,7 @@
     public void retune(Settings changed) {
         settings = changed;
         changed.classes().forEach(kind -> figures.knows(kind.name()));
-        event(() -> module.retune(ms(clock.getAsLong()), changed), null);
+        event(() -> module.applySettings(ms(clock.getAsLong()), changed), null);
     }
 
     /** The time of this turn of the loop. */
@@ -189,7 +189,7 @@
         figures.tried();
         long now = clock.getAsLong();
         watcher.written(attempt.exchange().id(), attempt.number(), now);
-        event(() -> module.written(ms(now), attempt.exchange().id()), attempt.exchange());
+        event(() -> module.requestWritten(ms(now), attempt.exchange().id()), attempt.exchange());
     }
 
     /** Requests without their final answer. */
@@ -244,7 +244,7 @@
                 demand.setSize(),
                 demand.repeat(),
                 demand.write());
-        event(() -> module.request(ms(now), request), exchange);
+        event(() -> module.requestReceived(ms(now), request), exchange);
         return exchange;
     }
 
@@ -296,7 +296,7 @@
     }
 
     /** The node list, or changes to it. */
-    public void nodes(ListKind kind, Collection<Node> listed) {
+    public void nodes(NodeListKind kind, Collection<Node> listed) {
         List<NodeEntry> entries = new ArrayList<>();
         for (Node node : listed) {
             // What is gone is not kept: attempts still out hold their node themselves, and nodes come and go all day.
@@ -317,10 +317,10 @@
             }
             entries.add(node.entry());
         }
-        if (kind != ListKind.CHANGES && kind != ListKind.FAILED) {
+        if (kind != NodeListKind.CHANGES && kind != NodeListKind.FAILED) {
             dropUnlisted(entries);
         }
-        event(() -> module.nodes(ms(clock.getAsLong()), kind, entries), null);
+        event(() -> module.nodesListed(ms(clock.getAsLong()), kind, entries), null);
     }
 
     private void dropUnlisted(List<NodeEntry> entries) {
@@ -335,8 +335,8 @@
     }
 
     /** What the decision module has learned, at this turn's time; never while the module is at work. */
-    public Learned learned() {
-        return module.learned(ms(clock.getAsLong()));
+    public LearnedState learned() {
+        return module.learnedState(ms(clock.getAsLong()));
     }
 
     /**
@@ -355,13 +355,13 @@
         double part = shares.applyAsDouble(clock.getAsLong());
         if (part != share) {
             share = part;
-            module.share(ms(clock.getAsLong()), part);
+            module.setBudgetShare(ms(clock.getAsLong()), part);
         }
     }
 
     /** Gives the module what an earlier run learned, weighed and bounded; only before the first node list. */
-    public void recall(Learned learned) {
-        event(() -> module.recall(ms(clock.getAsLong()), learned), null);
+    public void recall(LearnedState learned) {
+        event(() -> module.restore(ms(clock.getAsLong()), learned), null);
     }
 
     // ---- Attempts ----
@@ -493,7 +493,7 @@
     }
 
     /** Carries out what the module asks. */
-    private final class ModuleActions implements Actions {
+    private final class ModuleActions implements HostActions {
         @Override
         public void send(long request, long node, double timeoutMs) {
             Exchange exchange = exchanges.get(request);
@@ -565,24 +565,25 @@
                         (outcome, load) -> event(
                                 () -> {
                                     long now = clock.getAsLong();
-                                    module.probed(ms(now), node, ms(now - sent), outcome, ordered(load));
+                                    module.probeEnded(ms(now), node, ms(now - sent), outcome, ordered(load));
                                 },
                                 null));
             }
         }
 
         @Override
-        public void timer(double atMs, long token) {
-            timers.at(us(atMs), () -> event(() -> module.timer(ms(clock.getAsLong()), token), exchanges.get(token)));
+        public void setTimer(double atMs, long token) {
+            timers.at(
+                    us(atMs), () -> event(() -> module.timerFired(ms(clock.getAsLong()), token), exchanges.get(token)));
         }
 
         @Override
-        public void follow() {
+        public void subscribeToNodes() {
             // The watch loop follows the list from the start.
         }
 
         @Override
-        public void tell(int recipient, byte[] message) {
+        public void sendPeerMessage(int recipient, byte[] message) {
             counters.add("tell_dropped");
         }
     }
--- a/src/main/java/petrelstand/core/Node.java
+++ b/src/main/java/petrelstand/core/Node.java
@@ -15,7 +15,7 @@
 
     /** Only requests that name its shard may go there: it does not speak the platform's protocol. */
     public boolean isPrivate() {
-        return entry.shard() >= NodeEntry.PRIVATE;
+        return entry.shard() >= NodeEntry.FIRST_PRIVATE_SHARD;
     }
 
     /** The same node, no longer listed. */
--- a/src/main/java/petrelstand/decision/Policy.java
+++ b/src/main/java/petrelstand/decision/Policy.java
@@ -14,17 +14,17 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.stream.Collectors;
-import petrelstand.decision.Scheduling.Actions;
 import petrelstand.decision.Scheduling.AttemptEnd;
 import petrelstand.decision.Scheduling.DedupGroup;
-import petrelstand.decision.Scheduling.Discovery;
+import petrelstand.decision.Scheduling.DiscoveryMode;
 import petrelstand.decision.Scheduling.Effect;
-import petrelstand.decision.Scheduling.Events;
-import petrelstand.decision.Scheduling.Learned;
+import petrelstand.decision.Scheduling.HostActions;
+import petrelstand.decision.Scheduling.HostEvents;
 import petrelstand.decision.Scheduling.LearnedNode;
+import petrelstand.decision.Scheduling.LearnedState;
 import petrelstand.decision.Scheduling.LearnedVolume;
-import petrelstand.decision.Scheduling.ListKind;
 import petrelstand.decision.Scheduling.NodeEntry;
+import petrelstand.decision.Scheduling.NodeListKind;
 import petrelstand.decision.Scheduling.NodeState;
 import petrelstand.decision.Scheduling.Outcome;
 import petrelstand.decision.Scheduling.Plan;
@@ -34,12 +34,12 @@
 import petrelstand.decision.Scheduling.Settings;
 
 /** Every decision of a host: admission by deadline emulation, departure under a window, the rules' guards. */
-public final class Policy implements Events {
+public final class Policy implements HostEvents {
     /**
      * Slot of the emulation and of the measured rate, as a part of the tightest aim: aims go with the work of a
      * request, so what is told in slots holds for sites that are slower or faster by any factor.
      */
-    public static final double SLOT_PART = 0.2;
+    public static final double SLOT_AIM_FRACTION = 0.2;
     /** Span of the measured rate, ms: the design's ten seconds. */
     public static final double RATE_SPAN_MS = 10_000;
     /** Requests a slot that an unheard node is taken to serve: the design's few. */
@@ -47,14 +47,14 @@
     /** Slots that the assumed rate weighs against the measured one: half a second outweighs it. */
     static final double ASSUMED_SLOTS = 10;
     /** Window of a node at the start, requests: the design's few. */
-    public static final double WINDOW_START = 3;
+    public static final double INITIAL_WINDOW = 3;
     /** Ceiling of a window, requests: nodes serve in turn of arrival, so what is out cannot give way. */
-    public static final double WINDOW_CEILING = 8;
+    public static final double MAX_WINDOW = 8;
     /**
      * Requests that all hosts together may keep out at a crowded node: nodes serve a few at once. A host whose part is
      * below one rests after an answer.
      */
-    public static final double LEAST_OUT_TOGETHER = 4;
+    public static final double MIN_COMBINED_WINDOW = 4;
     /** Part of the tightest aim that a node may usually take; the rest is for waiting where order acts. */
     static final double AIM_PART_AT_NODE = 0.3;
     /** Windows' worth of requests that may be out while they are within their volumes' shares. */
@@ -62,7 +62,7 @@
     /** Weight of the newest answer in a node's usual latency: about ten answers back. */
     static final double LATENCY_WEIGHT = 0.1;
     /** Usual latency assumed of a node not yet heard, in slots. */
-    public static final double LATENCY_START_SLOTS = 2;
+    public static final double INITIAL_LATENCY_SLOTS = 2;
     /** Age at which a wait seen at a node counts for half, in slots: about an aim. */
     static final double EVIDENCE_SLOTS = 8;
     /** Silence beyond the usual latency after which a node is exposed to tests only, in slots. */
@@ -88,14 +88,14 @@
     /** Answers over which a cold node's own time is a mean, and that of all, by answers of warm nodes. */
     static final double COLD_ANSWERS = 10, POOL_ANSWERS = 50;
     /** Volumes that a host keeps the stores of; the one longest unused goes first. */
-    public static final int MOST_VOLUMES = 4096;
+    public static final int MAX_VOLUMES = 4096;
 
     private static final double NEVER = Double.NEGATIVE_INFINITY;
     private static final long TICK = -1, ASK = -2;
 
     private Settings settings;
     private Rules rules;
-    private final Actions act;
+    private final HostActions act;
     private final SplittableRandom random;
     private final double startedMs;
     private double tightestAimMs, slotMs, latencyStartMs, share = 1;
@@ -143,7 +143,7 @@
             kind = settings.classes().get(request.requestClass());
             volume = volume(nowMs, request);
             double left = request.timeLeftMs();
-            double waited = request.clientRepeat() ? Math.max(0, kind.deadlineMs() - left) : 0;
+            double waited = request.clientRetry() ? Math.max(0, kind.deadlineMs() - left) : 0;
             aimMs = nowMs + Math.min(kind.aimMs() - waited, left);
             boolean ordered = kind.ordered() && request.key() != 0;
             turn = ordered ? turns.computeIfAbsent(request.key(), k -> new KeyTurn()) : new KeyTurn();
@@ -181,7 +181,7 @@
 
         double slotUnits;
         boolean slotHeld;
-        double window = WINDOW_START;
+        double window = INITIAL_WINDOW;
         /** Weight of the next answer; after a recall 1, then 1/2, 1/3: the first one ends what was known. */
         double learning = LATENCY_WEIGHT;
 
@@ -204,9 +204,9 @@
             latencyMs = old.latencyMs();
             state = NodeState.GONE;
             upSinceMs = old.upSinceMs();
-            slots.add(nowMs, old.slots());
-            served.add(nowMs, old.served());
-            coldSent.add(nowMs, old.coldSent());
+            slots.add(nowMs, old.measuredSlots());
+            served.add(nowMs, old.servedUnits());
+            coldSent.add(nowMs, old.coldSentUnits());
             window = old.window();
             suspect = old.silentMs() > 0;
             learning = 1;
@@ -237,34 +237,34 @@
     }
 
     /** A policy for one host, started at a time with the settings, its seed, and its host's actions. */
-    public Policy(double nowMs, Settings settings, long seed, Actions actions) {
-        retune(nowMs, Objects.requireNonNull(settings, "settings are missing"));
+    public Policy(double nowMs, Settings settings, long seed, HostActions actions) {
+        applySettings(nowMs, Objects.requireNonNull(settings, "settings are missing"));
         this.act = Objects.requireNonNull(actions, "actions are missing");
         this.random = new SplittableRandom(seed);
         this.startedMs = forgotMs = nowMs;
-        this.many = settings.hosts() > WINDOW_CEILING;
+        this.many = settings.hosts() > MAX_WINDOW;
         this.usualMs = latencyStartMs;
         this.taken = new SlidingSum(Math.max(0, rules.furtherSpanMs() - settings.tickMs()));
         this.further = new SlidingSum(rules.furtherSpanMs() + settings.tickMs());
-        if (settings.discovery() == Discovery.ASKED) {
-            act.follow();
+        if (settings.discovery() == DiscoveryMode.ASKED) {
+            act.subscribeToNodes();
         }
     }
 
     @Override
-    public void retune(double nowMs, Settings changed) {
+    public void applySettings(double nowMs, Settings changed) {
         settings = changed;
         rules = changed.rules();
         tightestAimMs = settings.classes().stream()
                 .mapToDouble(RequestClass::aimMs)
                 .min()
                 .orElseThrow();
-        slotMs = SLOT_PART * tightestAimMs;
-        latencyStartMs = LATENCY_START_SLOTS * slotMs;
+        slotMs = SLOT_AIM_FRACTION * tightestAimMs;
+        latencyStartMs = INITIAL_LATENCY_SLOTS * slotMs;
     }
 
     @Override
-    public void share(double nowMs, double part) {
+    public void setBudgetShare(double nowMs, double part) {
         share = part;
         forgotMs = nowMs;
         volumes.values().forEach(volume -> shape(nowMs, volume, volume.setSize, volume.ownPart));
@@ -273,14 +273,14 @@
     // ---- Node list ----
 
     @Override
-    public void nodes(double nowMs, ListKind kind, List<NodeEntry> entries) {
-        if (kind == ListKind.FAILED) {
+    public void nodesListed(double nowMs, NodeListKind kind, List<NodeEntry> entries) {
+        if (kind == NodeListKind.FAILED) {
             double rests = Math.pow(2, Math.min(failedCalls++, MOST_TEST_RESTS));
-            act.timer(nowMs + LIST_RETRY_MS * rests * (1 + random.nextDouble()), ASK);
+            act.setTimer(nowMs + LIST_RETRY_MS * rests * (1 + random.nextDouble()), ASK);
             return;
         }
         failedCalls = 0;
-        if (kind != ListKind.CHANGES) {
+        if (kind != NodeListKind.CHANGES) {
             Set<Long> listed = entries.stream().map(NodeEntry::node).collect(Collectors.toSet());
             nodes.forEach((id, node) -> node.state = listed.contains(id) ? node.state : NodeState.GONE);
         }
@@ -324,7 +324,7 @@
         TreeMap<Double, Node> byFinish = new TreeMap<>();
         int wanted = item.request.shard();
         for (Node node : nodes.values()) {
-            boolean holds = wanted < 0 ? node.shard < NodeEntry.PRIVATE : node.shard == wanted;
+            boolean holds = wanted < 0 ? node.shard < NodeEntry.FIRST_PRIVATE_SHARD : node.shard == wanted;
             if (node.state == NodeState.READY && holds && mayGoTo(nowMs, item, node)) {
                 double finish = (emulate(nowMs, node, item, Set.of()).endMs - nowMs + node.latencyMs)
                         * (1 + random.nextDouble());
@@ -369,17 +369,17 @@
     // ---- Emulation and admission ----
 
     @Override
-    public void request(double nowMs, Request request) {
+    public void requestReceived(double nowMs, Request request) {
         notePause(nowMs);
         taken.add(nowMs, 1);
         if (Double.isInfinite(tickDueMs)) {
             tickDueMs = nowMs + slotMs;
-            act.timer(tickDueMs, TICK);
+            act.setTimer(tickDueMs, TICK);
         }
         Item item = new Item(nowMs, request);
         items.put(request.id(), item);
         double margin = Math.max(FINAL_MARGIN_MS, FINAL_MARGIN_TICKS * settings.tickMs());
-        act.timer(nowMs + Math.max(0, request.timeLeftMs() - margin), request.id());
+        act.setTimer(nowMs + Math.max(0, request.timeLeftMs() - margin), request.id());
         admit(nowMs, item);
     }
 
@@ -474,11 +474,11 @@
     // ---- What a volume is due ----
 
     private Volume volume(double nowMs, Request request) {
-        if (volumes.size() >= MOST_VOLUMES && !volumes.containsKey(request.volume())) {
+        if (volumes.size() >= MAX_VOLUMES && !volumes.containsKey(request.volume())) {
             volumes.remove(volumes.keySet().iterator().next());
             forgotMs = nowMs;
         }
-        int setSize = request.setSize() > 0 ? request.setSize() : settings.hosts();
+        int setSize = request.volumeHostCount() > 0 ? request.volumeHostCount() : settings.hosts();
         Volume volume = volumes.computeIfAbsent(
                 request.volume(), id -> new Volume(settings.plans().get(request.plan()), forgotMs, nowMs));
         if (setSize > volume.setSize) {
@@ -588,10 +588,10 @@
      * at the node itself, many hosts' dues are too many. Harm: few of them reach the node.
      */
     private double window(Node node, Item item) {
-        double hosts = Math.min(settings.hosts(), item.volume.setSize * WINDOW_CEILING);
+        double hosts = Math.min(settings.hosts(), item.volume.setSize * MAX_WINDOW);
         double due = many && node.late
-                ? Math.min(1, LEAST_OUT_TOGETHER / hosts)
-                : Math.max(1, Math.min(WINDOW_CEILING, node.window * DUE_WINDOWS));
+                ? Math.min(1, MIN_COMBINED_WINDOW / hosts)
+                : Math.max(1, Math.min(MAX_WINDOW, node.window * DUE_WINDOWS));
         return item.charged == null ? node.window : due;
     }
 
@@ -604,7 +604,7 @@
      * the rest grows with them, and their tests together stay as few as those of a few hosts.
      */
     private boolean testDue(double nowMs, Node node) {
-        double hosts = settings.hosts() / WINDOW_CEILING;
+        double hosts = settings.hosts() / MAX_WINDOW;
         double rests = Math.max(Math.min(node.unanswered, MOST_TEST_RESTS), hosts);
         return node.out.isEmpty() && !many || nowMs >= node.lastSentMs + STUCK_SLOTS * slotMs * rests;
     }
@@ -652,7 +652,7 @@
 
     /** A body in pieces is waited for until its answer: the system may hold its end for seconds. */
     @Override
-    public void written(double nowMs, long request) {
+    public void requestWritten(double nowMs, long request) {
         Item item = items.get(request);
         if (item != null && !item.streaming) {
             item.arrived(nowMs);
@@ -677,8 +677,8 @@
             item.turn.quietUntilMs = Math.max(item.turn.quietUntilMs, nowMs + quietMs);
         }
         judge(nowMs, node, attempt, end);
-        noteUse(nowMs, item.volume, end.seenUse());
-        if (end.over()) {
+        noteUse(nowMs, item.volume, end.reportedUse());
+        if (end.requestClosed()) {
             close(item);
         }
         if (!item.closed && item.open.isEmpty()) {
@@ -691,7 +691,7 @@
     /** After an attempt without an answer: another, where class, time and budget allow it, or the end. */
     private void goOn(double nowMs, Item item, Outcome outcome) {
         int most = Math.min(item.mostAttempts, settings.may().maxAttempts());
-        boolean may = outcome.mayBeRepeated() && nowMs < item.aimMs && item.attempts.size() < most;
+        boolean may = outcome.isRetryable() && nowMs < item.aimMs && item.attempts.size() < most;
         holdOrConclude(nowMs, item, may && mayTryFurther(nowMs) ? nodeFor(nowMs, item) : null, slotMs);
     }
 
@@ -755,17 +755,18 @@
         Item item = items.get(request);
         if (item != null) {
             item.streaming = true;
-            nodes.values().forEach(n -> n.out.removeIf(a -> a.item() == item && n.shard < NodeEntry.PRIVATE));
+            nodes.values()
+                    .forEach(n -> n.out.removeIf(a -> a.item() == item && n.shard < NodeEntry.FIRST_PRIVATE_SHARD));
         }
     }
 
     @Override
-    public void timer(double nowMs, long token) {
+    public void timerFired(double nowMs, long token) {
         notePause(nowMs);
         if (token == TICK) {
             tick(nowMs);
         } else if (token == ASK) {
-            act.follow();
+            act.subscribeToNodes();
         } else {
             Item item = items.get(token);
             if (item != null && !item.closed && !item.streaming) {
@@ -784,7 +785,7 @@
         boolean busy = nodes.values().stream().anyMatch(node -> !node.held.isEmpty() || !node.out.isEmpty());
         tickDueMs = busy ? nowMs + slotMs : Double.POSITIVE_INFINITY;
         if (busy) {
-            act.timer(tickDueMs, TICK);
+            act.setTimer(tickDueMs, TICK);
         }
     }
 
@@ -802,8 +803,8 @@
     // ---- What outlives a restart ----
 
     @Override
-    public Learned learned(double nowMs) {
-        return new Learned(
+    public LearnedState learnedState(double nowMs) {
+        return new LearnedState(
                 nowMs,
                 slots.sum(nowMs),
                 served.sum(nowMs),
@@ -836,13 +837,13 @@
 
     /** A node counts as gone until a list names it: the same start keeps what is known, a newer drops it. */
     @Override
-    public void recall(double nowMs, Learned learned) {
-        slots.add(nowMs, learned.slots());
-        served.add(nowMs, learned.served());
+    public void restore(double nowMs, LearnedState learned) {
+        slots.add(nowMs, learned.measuredSlots());
+        served.add(nowMs, learned.servedUnits());
         learned.nodes().forEach(old -> nodes.put(old.node(), new Node(nowMs, old)));
         for (LearnedVolume old : learned.volumes()) {
             Volume volume = new Volume(settings.plans().get(old.plan()), forgotMs, nowMs);
-            shape(nowMs, volume, old.setSize(), old.ownPart());
+            shape(nowMs, volume, old.hostCount(), old.localFraction());
             volume.limit.take(nowMs, volume.limit.level(nowMs) - old.limitLevel());
             volume.reserve.take(nowMs, volume.reserve.level(nowMs) - old.reserveLevel());
             volume.share.take(nowMs, volume.share.level(nowMs) - old.shareLevel());
@@ -917,7 +918,7 @@
         double room = rules.fallMultiple() - 1, ms = coldMs(nowMs, node);
         double part = coldPart(nowMs, node) / rules.fallMultiple() / settings.meanUnits();
         double safe = part * room >= 1 ? part * room : part * Math.min(room, ms / rules.fallMs());
-        double most = node.heard > 0 ? LEAST_OUT_TOGETHER : COLD_OUT_TOGETHER;
+        double most = node.heard > 0 ? MIN_COMBINED_WINDOW : COLD_OUT_TOGETHER;
         double seen = Math.min(most, COLD_MARGIN * room * rules.fallMs() / ms);
         return Math.max(safe, share * seen / settings.hosts());
     }
@@ -1001,7 +1002,7 @@
                     halve(nowMs, node);
                 } else if (node.out.size() + 2 > node.window) {
                     double step = Math.min(node.window, 1 / node.window);
-                    node.window = Math.min(WINDOW_CEILING, node.window + step);
+                    node.window = Math.min(MAX_WINDOW, node.window + step);
                 }
             }
             case REJECTED, NOT_CONNECTED -> {
@@ -1025,7 +1026,7 @@
     private void halve(double nowMs, Node node) {
         if (nowMs >= node.halvedMs + node.latencyMs) {
             boolean crowded = node.latencyMs > 2 * AIM_PART_AT_NODE * tightestAimMs;
-            double least = Math.max(crowded ? 0 : 1, LEAST_OUT_TOGETHER / settings.hosts());
+            double least = Math.max(crowded ? 0 : 1, MIN_COMBINED_WINDOW / settings.hosts());
             node.window = Math.max(least, node.window / 2);
             node.halvedMs = nowMs;
         }
--- a/src/main/java/petrelstand/decision/Scheduling.java
+++ b/src/main/java/petrelstand/decision/Scheduling.java
@@ -21,7 +21,7 @@
     }
 
     /** How a host learns of changes to the node list. */
-    public enum Discovery {
+    public enum DiscoveryMode {
         PUSHED,
         ASKED
     }
@@ -34,9 +34,9 @@
     }
 
     /** What a node-list event carries: changes, the whole list, the list kept from earlier, or a failed call. */
-    public enum ListKind {
+    public enum NodeListKind {
         CHANGES,
-        WHOLE,
+        FULL,
         CACHED,
         FAILED
     }
@@ -65,7 +65,7 @@
          * True where another attempt may do better: not where the time is up, or the node knows that the request is
          * over.
          */
-        public boolean mayBeRepeated() {
+        public boolean isRetryable() {
             return this != TIMED_OUT && this != OVER;
         }
 
@@ -152,7 +152,7 @@
             double tickMs,
             List<RequestClass> classes,
             List<Plan> plans,
-            Discovery discovery,
+            DiscoveryMode discovery,
             Capabilities may,
             Rules rules,
             double coldUnits,
@@ -186,7 +186,7 @@
     /** A line of the node list. A start time of 0 means long past. */
     public record NodeEntry(long node, int zone, int shard, NodeState state, double rating, double upSinceMs) {
         /** Shards from here on are private: only a request that names one goes there, a new object never does. */
-        public static final int PRIVATE = 1 << 20;
+        public static final int FIRST_PRIVATE_SHARD = 1 << 20;
     }
 
     /** A request taken by this host. A shard of -1 is a new object, which any node may take. */
@@ -199,8 +199,8 @@
             long volume,
             double units,
             int shard,
-            int setSize,
-            boolean clientRepeat,
+            int volumeHostCount,
+            boolean clientRetry,
             boolean write) {}
 
     /**
@@ -214,9 +214,9 @@
             Outcome outcome,
             double elapsedMs,
             long node,
-            int seenUse,
-            int fromOthers,
-            boolean over,
+            int reportedUse,
+            int unitsViaOtherHosts,
+            boolean requestClosed,
             List<Double> load) {}
 
     /**
@@ -228,11 +228,11 @@
     public record LearnedNode(
             long node,
             double upSinceMs,
-            double slots,
-            double served,
+            double measuredSlots,
+            double servedUnits,
             double window,
             double latencyMs,
-            double coldSent,
+            double coldSentUnits,
             double silentMs) {}
 
     /**
@@ -242,8 +242,8 @@
     public record LearnedVolume(
             long volume,
             int plan,
-            int setSize,
-            double ownPart,
+            int hostCount,
+            double localFraction,
             double limitLevel,
             double reserveLevel,
             double shareLevel) {}
@@ -252,26 +252,30 @@
      * What a host has learned at a time: the measured slots and units of all nodes together, then each node, and each
      * volume, the one longest unused first.
      */
-    public record Learned(
-            double atMs, double slots, double served, List<LearnedNode> nodes, List<LearnedVolume> volumes) {
-        public Learned {
+    public record LearnedState(
+            double atMs,
+            double measuredSlots,
+            double servedUnits,
+            List<LearnedNode> nodes,
+            List<LearnedVolume> volumes) {
+        public LearnedState {
             nodes = List.copyOf(nodes);
             volumes = List.copyOf(volumes);
         }
 
         /** Nothing learned. */
-        public static Learned nothing(double atMs) {
-            return new Learned(atMs, 0, 0, List.of(), List.of());
+        public static LearnedState empty(double atMs) {
+            return new LearnedState(atMs, 0, 0, List.of(), List.of());
         }
     }
 
     /** What happens to a host. Every call carries the host's clock, which never goes back. */
-    public interface Events {
+    public interface HostEvents {
         /** The node list, or changes to it; entries are empty where a call failed. */
-        void nodes(double nowMs, ListKind kind, List<NodeEntry> entries);
+        void nodesListed(double nowMs, NodeListKind kind, List<NodeEntry> entries);
 
         /** A request was taken: exactly one final answer is owed before the client's time is up. */
-        void request(double nowMs, Request request);
+        void requestReceived(double nowMs, Request request);
 
         /**
          * A stream began, of an answer or of a body to its node: the attempt belongs to the client from here on, and
@@ -280,7 +284,7 @@
         void streamStarted(double nowMs, long request, int attempt);
 
         /** An attempt's last byte was written to its node. */
-        default void written(double nowMs, long request) {}
+        default void requestWritten(double nowMs, long request) {}
 
         /** An attempt ended. */
         void attemptEnded(double nowMs, AttemptEnd end);
@@ -289,40 +293,40 @@
         void clientGone(double nowMs, long request);
 
         /** A probe came back. */
-        default void probed(double nowMs, long node, double elapsedMs, Outcome outcome, List<Double> load) {}
+        default void probeEnded(double nowMs, long node, double elapsedMs, Outcome outcome, List<Double> load) {}
 
-        /** A timer set by {@link Actions#timer} is due. */
-        void timer(double nowMs, long token);
+        /** A timer set by {@link HostActions#setTimer} is due. */
+        void timerFired(double nowMs, long token);
 
         /** Another host sent a message. */
-        default void peerMessage(double nowMs, int sender, byte[] message) {}
+        default void peerMessageReceived(double nowMs, int sender, byte[] message) {}
 
         /**
          * Other settings from now on; a class keeps its place. What is open keeps the class and the attempts that it
          * came with, and what was learned stays.
          */
-        default void retune(double nowMs, Settings changed) {}
+        default void applySettings(double nowMs, Settings changed) {}
 
         /**
          * The part of this host's due at cold nodes and of volumes' limits that this process may spend: below 1 where a
          * second process spends in the host's name too, 0 while another may not know of this one yet.
          */
-        default void share(double nowMs, double part) {}
+        default void setBudgetShare(double nowMs, double part) {}
 
         /** What the module has learned, as plain figures; a look that changes nothing. */
-        default Learned learned(double nowMs) {
-            return Learned.nothing(nowMs);
+        default LearnedState learnedState(double nowMs) {
+            return LearnedState.empty(nowMs);
         }
 
         /**
          * Takes over what an earlier run learned, each figure already weighed by its age and bounded. Only before the
          * first node list: a node that this list does not name with the same start time is forgotten.
          */
-        default void recall(double nowMs, Learned learned) {}
+        default void restore(double nowMs, LearnedState learned) {}
     }
 
     /** What the decision module asks of its host. */
-    public interface Actions {
+    public interface HostActions {
         /** Sends the next attempt of a request to a node; a time-out of 0 lasts until the client quits. */
         void send(long request, long node, double timeoutMs);
 
@@ -339,13 +343,13 @@
         void probe(long node);
 
         /** Asks for a timer event at a time. */
-        void timer(double atMs, long token);
+        void setTimer(double atMs, long token);
 
         /** Subscribes to changes of the node list, where it must be asked. */
-        void follow();
+        void subscribeToNodes();
 
         /** Sends a short message to one other host, or to all where the recipient is negative. */
-        void tell(int recipient, byte[] message);
+        void sendPeerMessage(int recipient, byte[] message);
     }
 
     private static void atLeast(String owner, String what, double value, double least) {
--- a/src/main/java/petrelstand/http/DemandReader.java
+++ b/src/main/java/petrelstand/http/DemandReader.java
@@ -80,7 +80,7 @@
         double units = number("units", placement.get("units"));
         int shard = whole("shard", placement.get("shard"), -1);
         int hosts = whole("hosts", placement.getOrDefault("hosts", "0"), 0);
-        if (shard >= NodeEntry.PRIVATE) {
+        if (shard >= NodeEntry.FIRST_PRIVATE_SHARD) {
             throw new Malformed(400, "there is no shard " + shard);
         }
         if (!(units > 0 && units <= 1e9)) {
--- a/src/main/java/petrelstand/http/Rehearsal.java
+++ b/src/main/java/petrelstand/http/Rehearsal.java
@@ -9,8 +9,8 @@
 import petrelstand.core.Node;
 import petrelstand.core.Timers;
 import petrelstand.decision.Scheduling.Effect;
-import petrelstand.decision.Scheduling.ListKind;
 import petrelstand.decision.Scheduling.NodeEntry;
+import petrelstand.decision.Scheduling.NodeListKind;
 import petrelstand.decision.Scheduling.NodeState;
 import petrelstand.decision.Scheduling.RequestClass;
 import petrelstand.decision.Scheduling.Settings;
@@ -63,7 +63,7 @@
             nodes.add(new Node(
                     "s-0000000" + i, "127.0.0.1:" + (9000 + i), new NodeEntry(i, 0, i, NodeState.READY, 1, 0)));
         }
-        broker.nodes(ListKind.WHOLE, nodes);
+        broker.nodes(NodeListKind.FULL, nodes);
         List<MemoryEnd> clients = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
             clients.add(MemoryEnd.open(front::accept));
--- a/src/main/java/petrelstand/lab/CaptureCost.java
+++ b/src/main/java/petrelstand/lab/CaptureCost.java
@@ -5,11 +5,11 @@
 import java.util.Locale;
 import org.HdrHistogram.Histogram;
 import petrelstand.decision.Policy;
-import petrelstand.decision.Scheduling.Actions;
 import petrelstand.decision.Scheduling.AttemptEnd;
-import petrelstand.decision.Scheduling.Learned;
-import petrelstand.decision.Scheduling.ListKind;
+import petrelstand.decision.Scheduling.HostActions;
+import petrelstand.decision.Scheduling.LearnedState;
 import petrelstand.decision.Scheduling.NodeEntry;
+import petrelstand.decision.Scheduling.NodeListKind;
 import petrelstand.decision.Scheduling.NodeState;
 import petrelstand.decision.Scheduling.Outcome;
 import petrelstand.decision.Scheduling.Request;
@@ -28,7 +28,7 @@
                         "[world]\nnodes = " + Math.min(1000, nodes) + "\n[restart]\nages = 1 s\n"))
                 .settings(0);
         List<long[]> sent = new ArrayList<>();
-        Policy policy = new Policy(1e6, settings, 1, new Actions() {
+        Policy policy = new Policy(1e6, settings, 1, new HostActions() {
             @Override
             public void send(long request, long node, double timeoutMs) {
                 sent.add(new long[] {request, node});
@@ -47,24 +47,25 @@
             public void probe(long node) {}
 
             @Override
-            public void timer(double atMs, long token) {}
+            public void setTimer(double atMs, long token) {}
 
             @Override
-            public void follow() {}
+            public void subscribeToNodes() {}
 
             @Override
-            public void tell(int recipient, byte[] message) {}
+            public void sendPeerMessage(int recipient, byte[] message) {}
         });
         List<NodeEntry> listed = new ArrayList<>();
         for (int i = 0; i < nodes; i++) {
             listed.add(new NodeEntry(i + 1, 0, i, NodeState.READY, 1, 0));
         }
-        policy.nodes(1e6, ListKind.WHOLE, listed);
+        policy.nodesListed(1e6, NodeListKind.FULL, listed);
         double now = 1e6;
         int asked = Math.max(volumes, 4 * nodes);
         for (int i = 0; i < asked; i++) {
             now += 0.5;
-            policy.request(now, new Request(i + 1, 0, i % 2, i, 1500, i % volumes, 2, i % nodes, 1, false, false));
+            policy.requestReceived(
+                    now, new Request(i + 1, 0, i % 2, i, 1500, i % volumes, 2, i % nodes, 1, false, false));
             for (long[] one : sent) {
                 policy.attemptEnded(
                         now + 0.2, new AttemptEnd(one[0], 0, Outcome.SERVED, 20, one[1], 0, 0, true, List.of()));
@@ -73,11 +74,11 @@
         }
         Histogram capture = new Histogram(10_000_000_000L, 3);
         Histogram encode = new Histogram(10_000_000_000L, 3);
-        Learned learned = Learned.nothing(now);
+        LearnedState learned = LearnedState.empty(now);
         int bytes = 0;
         for (int i = 0; i < times; i++) {
             long began = System.nanoTime();
-            learned = policy.learned(now);
+            learned = policy.learnedState(now);
             long taken = System.nanoTime();
             bytes = SnapshotFormat.encode(new Snapshot("n1", 1, i + 1, 1, false, learned)).length;
             capture.recordValue(taken - began);
--- a/src/main/java/petrelstand/lab/Day.java
+++ b/src/main/java/petrelstand/lab/Day.java
@@ -14,7 +14,7 @@
 import petrelstand.core.Node;
 import petrelstand.core.ServerSide;
 import petrelstand.core.Timers;
-import petrelstand.decision.Scheduling.ListKind;
+import petrelstand.decision.Scheduling.NodeListKind;
 import petrelstand.decision.Scheduling.NodeState;
 import petrelstand.decision.Scheduling.RequestClass;
 import petrelstand.decision.Scheduling.Settings;
@@ -256,7 +256,7 @@
             int index = i;
             timers.at(nowUs + scenario.listDelayUs() + i * scenario.listSpreadUs(), () -> {
                 if (!hosts[index].dead) {
-                    hosts[index].broker.nodes(ListKind.CHANGES, changes);
+                    hosts[index].broker.nodes(NodeListKind.CHANGES, changes);
                 }
             });
         }
@@ -286,10 +286,10 @@
                 outcome.remembered += verdict.learned().nodes().size();
                 broker.recall(verdict.learned());
             }
-            broker.nodes(ListKind.CACHED, List.copyOf(listed));
+            broker.nodes(NodeListKind.CACHED, List.copyOf(listed));
             timers.at(nowUs + LIST_AT_START_US, () -> {
                 if (!dead) {
-                    broker.nodes(ListKind.WHOLE, List.copyOf(listed));
+                    broker.nodes(NodeListKind.FULL, List.copyOf(listed));
                 }
             });
         }
--- a/src/main/java/petrelstand/lab/KillWrites.java
+++ b/src/main/java/petrelstand/lab/KillWrites.java
@@ -12,8 +12,8 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.IntStream;
-import petrelstand.decision.Scheduling.Learned;
 import petrelstand.decision.Scheduling.LearnedNode;
+import petrelstand.decision.Scheduling.LearnedState;
 import petrelstand.decision.Scheduling.LearnedVolume;
 import petrelstand.state.Generations;
 import petrelstand.state.Snapshot;
@@ -60,7 +60,7 @@
             nodes.add(new LearnedNode(i, 0, 50 + number, number * 3.0 + i, 3, 40, number + i, i % 9 == 0 ? 500 : 0));
             volumes.add(new LearnedVolume(i, 0, 1, 1, number + i, number, 1));
         }
-        return new Snapshot("tryout", 0, 0, wallMs, false, new Learned(wallMs, number, number, nodes, volumes));
+        return new Snapshot("tryout", 0, 0, wallMs, false, new LearnedState(wallMs, number, number, nodes, volumes));
     }
 
     /** Kills so many writers, some side by side, each in a folder of its own below the one given. */
@@ -172,7 +172,7 @@
                     newest.learned());
             Trust.Verdict verdict = new Trust("tryout", settings).weigh(known, newest.wallMs() + 1000.0);
             return verdict.refused() != null
-                    || verdict.learned().nodes().stream().anyMatch(node -> node.slots() > MOST_SLOTS)
+                    || verdict.learned().nodes().stream().anyMatch(node -> node.measuredSlots() > MOST_SLOTS)
                     || verdict.learned().volumes().stream().anyMatch(volume -> volume.limitLevel() > 0);
         }
     }
--- a/src/main/java/petrelstand/lab/WaitTrial.java
+++ b/src/main/java/petrelstand/lab/WaitTrial.java
@@ -16,7 +16,7 @@
 import petrelstand.core.Node;
 import petrelstand.core.ServerSide;
 import petrelstand.core.Timers;
-import petrelstand.decision.Scheduling.ListKind;
+import petrelstand.decision.Scheduling.NodeListKind;
 
 /**
  * Is the right one blamed? Reads come to a few nodes through one gateway with its accounts on; for ten seconds one
@@ -100,7 +100,7 @@
         Accounts accounts = new Accounts(WORLD.cores(), LabNode.WARM_MS, this::over);
         broker.watch(accounts);
         broker.nodes(
-                ListKind.WHOLE,
+                NodeListKind.FULL,
                 java.util.Arrays.stream(nodes).map(LabNode::listed).toList());
     }
 
--- a/src/main/java/petrelstand/sim/Codec.java
+++ b/src/main/java/petrelstand/sim/Codec.java
@@ -13,8 +13,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import petrelstand.decision.Scheduling.AttemptEnd;
-import petrelstand.decision.Scheduling.ListKind;
 import petrelstand.decision.Scheduling.NodeEntry;
+import petrelstand.decision.Scheduling.NodeListKind;
 import petrelstand.decision.Scheduling.NodeState;
 import petrelstand.decision.Scheduling.Outcome;
 import petrelstand.decision.Scheduling.Request;
@@ -27,7 +27,7 @@
 
         void stopped(long instance);
 
-        void nodes(long instance, ListKind kind, List<NodeEntry> entries);
+        void nodes(long instance, NodeListKind kind, List<NodeEntry> entries);
 
         void request(long instance, Request request);
 
@@ -182,10 +182,10 @@
         sink.nodes(
                 instance,
                 switch (kind) {
-                    case 0 -> ListKind.CHANGES;
-                    case 1 -> ListKind.WHOLE;
-                    case 2 -> ListKind.CACHED;
-                    case 3 -> ListKind.FAILED;
+                    case 0 -> NodeListKind.CHANGES;
+                    case 1 -> NodeListKind.FULL;
+                    case 2 -> NodeListKind.CACHED;
+                    case 3 -> NodeListKind.FAILED;
                     default -> throw new LinkException("unknown list kind " + kind);
                 },
                 entries);
--- a/src/main/java/petrelstand/sim/InstanceLoop.java
+++ b/src/main/java/petrelstand/sim/InstanceLoop.java
@@ -11,18 +11,18 @@
 import java.util.function.Consumer;
 import petrelstand.config.SettingsReader;
 import petrelstand.decision.Policy;
-import petrelstand.decision.Scheduling.Actions;
 import petrelstand.decision.Scheduling.AttemptEnd;
-import petrelstand.decision.Scheduling.Events;
-import petrelstand.decision.Scheduling.ListKind;
+import petrelstand.decision.Scheduling.HostActions;
+import petrelstand.decision.Scheduling.HostEvents;
 import petrelstand.decision.Scheduling.NodeEntry;
+import petrelstand.decision.Scheduling.NodeListKind;
 import petrelstand.decision.Scheduling.Outcome;
 import petrelstand.decision.Scheduling.Request;
 
 /** Plays batches: hands each event to its instance's policy and gathers the actions into one reply a batch. */
 public final class InstanceLoop implements Codec.Sink {
     private final Codec codec = new Codec();
-    private final Map<Long, Events> instances = new HashMap<>();
+    private final Map<Long, HostEvents> instances = new HashMap<>();
     private double nowMs;
     /** Requests sent by the event that is being handled. */
     private final List<Long> sent = new ArrayList<>();
@@ -52,13 +52,13 @@
     }
 
     @Override
-    public void nodes(long instance, ListKind kind, List<NodeEntry> entries) {
-        at(instance, policy -> policy.nodes(nowMs, kind, entries));
+    public void nodes(long instance, NodeListKind kind, List<NodeEntry> entries) {
+        at(instance, policy -> policy.nodesListed(nowMs, kind, entries));
     }
 
     @Override
     public void request(long instance, Request request) {
-        at(instance, policy -> policy.request(nowMs, request));
+        at(instance, policy -> policy.requestReceived(nowMs, request));
     }
 
     @Override
@@ -78,21 +78,21 @@
 
     @Override
     public void probed(long instance, long node, double elapsedMs, Outcome outcome, List<Double> load) {
-        at(instance, policy -> policy.probed(nowMs, node, elapsedMs, outcome, load));
+        at(instance, policy -> policy.probeEnded(nowMs, node, elapsedMs, outcome, load));
     }
 
     @Override
     public void timer(long instance, long token) {
-        at(instance, policy -> policy.timer(nowMs, token));
+        at(instance, policy -> policy.timerFired(nowMs, token));
     }
 
     @Override
     public void peerMessage(long instance, int sender, byte[] message) {
-        at(instance, policy -> policy.peerMessage(nowMs, sender, message));
+        at(instance, policy -> policy.peerMessageReceived(nowMs, sender, message));
     }
 
-    private void at(long instance, Consumer<Events> event) {
-        Events policy = instances.get(instance);
+    private void at(long instance, Consumer<HostEvents> event) {
+        HostEvents policy = instances.get(instance);
         if (policy == null) {
             return;
         }
@@ -109,10 +109,10 @@
     }
 
     /** On this wire what is sent is at its node at once. */
-    private void tellWritten(Events policy) {
+    private void tellWritten(HostEvents policy) {
         List<Long> written = List.copyOf(sent);
         sent.clear();
-        written.forEach(request -> policy.written(nowMs, request));
+        written.forEach(request -> policy.requestWritten(nowMs, request));
     }
 
     private interface Write {
@@ -128,7 +128,7 @@
     }
 
     /** Writes one instance's actions to the reply. */
-    private final class WireActions implements Actions {
+    private final class WireActions implements HostActions {
         private final long instance;
 
         WireActions(long instance) {
@@ -162,17 +162,17 @@
         }
 
         @Override
-        public void timer(double atMs, long token) {
+        public void setTimer(double atMs, long token) {
             write(() -> codec.timer(instance, atMs, token));
         }
 
         @Override
-        public void follow() {
+        public void subscribeToNodes() {
             write(() -> codec.follow(instance));
         }
 
         @Override
-        public void tell(int recipient, byte[] message) {
+        public void sendPeerMessage(int recipient, byte[] message) {
             write(() -> codec.tell(instance, recipient, message));
         }
     }
--- a/src/main/java/petrelstand/state/Snapshot.java
+++ b/src/main/java/petrelstand/state/Snapshot.java
@@ -4,7 +4,7 @@
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
 import java.util.Objects;
-import petrelstand.decision.Scheduling.Learned;
+import petrelstand.decision.Scheduling.LearnedState;
 import petrelstand.decision.Scheduling.Settings;
 
 /**
@@ -18,7 +18,7 @@
  * @param learned the figures, as the decision module handed them out
  */
 public record Snapshot(
-        String gateway, long settingsPrint, long generation, long wallMs, boolean clean, Learned learned) {
+        String gateway, long settingsPrint, long generation, long wallMs, boolean clean, LearnedState learned) {
     /** Nodes that are kept, at most; what a folder gives back beyond it is not believed. */
     public static final int MOST_NODES = 4096;
 
--- a/src/main/java/petrelstand/state/Trust.java
+++ b/src/main/java/petrelstand/state/Trust.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Set;
 import petrelstand.decision.Policy;
-import petrelstand.decision.Scheduling.Learned;
 import petrelstand.decision.Scheduling.LearnedNode;
+import petrelstand.decision.Scheduling.LearnedState;
 import petrelstand.decision.Scheduling.LearnedVolume;
 import petrelstand.decision.Scheduling.Plan;
 import petrelstand.decision.Scheduling.RequestClass;
@@ -41,14 +41,14 @@
     /** The same for the mean of all nodes. */
     static final double MOST_POOL_SLOTS = 20;
     /** Units a slot, in largest requests, that a node can be remembered to have served. */
-    static final double MOST_REQUESTS_A_SLOT = Policy.WINDOW_CEILING;
+    static final double MOST_REQUESTS_A_SLOT = Policy.MAX_WINDOW;
 
     static final double LEAST_LATENCY_MS = 0.1;
 
     /** What is recalled, or why nothing is; {@code dropped} counts lines that were nonsense or twice there. */
-    public record Verdict(Learned learned, String refused, double ageMs, int silent, int dropped) {
+    public record Verdict(LearnedState learned, String refused, double ageMs, int silent, int dropped) {
         static Verdict refuse(double nowMs, double ageMs, String why) {
-            return new Verdict(Learned.nothing(nowMs), why, ageMs, 0, 0);
+            return new Verdict(LearnedState.empty(nowMs), why, ageMs, 0, 0);
         }
     }
 
@@ -67,12 +67,12 @@
                 .mapToDouble(RequestClass::aimMs)
                 .min()
                 .orElseThrow();
-        this.leastWindow = Math.min(1, Policy.LEAST_OUT_TOGETHER / settings.hosts());
+        this.leastWindow = Math.min(1, Policy.MIN_COMBINED_WINDOW / settings.hosts());
         this.longestAimMs = settings.classes().stream()
                 .mapToDouble(RequestClass::aimMs)
                 .max()
                 .orElseThrow();
-        this.latencyStartMs = Policy.LATENCY_START_SLOTS * Policy.SLOT_PART * tightest;
+        this.latencyStartMs = Policy.INITIAL_LATENCY_SLOTS * Policy.SLOT_AIM_FRACTION * tightest;
     }
 
     /** Weighs a snapshot at a time, in Unix ms; a snapshot that is refused as a whole gives nothing and says why. */
@@ -90,7 +90,7 @@
         if (age > OLDEST_MS) {
             return Verdict.refuse(nowMs, age, "it is older than " + (long) (OLDEST_MS / 1000) + " s");
         }
-        Learned from = old.learned();
+        LearnedState from = old.learned();
         List<LearnedNode> nodes = new ArrayList<>();
         Set<Long> seen = new HashSet<>();
         for (LearnedNode node : from.nodes()) {
@@ -101,17 +101,18 @@
         List<LearnedVolume> volumes = new ArrayList<>();
         seen.clear();
         for (LearnedVolume volume : from.volumes()) {
-            if (volumes.size() < Policy.MOST_VOLUMES && sane(volume) && seen.add(volume.volume())) {
+            if (volumes.size() < Policy.MAX_VOLUMES && sane(volume) && seen.add(volume.volume())) {
                 volumes.add(aged(volume, age, old.clean()));
             }
         }
         double weight = weight(age, RATE_HALF_LIFE_MS);
-        double slots = amount(from.slots()) ? Math.min(from.slots(), MOST_POOL_SLOTS) * weight : 0;
-        double served = slots > 0 && amount(from.served()) ? slots * rate(from.served(), from.slots()) : 0;
+        double slots = amount(from.measuredSlots()) ? Math.min(from.measuredSlots(), MOST_POOL_SLOTS) * weight : 0;
+        double served =
+                slots > 0 && amount(from.servedUnits()) ? slots * rate(from.servedUnits(), from.measuredSlots()) : 0;
         int silent = (int) nodes.stream().filter(node -> node.silentMs() > 0).count();
         int dropped = from.nodes().size() - nodes.size() + from.volumes().size() - volumes.size();
         return new Verdict(
-                new Learned(nowMs, served > 0 ? slots : 0, served, nodes, volumes), null, age, silent, dropped);
+                new LearnedState(nowMs, served > 0 ? slots : 0, served, nodes, volumes), null, age, silent, dropped);
     }
 
     static double weight(double ageMs, double halfLifeMs) {
@@ -126,21 +127,21 @@
     private static boolean sane(LearnedNode node, double writtenMs) {
         return amount(node.upSinceMs())
                 && node.upSinceMs() <= writtenMs
-                && amount(node.slots())
-                && amount(node.served())
+                && amount(node.measuredSlots())
+                && amount(node.servedUnits())
                 && amount(node.window())
                 && amount(node.latencyMs())
-                && amount(node.coldSent())
+                && amount(node.coldSentUnits())
                 && amount(node.silentMs());
     }
 
     private boolean sane(LearnedVolume volume) {
         return volume.plan() >= 0
                 && volume.plan() < settings.plans().size()
-                && volume.setSize() >= 1
-                && volume.setSize() <= settings.hosts()
-                && volume.ownPart() > 0
-                && volume.ownPart() <= 1
+                && volume.hostCount() >= 1
+                && volume.hostCount() <= settings.hosts()
+                && volume.localFraction() > 0
+                && volume.localFraction() <= 1
                 && Double.isFinite(volume.limitLevel())
                 && Double.isFinite(volume.reserveLevel())
                 && Double.isFinite(volume.shareLevel());
@@ -152,11 +153,11 @@
     }
 
     private LearnedNode aged(LearnedNode node, double age, double nowMs) {
-        double slots = Math.min(node.slots(), MOST_NODE_SLOTS) * weight(age, RATE_HALF_LIFE_MS);
-        double served = slots > 0 ? slots * rate(node.served(), node.slots()) : 0;
+        double slots = Math.min(node.measuredSlots(), MOST_NODE_SLOTS) * weight(age, RATE_HALF_LIFE_MS);
+        double served = slots > 0 ? slots * rate(node.servedUnits(), node.measuredSlots()) : 0;
         double window = toward(
-                Policy.WINDOW_START,
-                Math.max(leastWindow, Math.min(node.window(), Policy.WINDOW_CEILING)),
+                Policy.INITIAL_WINDOW,
+                Math.max(leastWindow, Math.min(node.window(), Policy.MAX_WINDOW)),
                 weight(age, WINDOW_HALF_LIFE_MS));
         double latency = toward(
                 latencyStartMs,
@@ -176,16 +177,16 @@
                 served,
                 window,
                 latency,
-                cold ? node.coldSent() : 0,
+                cold ? node.coldSentUnits() : 0,
                 silent ? Math.min(node.silentMs() + age, OLDEST_MS) : 0);
     }
 
     private LearnedVolume aged(LearnedVolume volume, double age, boolean clean) {
         Plan plan = settings.plans().get(volume.plan());
-        int hosts = volume.setSize();
+        int hosts = volume.hostCount();
         double part = toward(
                 Math.min(1 / Math.sqrt(hosts), 2.0 / hosts),
-                Math.max(1.0 / hosts, volume.ownPart()),
+                Math.max(1.0 / hosts, volume.localFraction()),
                 weight(age, USE_HALF_LIFE_MS));
         // What was spent between the last snapshot and a crash is not known: all of the limit may be. After a clean
         // end nothing was.
--- a/src/main/java/petrelstand/store/SnapshotFormat.java
+++ b/src/main/java/petrelstand/store/SnapshotFormat.java
@@ -15,8 +15,8 @@
 import java.util.List;
 import java.util.zip.CRC32C;
 import petrelstand.decision.Policy;
-import petrelstand.decision.Scheduling.Learned;
 import petrelstand.decision.Scheduling.LearnedNode;
+import petrelstand.decision.Scheduling.LearnedState;
 import petrelstand.decision.Scheduling.LearnedVolume;
 import petrelstand.state.Snapshot;
 
@@ -69,15 +69,15 @@
     }
 
     private static void write(CBORGenerator to, Snapshot snapshot) throws IOException {
-        Learned learned = snapshot.learned();
+        LearnedState learned = snapshot.learned();
         to.writeStartArray(null, 9);
         to.writeString(snapshot.gateway());
         to.writeNumber(snapshot.settingsPrint());
         to.writeNumber(snapshot.generation());
         to.writeNumber(snapshot.wallMs());
         to.writeBoolean(snapshot.clean());
-        to.writeNumber(learned.slots());
-        to.writeNumber(learned.served());
+        to.writeNumber(learned.measuredSlots());
+        to.writeNumber(learned.servedUnits());
         List<LearnedNode> nodes =
                 learned.nodes().subList(0, Math.min(learned.nodes().size(), Snapshot.MOST_NODES));
         to.writeStartArray(null, nodes.size());
@@ -85,11 +85,11 @@
             to.writeStartArray(null, 8);
             to.writeNumber(node.node());
             to.writeNumber(node.upSinceMs());
-            to.writeNumber(node.slots());
-            to.writeNumber(node.served());
+            to.writeNumber(node.measuredSlots());
+            to.writeNumber(node.servedUnits());
             to.writeNumber(node.window());
             to.writeNumber(node.latencyMs());
-            to.writeNumber(node.coldSent());
+            to.writeNumber(node.coldSentUnits());
             to.writeNumber(node.silentMs());
             to.writeEndArray();
         }
@@ -99,8 +99,8 @@
             to.writeStartArray(null, 7);
             to.writeNumber(volume.volume());
             to.writeNumber(volume.plan());
-            to.writeNumber(volume.setSize());
-            to.writeNumber(volume.ownPart());
+            to.writeNumber(volume.hostCount());
+            to.writeNumber(volume.localFraction());
             to.writeNumber(volume.limitLevel());
             to.writeNumber(volume.reserveLevel());
             to.writeNumber(volume.shareLevel());
@@ -200,7 +200,7 @@
             }
             List<LearnedVolume> volumes = new ArrayList<>();
             begin("the volumes");
-            while (more("volume", volumes.size(), Policy.MOST_VOLUMES)) {
+            while (more("volume", volumes.size(), Policy.MAX_VOLUMES)) {
                 volumes.add(new LearnedVolume(
                         whole("a volume's number"),
                         small("a volume's plan"),
@@ -213,7 +213,7 @@
             }
             end("the snapshot");
             return new Snapshot(
-                    gateway, print, generation, wallMs, clean, new Learned(wallMs, slots, served, nodes, volumes));
+                    gateway, print, generation, wallMs, clean, new LearnedState(wallMs, slots, served, nodes, volumes));
         }
 
         private void begin(String what) throws IOException, StateFault {
--- a/src/main/java/petrelstand/store/StateKeeper.java
+++ b/src/main/java/petrelstand/store/StateKeeper.java
@@ -15,7 +15,7 @@
 import petrelstand.core.Broker;
 import petrelstand.core.Counters;
 import petrelstand.core.Timers;
-import petrelstand.decision.Scheduling.Learned;
+import petrelstand.decision.Scheduling.LearnedState;
 import petrelstand.decision.Scheduling.Settings;
 import petrelstand.state.Generations;
 import petrelstand.state.Snapshot;
@@ -52,7 +52,7 @@
     private final long everyUs;
     private Broker broker;
     private WritePlan plan;
-    private Learned recalled;
+    private LearnedState recalled;
     /** Of the disk's thread alone. */
     private StateStore store;
 
--- a/src/test/java/petrelstand/cli/CliTest.java
+++ b/src/test/java/petrelstand/cli/CliTest.java
@@ -11,8 +11,8 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import petrelstand.decision.Scheduling.Learned;
 import petrelstand.decision.Scheduling.LearnedNode;
+import petrelstand.decision.Scheduling.LearnedState;
 import petrelstand.decision.Scheduling.LearnedVolume;
 import petrelstand.state.Generations;
 import petrelstand.state.Snapshot;
@@ -47,7 +47,7 @@
                         0,
                         1_764_600_000_000L,
                         true,
-                        new Learned(
+                        new LearnedState(
                                 1,
                                 1,
                                 1,
--- a/src/test/java/petrelstand/config/ConfigTest.java
+++ b/src/test/java/petrelstand/config/ConfigTest.java
@@ -94,7 +94,7 @@
         RsyncConfig.Module module = config.module("charts");
         assertEquals(2, module.requestClass());
         assertEquals(0xb1, module.volume());
-        assertEquals(NodeEntry.PRIVATE, module.shard());
+        assertEquals(NodeEntry.FIRST_PRIVATE_SHARD, module.shard());
         assertEquals(500_000, config.idleUs());
         assertEquals("127.0.0.1:8731", config.nodes().get(0).address());
         assertEquals(module.shard(), config.nodes().get(0).entry().shard());
--- a/src/test/java/petrelstand/config/SettingsVariantsTest.java
+++ b/src/test/java/petrelstand/config/SettingsVariantsTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import petrelstand.decision.Scheduling.DedupGroup;
-import petrelstand.decision.Scheduling.Discovery;
+import petrelstand.decision.Scheduling.DiscoveryMode;
 import petrelstand.decision.Scheduling.Settings;
 import petrelstand.testing.Harness;
 
@@ -55,7 +55,7 @@
 
     @Test
     void discoveryMayBeAskedAndRefusalsMayCarryNoWait() {
-        assertEquals(Discovery.ASKED, with("discovery=ask\n").discovery());
+        assertEquals(DiscoveryMode.ASKED, with("discovery=ask\n").discovery());
         assertFalse(without("caps.retry_after=true").may().retryAfter());
     }
 
--- a/src/test/java/petrelstand/core/BrokerTest.java
+++ b/src/test/java/petrelstand/core/BrokerTest.java
@@ -12,9 +12,9 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 import petrelstand.config.SettingsReader;
-import petrelstand.decision.Scheduling.Events;
-import petrelstand.decision.Scheduling.ListKind;
+import petrelstand.decision.Scheduling.HostEvents;
 import petrelstand.decision.Scheduling.NodeEntry;
+import petrelstand.decision.Scheduling.NodeListKind;
 import petrelstand.decision.Scheduling.NodeState;
 import petrelstand.decision.Scheduling.Outcome;
 import petrelstand.decision.Scheduling.Settings;
@@ -204,7 +204,7 @@
 
     @Test
     void aNewObjectNeverGoesToAPrivateShard() {
-        world.list(Harness.node("charts/127.0.0.1:1", NodeEntry.PRIVATE, NodeState.READY, 0));
+        world.list(Harness.node("charts/127.0.0.1:1", NodeEntry.FIRST_PRIVATE_SHARD, NodeState.READY, 0));
         Client client = take(1, -1, 2_500_000);
         assertEquals(List.of(), started);
         assertEquals(List.of("refused"), client.answers);
@@ -218,8 +218,10 @@
                     Harness.SETTINGS.replace("grace_to_answer_ms=8.0", "grace_to_answer_ms=" + graceMs));
             Broker forgets = new Broker(
                     settings,
-                    (now, of, actions) -> (Events) java.lang.reflect.Proxy.newProxyInstance(
-                            getClass().getClassLoader(), new Class<?>[] {Events.class}, (proxy, method, args) -> null),
+                    (now, of, actions) -> (HostEvents) java.lang.reflect.Proxy.newProxyInstance(
+                            getClass().getClassLoader(),
+                            new Class<?>[] {HostEvents.class},
+                            (proxy, method, args) -> null),
                     () -> world.nowUs,
                     world.timers,
                     server,
@@ -240,9 +242,9 @@
         Broker faulty = new Broker(
                 world.settings,
                 (now, settings, actions) -> {
-                    actions.timer(now, 1);
-                    return (Events) java.lang.reflect.Proxy.newProxyInstance(
-                            getClass().getClassLoader(), new Class<?>[] {Events.class}, (proxy, method, args) -> {
+                    actions.setTimer(now, 1);
+                    return (HostEvents) java.lang.reflect.Proxy.newProxyInstance(
+                            getClass().getClassLoader(), new Class<?>[] {HostEvents.class}, (proxy, method, args) -> {
                                 throw new IllegalStateException("broken");
                             });
                 },
@@ -278,7 +280,7 @@
                 world.list(now);
             } else {
                 broker.nodes(
-                        petrelstand.decision.Scheduling.ListKind.CHANGES,
+                        petrelstand.decision.Scheduling.NodeListKind.CHANGES,
                         List.of(now, Harness.node(String.format("s-%08x", i - 1), 3, NodeState.GONE, 0)));
             }
             Client client = take(0, 3, 1_500_000);
@@ -389,8 +391,8 @@
                     gone |= client.answers.isEmpty();
                     broker.clientGone(client.exchange);
                 }
-                case 3 -> broker.nodes(ListKind.CHANGES, List.of(node.as(NodeState.DRAINING)));
-                case 4 -> broker.nodes(ListKind.CHANGES, List.of(node.asGone()));
+                case 3 -> broker.nodes(NodeListKind.CHANGES, List.of(node.as(NodeState.DRAINING)));
+                case 4 -> broker.nodes(NodeListKind.CHANGES, List.of(node.asGone()));
                 default -> broker.answerBy(world.nowUs);
             }
             assertTrue(
--- a/src/test/java/petrelstand/core/LimitBoundTest.java
+++ b/src/test/java/petrelstand/core/LimitBoundTest.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import petrelstand.config.SettingsReader;
-import petrelstand.decision.Scheduling.ListKind;
+import petrelstand.decision.Scheduling.NodeListKind;
 import petrelstand.decision.Scheduling.NodeState;
 import petrelstand.decision.Scheduling.Outcome;
 import petrelstand.decision.Scheduling.Settings;
@@ -169,7 +169,7 @@
                 nodes.add(Harness.node(
                         "s-0000000" + Integer.toHexString(shard % 16) + shard / 16, shard, NodeState.READY, 0));
             }
-            broker.nodes(ListKind.WHOLE, nodes);
+            broker.nodes(NodeListKind.FULL, nodes);
         }
 
         private int others() {
--- a/src/test/java/petrelstand/core/ModuleMemoryTest.java
+++ b/src/test/java/petrelstand/core/ModuleMemoryTest.java
@@ -70,12 +70,12 @@
     void volumesAndNodesKeepNoMoreThanIsSetAsideHoweverManyAsk() {
         long before = used();
         list();
-        long most = NODES * MemoryPlan.NODE_BYTES + Policy.MOST_VOLUMES * MemoryPlan.VOLUME_BYTES;
+        long most = NODES * MemoryPlan.NODE_BYTES + Policy.MAX_VOLUMES * MemoryPlan.VOLUME_BYTES;
         for (int factor : FACTORS) {
-            ask(factor * Policy.MOST_VOLUMES);
+            ask(factor * Policy.MAX_VOLUMES);
             long held = used() - before;
             assertTrue(held <= most, held + " bytes at " + factor + " times the volumes, of " + most);
         }
-        assertTrue(served > Policy.MOST_VOLUMES, served + " were served");
+        assertTrue(served > Policy.MAX_VOLUMES, served + " were served");
     }
 }
--- a/src/test/java/petrelstand/decision/AdmissionTest.java
+++ b/src/test/java/petrelstand/decision/AdmissionTest.java
@@ -56,8 +56,8 @@
                 }
                 serve(host, 1, part * site.aimMs);
             }
-            double window = host.policy.learned(host.now).nodes().get(0).window();
-            assertEquals(part < 0.3, window > Policy.WINDOW_START, "part " + part + ", window " + window);
+            double window = host.policy.learnedState(host.now).nodes().get(0).window();
+            assertEquals(part < 0.3, window > Policy.INITIAL_WINDOW, "part " + part + ", window " + window);
         }
     }
 
@@ -119,7 +119,7 @@
         List.copyOf(host.sent).stream().filter(host::open).forEach(sent -> host.end(sent, Outcome.SERVED));
         host.runTo(host.now + 10_000);
         assertTrue(kept(host, "nodes") < 200, "nodes " + kept(host, "nodes"));
-        assertEquals(Policy.MOST_VOLUMES, kept(host, "volumes"));
+        assertEquals(Policy.MAX_VOLUMES, kept(host, "volumes"));
         assertTrue(kept(host, "turns") < 100, "keys " + kept(host, "turns"));
         assertEquals(0, kept(host, "items"));
     }
--- a/src/test/java/petrelstand/decision/Host.java
+++ b/src/test/java/petrelstand/decision/Host.java
@@ -7,14 +7,14 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.Set;
-import petrelstand.decision.Scheduling.Actions;
 import petrelstand.decision.Scheduling.AttemptEnd;
 import petrelstand.decision.Scheduling.Capabilities;
 import petrelstand.decision.Scheduling.DedupGroup;
-import petrelstand.decision.Scheduling.Discovery;
+import petrelstand.decision.Scheduling.DiscoveryMode;
 import petrelstand.decision.Scheduling.Effect;
-import petrelstand.decision.Scheduling.ListKind;
+import petrelstand.decision.Scheduling.HostActions;
 import petrelstand.decision.Scheduling.NodeEntry;
+import petrelstand.decision.Scheduling.NodeListKind;
 import petrelstand.decision.Scheduling.NodeState;
 import petrelstand.decision.Scheduling.Outcome;
 import petrelstand.decision.Scheduling.Plan;
@@ -24,7 +24,7 @@
 import petrelstand.decision.Scheduling.Settings;
 
 /** A host for tests: it runs timers, writes down actions, and lets a test play the nodes by hand. */
-final class Host implements Actions {
+final class Host implements HostActions {
     record Sent(double atMs, long request, long node, int attempt) {}
 
     private record Timer(double atMs, long order, long token) {}
@@ -64,18 +64,18 @@
         while (!timers.isEmpty() && timers.peek().atMs() <= untilMs) {
             Timer timer = timers.poll();
             now = Math.max(now, timer.atMs());
-            policy.timer(now, timer.token());
+            policy.timerFired(now, timer.token());
         }
         now = untilMs;
     }
 
     void list(NodeEntry... entries) {
-        policy.nodes(now, ListKind.WHOLE, List.of(entries));
+        policy.nodesListed(now, NodeListKind.FULL, List.of(entries));
     }
 
     long request(Ask ask) {
         long id = nextId++;
-        policy.request(
+        policy.requestReceived(
                 now,
                 new Request(
                         id,
@@ -164,17 +164,17 @@
     }
 
     @Override
-    public void timer(double atMs, long token) {
+    public void setTimer(double atMs, long token) {
         timers.add(new Timer(atMs, order++, token));
     }
 
     @Override
-    public void follow() {
+    public void subscribeToNodes() {
         log.add("follow");
     }
 
     @Override
-    public void tell(int recipient, byte[] message) {
+    public void sendPeerMessage(int recipient, byte[] message) {
         log.add("tell " + recipient);
     }
 
@@ -237,7 +237,7 @@
         int hosts = 1;
         int index;
         List<String> loadNames = List.of();
-        Discovery discovery = Discovery.PUSHED;
+        DiscoveryMode discovery = DiscoveryMode.PUSHED;
         DedupGroup group = DedupGroup.ALL;
         boolean ordered;
         double limit;
--- a/src/test/java/petrelstand/decision/LimitTest.java
+++ b/src/test/java/petrelstand/decision/LimitTest.java
@@ -46,7 +46,7 @@
             if (streamed) {
                 host.policy.streamStarted(host.now, id, 0);
             }
-            host.policy.written(host.now, id);
+            host.policy.requestWritten(host.now, id);
             if (!streamed) {
                 host.end(host.last(), Outcome.SERVED);
             }
@@ -67,7 +67,8 @@
         double underWay = sendAll(true);
         assertEquals(BURST / 2, underWay, "at most half is on its way");
         host.runTo(START_MS + 4_900);
-        assertTrue(underWay + host.policy.learned(host.now).volumes().get(0).limitLevel() <= BURST + 1e-9);
+        assertTrue(
+                underWay + host.policy.learnedState(host.now).volumes().get(0).limitLevel() <= BURST + 1e-9);
         host.sent.forEach(sent -> host.end(sent, Outcome.SERVED));
         assertEquals(BURST - underWay, sendAll(false));
     }
@@ -80,12 +81,14 @@
         host.runTo(START_MS + 4_300);
         assertEquals(2, host.sentFor(first));
         assertEquals(
-                BURST - UNITS, host.policy.learned(host.now).volumes().get(0).limitLevel(), 1e-9);
-        host.policy.written(host.now, first);
+                BURST - UNITS,
+                host.policy.learnedState(host.now).volumes().get(0).limitLevel(),
+                1e-9);
+        host.policy.requestWritten(host.now, first);
         host.runTo(START_MS + 4_400);
         assertEquals(
                 BURST - UNITS + LIMIT / 10,
-                host.policy.learned(host.now).volumes().get(0).limitLevel(),
+                host.policy.learnedState(host.now).volumes().get(0).limitLevel(),
                 1e-9);
     }
 
@@ -101,7 +104,7 @@
 
     @Test
     void halfAShareIsHalfOfRateAndBurst() {
-        host.policy.share(host.now, 0.5);
+        host.policy.setBudgetShare(host.now, 0.5);
         host.runTo(START_MS + 8_000);
         assertEquals(BURST / 2, sendAll(false));
         host.runTo(START_MS + 8_500);
@@ -111,11 +114,11 @@
     /** What another process spent while it had its share is not known: a volume met after that begins empty. */
     @Test
     void aVolumeMetAfterAChangeOfShareBeginsEmpty() {
-        host.policy.share(host.now, 0);
+        host.policy.setBudgetShare(host.now, 0);
         long refused = host.request(new Ask().units(UNITS).volume(2));
         assertEquals("refuse", host.answer(refused));
         host.runTo(START_MS + 4_000);
-        host.policy.share(host.now, 1);
+        host.policy.setBudgetShare(host.now, 1);
         host.runTo(START_MS + 4_250);
         assertEquals(UNITS, sendAll(false));
     }
--- a/src/test/java/petrelstand/decision/RecallTest.java
+++ b/src/test/java/petrelstand/decision/RecallTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.Test;
 import petrelstand.decision.Host.Ask;
 import petrelstand.decision.Host.Site;
-import petrelstand.decision.Scheduling.Learned;
 import petrelstand.decision.Scheduling.LearnedNode;
+import petrelstand.decision.Scheduling.LearnedState;
 import petrelstand.decision.Scheduling.LearnedVolume;
 import petrelstand.decision.Scheduling.NodeState;
 import petrelstand.decision.Scheduling.Outcome;
@@ -26,18 +26,18 @@
         return new LearnedNode(id, upSinceMs, 10, 30, 6, 40, coldSent, silentMs);
     }
 
-    private static Host host(Site site, Learned learned) {
+    private static Host host(Site site, LearnedState learned) {
         Host host = new Host(10_000, site.settings());
-        host.policy.recall(10_000, learned);
+        host.policy.restore(10_000, learned);
         return host;
     }
 
-    private static Learned nodes(LearnedNode... nodes) {
-        return new Learned(10_000, 0, 0, List.of(nodes), List.of());
+    private static LearnedState nodes(LearnedNode... nodes) {
+        return new LearnedState(10_000, 0, 0, List.of(nodes), List.of());
     }
 
     private static Map<Long, LearnedNode> learned(Host host) {
-        return host.policy.learned(host.now).nodes().stream()
+        return host.policy.learnedState(host.now).nodes().stream()
                 .collect(Collectors.toMap(LearnedNode::node, node -> node));
     }
 
@@ -47,10 +47,10 @@
         host.list(node(1, 0), node(2, 1, NodeState.READY, 900));
         assertEquals(6, learned(host).get(1L).window());
         assertEquals(40, learned(host).get(1L).latencyMs());
-        assertEquals(Policy.WINDOW_START, learned(host).get(2L).window());
+        assertEquals(Policy.INITIAL_WINDOW, learned(host).get(2L).window());
         assertNull(learned(host).get(3L));
         host.list(node(1, 0), node(2, 1, NodeState.READY, 900), node(3, 2));
-        assertEquals(Policy.WINDOW_START, learned(host).get(3L).window());
+        assertEquals(Policy.INITIAL_WINDOW, learned(host).get(3L).window());
     }
 
     @Test
@@ -90,7 +90,7 @@
     void aColdNodesSpentBudgetIsNotSpentTwice() {
         Host host = host(new Site(), nodes(known(1, 9_500, 20, 0)));
         host.list(node(1, 0, NodeState.READY, 9_500));
-        assertEquals(20, learned(host).get(1L).coldSent());
+        assertEquals(20, learned(host).get(1L).coldSentUnits());
         for (int i = 0; i < 30; i++) {
             host.request(new Ask().timeLeft(4000));
             host.runTo(host.now + 60);
@@ -104,7 +104,7 @@
         Site site = new Site();
         site.limit = 4;
         site.reserve = 3;
-        Learned learned = new Learned(
+        LearnedState learned = new LearnedState(
                 10_000,
                 0,
                 0,
@@ -114,7 +114,7 @@
         host.list(node(1, 0));
         assertEquals("refuse", host.answer(host.request(new Ask().volume(1))));
         assertNull(host.answer(host.request(new Ask().volume(2))));
-        Map<Long, LearnedVolume> after = host.policy.learned(host.now).volumes().stream()
+        Map<Long, LearnedVolume> after = host.policy.learnedState(host.now).volumes().stream()
                 .collect(Collectors.toMap(LearnedVolume::volume, volume -> volume));
         assertEquals(1, after.get(1L).reserveLevel(), 1e-9);
         assertEquals(30, after.get(2L).limitLevel(), 1e-9);
@@ -132,7 +132,7 @@
         Host fresh = new Host(10_000, new Site().settings());
         Host recalled = host(
                 new Site(),
-                new Learned(
+                new LearnedState(
                         10_000,
                         20,
                         20 * 64,
@@ -156,9 +156,9 @@
         LearnedNode without = learned(fresh).get(1L);
         LearnedNode with = learned(recalled).get(1L);
         assertEquals(without.latencyMs(), with.latencyMs(), 1);
-        assertEquals(without.served() / without.slots(), with.served() / with.slots(), 0.1);
+        assertEquals(without.servedUnits() / without.measuredSlots(), with.servedUnits() / with.measuredSlots(), 0.1);
         assertEquals(without.window(), with.window(), 1);
         assertEquals(0, with.silentMs());
-        assertTrue(with.slots() > 100, "the node was worked at: " + with);
+        assertTrue(with.measuredSlots() > 100, "the node was worked at: " + with);
     }
 }
--- a/src/test/java/petrelstand/decision/RetuneTest.java
+++ b/src/test/java/petrelstand/decision/RetuneTest.java
@@ -29,7 +29,7 @@
     void anOpenRequestKeepsItsClassAndGetsNoMoreAttemptsThanItCameWith() {
         Host host = new Host(10_000, with("most_tries=3", "most_tries=1"));
         long old = open(host);
-        host.policy.retune(host.now, FORMER);
+        host.policy.applySettings(host.now, FORMER);
         host.end(host.last(), Outcome.REJECTED);
         host.runTo(host.now + 200);
         assertEquals(1, host.sentFor(old));
@@ -40,7 +40,7 @@
     void whatFewerAttemptsAllowHoldsForOpenRequestsToo() {
         Host host = new Host(10_000, FORMER);
         long old = open(host);
-        host.policy.retune(host.now, with("most_tries=3", "most_tries=1"));
+        host.policy.applySettings(host.now, with("most_tries=3", "most_tries=1"));
         host.end(host.last(), Outcome.REJECTED);
         host.runTo(host.now + 200);
         assertEquals(1, host.sentFor(old));
@@ -50,7 +50,7 @@
     void aClassThatMayNoLongerBeRepeatedIsNotAndAnOpenRequestOfItStillIs() {
         Host host = new Host(10_000, FORMER);
         long old = open(host);
-        host.policy.retune(host.now, with("classes.0.semantics=repeatable", "classes.0.semantics=once"));
+        host.policy.applySettings(host.now, with("classes.0.semantics=repeatable", "classes.0.semantics=once"));
         host.end(host.last(), Outcome.ERROR);
         host.runTo(host.now + 100);
         assertEquals(2, host.sentFor(old));
@@ -69,14 +69,14 @@
         host.now += 30;
         host.end(host.last(), Outcome.SERVED);
         List<?> before = List.of(
-                host.policy.learned(host.now).nodes(),
-                host.policy.learned(host.now).volumes());
-        host.policy.retune(host.now, with("classes.2.aim_ms=1500.0", "classes.2.aim_ms=1200.0"));
+                host.policy.learnedState(host.now).nodes(),
+                host.policy.learnedState(host.now).volumes());
+        host.policy.applySettings(host.now, with("classes.2.aim_ms=1500.0", "classes.2.aim_ms=1200.0"));
         assertEquals(
                 before,
                 List.of(
-                        host.policy.learned(host.now).nodes(),
-                        host.policy.learned(host.now).volumes()));
+                        host.policy.learnedState(host.now).nodes(),
+                        host.policy.learnedState(host.now).volumes()));
     }
 
     /** Two processes that spend one gateway's part at a cold node send it no more than one would. */
@@ -91,7 +91,7 @@
         String cold = Harness.SETTINGS + "extra.cold_bears=12\nrules.cold_from=0.3\nrules.warm_up_ms=15000\n"
                 + "rules.fall_ms=1500\nrules.overload_factor=2\n";
         Host host = new Host(10_000, SettingsReader.ofText(cold));
-        host.policy.share(host.now, part);
+        host.policy.setBudgetShare(host.now, part);
         host.runTo(host.now + 2_000);
         host.list(node(1, 0, Scheduling.NodeState.READY, host.now));
         for (int i = 0; i < 30; i++) {
--- a/src/test/java/petrelstand/decision/RulesTest.java
+++ b/src/test/java/petrelstand/decision/RulesTest.java
@@ -14,8 +14,8 @@
 import petrelstand.decision.Host.Ask;
 import petrelstand.decision.Host.Site;
 import petrelstand.decision.Scheduling.DedupGroup;
-import petrelstand.decision.Scheduling.Discovery;
-import petrelstand.decision.Scheduling.ListKind;
+import petrelstand.decision.Scheduling.DiscoveryMode;
+import petrelstand.decision.Scheduling.NodeListKind;
 import petrelstand.decision.Scheduling.NodeState;
 import petrelstand.decision.Scheduling.Outcome;
 
@@ -91,8 +91,10 @@
             Host host = host(site);
             long id = host.request(new Ask().kind(KEYED).shard(-1));
             Host.Sent first = host.last();
-            host.policy.nodes(
-                    host.now, ListKind.CHANGES, List.of(node(first.node(), (int) first.node() - 1, NodeState.GONE, 0)));
+            host.policy.nodesListed(
+                    host.now,
+                    NodeListKind.CHANGES,
+                    List.of(node(first.node(), (int) first.node() - 1, NodeState.GONE, 0)));
             host.end(first, Outcome.RESET);
             host.runTo(10_200);
             assertEquals(group == DedupGroup.ALL ? 2 : 1, host.sentFor(id), group.toString());
@@ -136,7 +138,7 @@
         host.request(new Ask());
         assertEquals(1, host.sent.size());
         for (NodeState state : List.of(NodeState.DRAINING, NodeState.GONE)) {
-            host.policy.nodes(host.now, ListKind.CHANGES, List.of(node(1, 0, state, 0)));
+            host.policy.nodesListed(host.now, NodeListKind.CHANGES, List.of(node(1, 0, state, 0)));
             assertEquals("refuse", host.answer(host.request(new Ask())));
         }
         host.list(node(2, 1));
@@ -155,7 +157,7 @@
                 .boxed()
                 .toList();
         assertFalse(waiting.isEmpty());
-        host.policy.nodes(host.now, ListKind.CHANGES, List.of(node(1, 0, NodeState.DRAINING, 0), node(3, 0)));
+        host.policy.nodesListed(host.now, NodeListKind.CHANGES, List.of(node(1, 0, NodeState.DRAINING, 0), node(3, 0)));
         host.runTo(10_050);
         List<Long> moved = host.sent.stream()
                 .filter(s -> s.node() == 3)
@@ -290,10 +292,10 @@
     @Test
     void anAskedListIsAskedAgainAfterAFailure() {
         Site site = new Site();
-        site.discovery = Discovery.ASKED;
+        site.discovery = DiscoveryMode.ASKED;
         Host host = host(site);
         assertEquals(List.of("follow"), host.log);
-        host.policy.nodes(host.now, ListKind.FAILED, List.of());
+        host.policy.nodesListed(host.now, NodeListKind.FAILED, List.of());
         host.runTo(11_100);
         assertEquals(List.of("follow", "follow"), host.log);
     }
--- a/src/test/java/petrelstand/decision/SizeTest.java
+++ b/src/test/java/petrelstand/decision/SizeTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.api.Test;
 import petrelstand.decision.Host.Ask;
 import petrelstand.decision.Host.Site;
-import petrelstand.decision.Scheduling.Discovery;
-import petrelstand.decision.Scheduling.ListKind;
+import petrelstand.decision.Scheduling.DiscoveryMode;
+import petrelstand.decision.Scheduling.NodeListKind;
 import petrelstand.decision.Scheduling.NodeState;
 import petrelstand.decision.Scheduling.Outcome;
 
@@ -245,13 +245,13 @@
     @Test
     void failingListCallsRestLongerAndHostsDoNotAskInStep() {
         Site site = new Site();
-        site.discovery = Discovery.ASKED;
+        site.discovery = DiscoveryMode.ASKED;
         Set<Double> times = new HashSet<>();
         double longest = 0;
         for (int seed = 0; seed < 50; seed++) {
             Host host = new Host(START, site.settings(), seed);
             for (int i = 0; i < 6; i++) {
-                host.policy.nodes(host.now, ListKind.FAILED, List.of());
+                host.policy.nodesListed(host.now, NodeListKind.FAILED, List.of());
                 longest = host.nextTimerMs() - host.now;
                 host.runTo(host.nextTimerMs());
             }
@@ -276,7 +276,7 @@
     void messagesFromOtherHostsHaveNoEffect() {
         Host host = oneOfMany(new Site());
         for (byte[] message : new byte[][] {{}, {1}, new byte[256]}) {
-            host.policy.peerMessage(host.now, 65_535, message);
+            host.policy.peerMessageReceived(host.now, 65_535, message);
         }
         assertTrue(host.log.isEmpty());
         assertEquals(1, host.sentFor(host.request(new Ask())));
--- a/src/test/java/petrelstand/http/FrontSearchTest.java
+++ b/src/test/java/petrelstand/http/FrontSearchTest.java
@@ -15,7 +15,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
-import petrelstand.decision.Scheduling.ListKind;
+import petrelstand.decision.Scheduling.NodeListKind;
 import petrelstand.decision.Scheduling.NodeState;
 import petrelstand.lifecycle.Lifecycle;
 import petrelstand.testing.Harness;
@@ -180,7 +180,7 @@
 
         private void list(NodeState state, double upSinceMs) {
             listed = state == NodeState.READY;
-            world.broker.nodes(ListKind.CHANGES, List.of(Harness.node("s-00000001", 3, state, upSinceMs)));
+            world.broker.nodes(NodeListKind.CHANGES, List.of(Harness.node("s-00000001", 3, state, upSinceMs)));
         }
 
         private void act(Act act, int pick) {
--- a/src/test/java/petrelstand/http/FrontTest.java
+++ b/src/test/java/petrelstand/http/FrontTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import petrelstand.core.Figures.End;
 import petrelstand.core.Node;
-import petrelstand.decision.Scheduling.ListKind;
+import petrelstand.decision.Scheduling.NodeListKind;
 import petrelstand.decision.Scheduling.NodeState;
 import petrelstand.lifecycle.Lifecycle;
 import petrelstand.net.MemoryEnd;
@@ -106,7 +106,7 @@
     }
 
     private static double partOfUse(Harness world) {
-        return world.broker.learned().volumes().get(0).ownPart();
+        return world.broker.learned().volumes().get(0).localFraction();
     }
 
     @Test
@@ -238,12 +238,12 @@
             Harness.Dialed before = other.dialed.remove(0);
             List<Node> drains = List.of(Harness.node("s-00000001", 3, NodeState.DRAINING, 0));
             if (drainFirst) {
-                other.broker.nodes(ListKind.CHANGES, drains);
+                other.broker.nodes(NodeListKind.CHANGES, drains);
             }
             other.broker.retune(
                     new Harness(Harness.SETTINGS.replace("caps.most_tries=3", "caps.most_tries=2")).settings);
             if (!drainFirst) {
-                other.broker.nodes(ListKind.CHANGES, drains);
+                other.broker.nodes(NodeListKind.CHANGES, drains);
             }
             assertEquals("", HeldEnd.open(before.connector()::connected).taken());
             end.put(read(2, ""));
@@ -420,7 +420,7 @@
             other.list(listed);
             MemoryEnd end = MemoryEnd.open(front::accept);
             end.put(read(1, ""));
-            other.broker.nodes(ListKind.CHANGES, List.of(change));
+            other.broker.nodes(NodeListKind.CHANGES, List.of(change));
             assertEquals("", other.up().taken(), change.toString());
             assertEquals(1, other.counters.get("outcome.not_connected"));
         }
@@ -961,7 +961,7 @@
     @Test
     void aRemovedNodeAndOneThatAWholeListLeavesOutGetNothing() {
         listOne();
-        world.broker.nodes(ListKind.CHANGES, List.of(Harness.node("s-00000001", 3, NodeState.GONE, 0)));
+        world.broker.nodes(NodeListKind.CHANGES, List.of(Harness.node("s-00000001", 3, NodeState.GONE, 0)));
         client.put(read(1, ""));
         listOne();
         world.list(Harness.node("s-00000002", 4, NodeState.READY, 0));
@@ -972,7 +972,7 @@
 
     @Test
     void aKnownListThatWasStaleGivesWayToTheWholeOne() {
-        world.broker.nodes(ListKind.CACHED, List.of(Harness.node("s-00000009", 3, NodeState.READY, 0)));
+        world.broker.nodes(NodeListKind.CACHED, List.of(Harness.node("s-00000009", 3, NodeState.READY, 0)));
         listOne();
         client.put(read(1, ""));
         assertEquals(1, world.dialed.size());
--- a/src/test/java/petrelstand/state/TrustTest.java
+++ b/src/test/java/petrelstand/state/TrustTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.Test;
 import petrelstand.config.SettingsReader;
 import petrelstand.decision.Policy;
-import petrelstand.decision.Scheduling.Learned;
 import petrelstand.decision.Scheduling.LearnedNode;
+import petrelstand.decision.Scheduling.LearnedState;
 import petrelstand.decision.Scheduling.LearnedVolume;
 import petrelstand.decision.Scheduling.Settings;
 import petrelstand.testing.Harness;
@@ -46,7 +46,7 @@
             Harness.SETTINGS.replace("balancers=1", "balancers=4") + "plans.0.limit=60\nplans.0.burst=40\n");
     private final Trust trust = new Trust("n1", settings);
 
-    private Snapshot snapshot(double ageMs, boolean clean, Learned learned) {
+    private Snapshot snapshot(double ageMs, boolean clean, LearnedState learned) {
         return new Snapshot("n1", Snapshot.print(settings), 5, (long) (NOW - ageMs), clean, learned);
     }
 
@@ -55,23 +55,23 @@
     }
 
     private Trust.Verdict weigh(double ageMs, LearnedNode node) {
-        return trust.weigh(snapshot(ageMs, false, new Learned(0, 100, 200, List.of(node), List.of())), NOW);
+        return trust.weigh(snapshot(ageMs, false, new LearnedState(0, 100, 200, List.of(node), List.of())), NOW);
     }
 
     @Test
     void eachFigureFadesWithItsOwnHalfLifeTowardWhatAGatewayStartsWith() {
         LearnedNode fresh = weigh(0, node(200, 8, 300, 0)).learned().nodes().get(0);
-        assertEquals(Trust.MOST_NODE_SLOTS, fresh.slots());
-        assertEquals(2, fresh.served() / fresh.slots(), 1e-9);
+        assertEquals(Trust.MOST_NODE_SLOTS, fresh.measuredSlots());
+        assertEquals(2, fresh.servedUnits() / fresh.measuredSlots(), 1e-9);
         assertEquals(8, fresh.window());
         assertEquals(300, fresh.latencyMs());
         LearnedNode old = weigh(20_000, node(200, 8, 300, 0)).learned().nodes().get(0);
-        assertEquals(Policy.WINDOW_START + (8 - Policy.WINDOW_START) / 2, old.window(), 1e-9);
+        assertEquals(Policy.INITIAL_WINDOW + (8 - Policy.INITIAL_WINDOW) / 2, old.window(), 1e-9);
         assertEquals((300 + 100) / 2.0, old.latencyMs(), 1e-9);
         LearnedNode older =
                 weigh(60_000, node(200, 8, 300, 0)).learned().nodes().get(0);
-        assertEquals(Trust.MOST_NODE_SLOTS / 2, older.slots(), 1e-9);
-        assertEquals(2, older.served() / older.slots(), 1e-9);
+        assertEquals(Trust.MOST_NODE_SLOTS / 2, older.measuredSlots(), 1e-9);
+        assertEquals(2, older.servedUnits() / older.measuredSlots(), 1e-9);
     }
 
     @Test
@@ -82,7 +82,7 @@
 
     @Test
     void whatIsTooOldOrOfAnotherOrFromTheFutureCountsForNothingAndSaysWhy() {
-        Learned learned = new Learned(0, 1, 1, List.of(node(1, 1, 1, 0)), List.of());
+        LearnedState learned = new LearnedState(0, 1, 1, List.of(node(1, 1, 1, 0)), List.of());
         assertTrue(trust.weigh(snapshot(Trust.OLDEST_MS + 1, true, learned), NOW)
                 .refused()
                 .contains("older than"));
@@ -93,7 +93,7 @@
         Trust.Verdict changed =
                 trust.weigh(new Snapshot("n1", Snapshot.print(limited), 1, (long) NOW, true, learned), NOW);
         assertTrue(changed.refused().contains("settings have changed"));
-        assertEquals(Learned.nothing(NOW), changed.learned());
+        assertEquals(LearnedState.empty(NOW), changed.learned());
         assertNull(trust.weigh(snapshot(0, true, learned), NOW).refused());
     }
 
@@ -101,7 +101,10 @@
     void aNodeThatStartedAfterTheFileAndOneThatIsThereTwiceAreDropped() {
         LearnedNode late = new LearnedNode(2, NOW - 10, 1, 1, 1, 50, 0, 0);
         Trust.Verdict verdict = trust.weigh(
-                snapshot(100, true, new Learned(0, 0, 0, List.of(node(1, 1, 1, 0), node(2, 2, 2, 0), late), List.of())),
+                snapshot(
+                        100,
+                        true,
+                        new LearnedState(0, 0, 0, List.of(node(1, 1, 1, 0), node(2, 2, 2, 0), late), List.of())),
                 NOW);
         assertEquals(1, verdict.learned().nodes().size());
         assertEquals(2, verdict.dropped());
@@ -120,7 +123,7 @@
                                     1,
                                     (long) NOW - 500,
                                     clean,
-                                    new Learned(0, 0, 0, List.of(), List.of(volume))),
+                                    new LearnedState(0, 0, 0, List.of(), List.of(volume))),
                             NOW)
                     .learned()
                     .volumes()
@@ -134,7 +137,8 @@
                                 1,
                                 (long) NOW - 500,
                                 false,
-                                new Learned(0, 0, 0, List.of(), List.of(new LearnedVolume(9, 0, 2, 0.5, -3, 3, 4)))),
+                                new LearnedState(
+                                        0, 0, 0, List.of(), List.of(new LearnedVolume(9, 0, 2, 0.5, -3, 3, 4)))),
                         NOW)
                 .learned()
                 .volumes()
@@ -155,9 +159,9 @@
                                 1,
                                 (long) NOW - 1400,
                                 false,
-                                new Learned(0, 0, 0, List.of(sent), List.of())),
+                                new LearnedState(0, 0, 0, List.of(sent), List.of())),
                         NOW);
-        assertEquals(17, verdict.learned().nodes().get(0).coldSent());
+        assertEquals(17, verdict.learned().nodes().get(0).coldSentUnits());
     }
 
     /** Any file, any age: what comes out is finite, bounded, and rests on little. */
@@ -190,25 +194,27 @@
                     odd(random)));
         }
         Trust.Verdict verdict = trust.weigh(
-                snapshot(ageMs, clean, new Learned(odd(random), odd(random), odd(random), nodes, volumes)), NOW);
-        Learned learned = verdict.learned();
-        assertTrue(learned.slots() >= 0 && learned.slots() <= Trust.MOST_POOL_SLOTS);
+                snapshot(ageMs, clean, new LearnedState(odd(random), odd(random), odd(random), nodes, volumes)), NOW);
+        LearnedState learned = verdict.learned();
+        assertTrue(learned.measuredSlots() >= 0 && learned.measuredSlots() <= Trust.MOST_POOL_SLOTS);
         double mostRate = Trust.MOST_REQUESTS_A_SLOT * settings.mostUnits();
-        assertTrue(learned.served() >= 0 && learned.served() <= Trust.MOST_POOL_SLOTS * mostRate);
+        assertTrue(learned.servedUnits() >= 0 && learned.servedUnits() <= Trust.MOST_POOL_SLOTS * mostRate);
         for (LearnedNode node : learned.nodes()) {
-            assertTrue(node.slots() >= 0 && node.slots() <= Trust.MOST_NODE_SLOTS, node.toString());
-            assertTrue(node.served() >= 0 && node.served() <= node.slots() * mostRate * (1 + 1e-9), node.toString());
-            assertTrue(node.window() >= 0.9999 && node.window() <= Policy.WINDOW_CEILING, node.toString());
+            assertTrue(node.measuredSlots() >= 0 && node.measuredSlots() <= Trust.MOST_NODE_SLOTS, node.toString());
+            assertTrue(
+                    node.servedUnits() >= 0 && node.servedUnits() <= node.measuredSlots() * mostRate * (1 + 1e-9),
+                    node.toString());
+            assertTrue(node.window() >= 0.9999 && node.window() <= Policy.MAX_WINDOW, node.toString());
             assertTrue(node.latencyMs() > 0 && node.latencyMs() <= 1500, node.toString());
             assertTrue(node.silentMs() >= 0 && node.silentMs() <= Trust.OLDEST_MS, node.toString());
-            assertTrue(Double.isFinite(node.coldSent()) && node.coldSent() >= 0, node.toString());
+            assertTrue(Double.isFinite(node.coldSentUnits()) && node.coldSentUnits() >= 0, node.toString());
         }
         for (LearnedVolume volume : learned.volumes()) {
             assertTrue(
-                    volume.setSize() >= 1
-                            && volume.setSize() <= settings.hosts()
-                            && volume.ownPart() * volume.setSize() > 0.999
-                            && volume.ownPart() <= 1,
+                    volume.hostCount() >= 1
+                            && volume.hostCount() <= settings.hosts()
+                            && volume.localFraction() * volume.hostCount() > 0.999
+                            && volume.localFraction() <= 1,
                     volume.toString());
             assertTrue(
                     Double.isFinite(volume.limitLevel())
--- a/src/test/java/petrelstand/store/StateKeeperTest.java
+++ b/src/test/java/petrelstand/store/StateKeeperTest.java
@@ -143,7 +143,7 @@
                 Harness.node("s-00000001", 3, NodeState.READY, world.nowUs / 1000.0),
                 Harness.node("s-00000002", 4, NodeState.READY, 0));
         for (LearnedNode node : next.learned().nodes()) {
-            assertEquals(0, node.slots());
+            assertEquals(0, node.measuredSlots());
             assertEquals(100, node.latencyMs());
         }
     }
--- a/src/test/java/petrelstand/store/StateStoreTest.java
+++ b/src/test/java/petrelstand/store/StateStoreTest.java
@@ -18,8 +18,8 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import petrelstand.decision.Scheduling.Learned;
 import petrelstand.decision.Scheduling.LearnedNode;
+import petrelstand.decision.Scheduling.LearnedState;
 import petrelstand.decision.Scheduling.LearnedVolume;
 import petrelstand.state.Generations;
 import petrelstand.state.Snapshot;
@@ -37,7 +37,7 @@
             nodes.add(new LearnedNode(i, i * 7, number, i, 3 + i / 10.0, 50 + i, 0, i % 5));
             volumes.add(new LearnedVolume(-i, 0, 1 + i % 3, 0.5, number, i, 2));
         }
-        return new Snapshot("n1", 42, 0, number, number % 2 == 0, new Learned(number, number, 1, nodes, volumes));
+        return new Snapshot("n1", 42, 0, number, number % 2 == 0, new LearnedState(number, number, 1, nodes, volumes));
     }
 
     private static Snapshot same(Snapshot of, long generation) {
@@ -151,7 +151,7 @@
     }
 
     private static Snapshot with(LearnedNode node) {
-        return new Snapshot("n1", 42, 1, 1, true, new Learned(1, 1, 1, List.of(node), List.of()));
+        return new Snapshot("n1", 42, 1, 1, true, new LearnedState(1, 1, 1, List.of(node), List.of()));
     }
 
     private static byte[] nodes(int count) throws IOException {
--- a/src/test/java/petrelstand/testing/Harness.java
+++ b/src/test/java/petrelstand/testing/Harness.java
@@ -10,8 +10,8 @@
 import petrelstand.core.Node;
 import petrelstand.core.ServerSide;
 import petrelstand.core.Timers;
-import petrelstand.decision.Scheduling.ListKind;
 import petrelstand.decision.Scheduling.NodeEntry;
+import petrelstand.decision.Scheduling.NodeListKind;
 import petrelstand.decision.Scheduling.NodeState;
 import petrelstand.decision.Scheduling.Settings;
 import petrelstand.net.EventLoop;
@@ -116,7 +116,7 @@
     }
 
     public void list(Node... nodes) {
-        broker.nodes(ListKind.WHOLE, List.of(nodes));
+        broker.nodes(NodeListKind.FULL, List.of(nodes));
     }
 
     /** Brings the last dialed connection up and gives its end in memory. */
