--- a/src/main/java/petrelstand/http/JvmWarmUp.java
+++ b/src/main/java/petrelstand/http/JvmWarmUp.java
@@ -9,8 +9,8 @@
 import petrelstand.core.Node;
 import petrelstand.core.Timers;
 import petrelstand.decision.Scheduling.Effect;
-import petrelstand.decision.Scheduling.ListKind;
 import petrelstand.decision.Scheduling.NodeEntry;
+import petrelstand.decision.Scheduling.NodeListKind;
 import petrelstand.decision.Scheduling.NodeState;
 import petrelstand.decision.Scheduling.RequestClass;
 import petrelstand.decision.Scheduling.Settings;
@@ -64,7 +64,7 @@
             nodes.add(new Node(
                     "s-0000000" + i, "127.0.0.1:" + (9000 + i), new NodeEntry(i, 0, i, NodeState.READY, 1, 0)));
         }
-        broker.updateNodes(ListKind.WHOLE, nodes);
+        broker.updateNodes(NodeListKind.FULL, nodes);
         List<MemoryEndPoint> clients = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
             clients.add(MemoryEndPoint.open(front::accept));
