--- a/src/main/java/petrelstand/RulesPart.java
+++ b/src/main/java/petrelstand/RulesPart.java
@@ -18,22 +18,22 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import java.util.function.LongSupplier;
-import petrelstand.agreement.Grantor;
-import petrelstand.agreement.Holder;
-import petrelstand.agreement.LimitGate;
-import petrelstand.agreement.OldCopy;
-import petrelstand.agreement.Proposer;
-import petrelstand.agreement.RuleBook;
+import petrelstand.agreement.LeaseGrantor;
+import petrelstand.agreement.LeaseHolder;
+import petrelstand.agreement.PlanLimiter;
+import petrelstand.agreement.RuleRegistry;
 import petrelstand.agreement.Rules;
-import petrelstand.agreement.Talk;
+import petrelstand.agreement.RulesFileProposer;
+import petrelstand.agreement.RulesMessage;
+import petrelstand.agreement.StaleFolderCheck;
 import petrelstand.config.GatewayConfig;
 import petrelstand.config.RsyncConfig;
 import petrelstand.config.RulesConfig;
 import petrelstand.config.RulesText;
-import petrelstand.consensus.Parcel;
+import petrelstand.consensus.Envelope;
+import petrelstand.consensus.QuorumRecovery;
 import petrelstand.consensus.RaftFiles;
-import petrelstand.consensus.Recovery;
-import petrelstand.consensus.RulesPage;
+import petrelstand.consensus.RulesStatus;
 import petrelstand.consensus.Voter;
 import petrelstand.consensus.Wire;
 import petrelstand.core.Broker;
@@ -51,7 +51,7 @@
  * where this gateway is one, on a thread of its own with its folder. Loaded only where the operator's file has
  * {@code [rules]}.
  */
-final class RulesPart implements Holder.Actions, Voter.Carrier, RaftNodeExecutor {
+final class RulesPart implements LeaseHolder.Actions, Voter.Callbacks, RaftNodeExecutor {
     private static final long TICK_US = 50_000;
     /** Parcels that wait for the loop or the voter; more are lost, as datagrams are. */
     private static final int MOST_WAITING = 512;
@@ -65,13 +65,13 @@
 
     /** Makes the holder; the usual one, but for tests that plant a defect. */
     interface Maker {
-        Holder holder(
+        LeaseHolder holder(
                 long nowUs,
                 long life,
                 RulesConfig config,
                 long seed,
                 Function<String, Rules> loader,
-                Holder.Actions actions);
+                LeaseHolder.Actions actions);
     }
 
     private final RulesConfig config;
@@ -89,17 +89,17 @@
     private final AtomicInteger waiting = new AtomicInteger();
     private ScheduledThreadPoolExecutor thread;
     private RaftFiles files;
-    private Proposer proposer;
+    private RulesFileProposer proposer;
     private String proposed;
     private KeptText kept;
-    private Holder holder;
+    private LeaseHolder holder;
     private volatile Voter voter;
-    private volatile RulesPage.Votes shown;
+    private volatile RulesStatus.VoterStatus shown;
     private boolean left;
     /** How far each other voter's store was heard to be. */
     private final Map<String, Long> generations = new HashMap<>();
 
-    private OldCopy copy;
+    private StaleFolderCheck copy;
     /**
      * The epoch that this gateway's folder has versions of, -1 for none, and whether a later one was heard to have
      * begun.
@@ -113,7 +113,7 @@
     private long copyNonce;
 
     private static Maker maker = (now, life, config, seed, loader, act) ->
-            new Holder(now, life, config.voters(), config.promise(), seed, loader, act);
+            new LeaseHolder(now, life, config.voters(), config.promise(), seed, loader, act);
 
     /** For tests, before a start: a holder with a planted defect. */
     static void in(Maker holders) {
@@ -167,9 +167,10 @@
         try {
             DiskFolder folder = new DiskFolder(config.folder());
             files = new RaftFiles(folder, log);
-            long newest =
-                    files.restored() == null ? 0 : new Recovery(files).book().newest();
-            votedEpoch = newest == 0 ? -1 : RuleBook.epoch(newest);
+            long newest = files.restoredState() == null
+                    ? 0
+                    : new QuorumRecovery(files).registry().newest();
+            votedEpoch = newest == 0 ? -1 : RuleRegistry.epoch(newest);
             kept = new KeptText(folder, log);
         } catch (StateFault e) {
             log.accept("this gateway does not vote: " + config.folder() + ": " + e.getMessage());
@@ -187,36 +188,36 @@
         long life = new java.security.SecureRandom().nextLong();
         holder = maker.holder(now, life, config, seed, this::load, this);
         if (config.file() != null) {
-            proposer = new Proposer(fleet.name(), "the file " + config.file(), holder, seed, new FromFile());
+            proposer = new RulesFileProposer(fleet.name(), "the file " + config.file(), holder, seed, new FromFile());
             proposed = config.text();
         }
         if (kept != null && kept.text() != null) {
-            holder.recall(now, kept.version(), kept.text());
+            holder.restore(now, kept.version(), kept.text());
         }
         broker.gate(gate());
         fleet.rules(this::arrived);
         if (votes && files != null) {
             copyNonce = life;
-            copy = new OldCopy(now, config.voters().size(), files.generation(), COPY_PATIENCE_US);
+            copy = new StaleFolderCheck(now, config.voters().size(), files.generation(), COPY_PATIENCE_US);
             recall();
         }
         if (config.page()) {
-            front.offer("/rules", () -> RulesPage.text(fleet.name(), nowUs.getAsLong(), holder, shown));
+            front.offer("/rules", () -> RulesStatus.toJson(fleet.name(), nowUs.getAsLong(), holder, shown));
         }
         tick();
     }
 
     /** Asks the other voters how far they have heard this one, until it may vote or must not. */
     private void recall() {
-        switch (left || superseded ? OldCopy.Verdict.REFUSE : copy.verdict(nowUs.getAsLong())) {
+        switch (left || superseded ? StaleFolderCheck.Verdict.REFUSE : copy.verdict(nowUs.getAsLong())) {
             case VOTE -> {
-                if (copy.answers() < copy.wanted()) {
-                    log.accept("votes though only " + copy.answers() + " other voters answered in "
+                if (copy.answerCount() < copy.requiredAnswers()) {
+                    log.accept("votes though only " + copy.answerCount() + " other voters answered in "
                             + COPY_PATIENCE_US / 1_000_000 + " s: where its folder is an old copy, that is not known");
                 }
                 // One that is none of the first voters and was not added yet would only call elections that it can't
                 // win.
-                awaitsLeader = !config.voters().contains(fleet.name()) && files.restored() == null;
+                awaitsLeader = !config.voters().contains(fleet.name()) && files.restoredState() == null;
                 if (!awaitsLeader) {
                     execute(this::vote);
                 }
@@ -224,13 +225,13 @@
             case REFUSE -> {
                 if (!left && !superseded) {
                     log.accept("this gateway does not vote: its folder is an old copy, written " + files.generation()
-                            + " times where others have heard of " + copy.highest());
+                            + " times where others have heard of " + copy.highestGeneration());
                 }
             }
             default -> {
                 for (String name : config.voters()) {
                     if (!name.equals(fleet.name())) {
-                        post(name, heardEpoch(), null, new Talk.Recall(copyNonce));
+                        post(name, heardEpoch(), null, new RulesMessage.GenerationQuery(copyNonce));
                     }
                 }
                 timers.at(nowUs.getAsLong() + 2 * TICK_US, this::recall);
@@ -239,8 +240,8 @@
     }
 
     private petrelstand.core.Gate gate() {
-        LimitGate limits = new LimitGate(holder, plans, broker.settings().mostUnits());
-        return (demand, now) -> limits.take(now, demand.plan(), demand.units());
+        PlanLimiter limits = new PlanLimiter(holder, plans, broker.settings().mostUnits());
+        return (demand, now) -> limits.takeOrDelayUs(now, demand.plan(), demand.units());
     }
 
     private void vote() {
@@ -249,7 +250,7 @@
                 config.voters(),
                 config.promise(),
                 files,
-                Grantor::new,
+                LeaseGrantor::new,
                 this,
                 this::monotonicUs,
                 seed,
@@ -263,7 +264,7 @@
         try {
             if (voter != null) {
                 voter.tick();
-                changed();
+                stateChanged();
             }
         } catch (RuntimeException e) {
             log.accept("the voter's turn failed: " + e);
@@ -286,14 +287,14 @@
     }
 
     /** What an operator wrote into the file goes to whoever leads, as what comes from outside does. */
-    private final class FromFile implements Proposer.Actions {
+    private final class FromFile implements RulesFileProposer.Actions {
         @Override
-        public void send(String leader, Talk talk) {
-            asked(new Parcel(fleet.config().fleet(), ASKER, fleet.config().advertise(), 0, 0, null, talk));
+        public void send(String leader, RulesMessage talk) {
+            asked(new Envelope(fleet.config().fleet(), ASKER, fleet.config().advertise(), 0, 0, null, talk));
         }
 
         @Override
-        public void say(String line) {
+        public void log(String line) {
             log.accept(line);
         }
     }
@@ -304,7 +305,7 @@
             log.accept("only a restart switches a part on or off");
         } else if (!changed.text().equals(proposed)) {
             proposed = changed.text();
-            proposer.changed(nowUs.getAsLong(), proposed, System.currentTimeMillis());
+            proposer.fileChanged(nowUs.getAsLong(), proposed, System.currentTimeMillis());
         }
     }
 
@@ -316,7 +317,7 @@
                 voter.leave();
             }
         });
-        schedule(thread::shutdown, 2 * Voter.HAND_ON_MS, TimeUnit.MILLISECONDS);
+        schedule(thread::shutdown, 2 * Voter.LEADERSHIP_TRANSFER_MS, TimeUnit.MILLISECONDS);
     }
 
     // ---- What comes and goes ----
@@ -337,51 +338,51 @@
         });
     }
 
-    private void take(Parcel parcel) {
+    private void take(Envelope parcel) {
         if (!parcel.fleet().equals(fleet.config().fleet())) {
             counters.add("rules.refused.fleet");
             return;
         }
         counters.add("rules.taken");
-        Talk talk = parcel.talk();
+        RulesMessage talk = parcel.rulesMessage();
         laterEpoch(parcel.epoch());
-        if (parcel.generation() > 0 && (generations.size() < MOST_VOTERS || generations.containsKey(parcel.from()))) {
-            generations.merge(parcel.from(), parcel.generation(), Math::max);
+        if (parcel.generation() > 0 && (generations.size() < MOST_VOTERS || generations.containsKey(parcel.sender()))) {
+            generations.merge(parcel.sender(), parcel.generation(), Math::max);
         }
-        if (talk instanceof Talk.Recall asked) {
+        if (talk instanceof RulesMessage.GenerationQuery asked) {
             post(
-                    parcel.from(),
+                    parcel.sender(),
                     heardEpoch(),
                     null,
-                    new Talk.Recalled(asked.nonce(), generations.getOrDefault(parcel.from(), 0L)));
-        } else if (talk instanceof Talk.Recalled answer) {
+                    new RulesMessage.GenerationAnswer(asked.nonce(), generations.getOrDefault(parcel.sender(), 0L)));
+        } else if (talk instanceof RulesMessage.GenerationAnswer answer) {
             if (copy != null && answer.nonce() == copyNonce) {
-                copy.heard(parcel.from(), answer.generation());
+                copy.recordAnswer(parcel.sender(), answer.generation());
             }
-        } else if (parcel.raft() != null) {
+        } else if (parcel.raftMessage() != null) {
             if (awaitsLeader) {
                 awaitsLeader = false;
                 execute(this::vote);
             }
-            toVoter(() -> voter.receive(parcel.raft(), parcel.epoch()));
-        } else if (talk instanceof Talk.Taken taken) {
+            toVoter(() -> voter.receiveRaftMessage(parcel.raftMessage(), parcel.epoch()));
+        } else if (talk instanceof RulesMessage.RequestAnswer taken) {
             if (proposer != null) {
                 proposer.receive(nowUs.getAsLong(), taken);
             }
-        } else if (talk instanceof Talk.Offer || talk instanceof Talk.Order) {
+        } else if (talk instanceof RulesMessage.ProposalPiece || talk instanceof RulesMessage.AdminRequest) {
             asked(parcel);
-        } else if (talk instanceof Talk.Renew || talk instanceof Talk.Fetch) {
-            toVoter(() -> voter.hear(parcel.from(), talk));
+        } else if (talk instanceof RulesMessage.LeaseRequest || talk instanceof RulesMessage.FetchPiece) {
+            toVoter(() -> voter.receiveRequest(parcel.sender(), talk));
         } else {
-            holder.receive(nowUs.getAsLong(), parcel.from(), talk);
+            holder.receive(nowUs.getAsLong(), parcel.sender(), talk);
         }
     }
 
     /** Who has voted in an epoch that the operator ended takes no further part: its majority is not the fleet's. */
     private void laterEpoch(long heard) {
-        RulesPage.Votes now = shown;
-        if (now != null && now.book().newest() > 0) {
-            votedEpoch = Math.max(votedEpoch, RuleBook.epoch(now.book().newest()));
+        RulesStatus.VoterStatus now = shown;
+        if (now != null && now.registry().newest() > 0) {
+            votedEpoch = Math.max(votedEpoch, RuleRegistry.epoch(now.registry().newest()));
         }
         if (votedEpoch >= 0 && heard > votedEpoch && !superseded) {
             superseded = true;
@@ -396,17 +397,18 @@
     }
 
     /** The command line asks whom it knows; who does not lead passes it on to who does, once. */
-    private void asked(Parcel parcel) {
-        RulesPage.Votes now = shown;
-        boolean leads = now != null && now.leads();
+    private void asked(Envelope parcel) {
+        RulesStatus.VoterStatus now = shown;
+        boolean leads = now != null && now.isLeader();
         String leader = now != null && !now.leader().isEmpty() ? now.leader() : holder.leader();
         String address = leader.isEmpty() ? null : fleet.addressOf(leader);
         if (leads) {
-            toVoter(() -> voter.hear("@" + parcel.address(), parcel.talk()));
-        } else if (parcel.from().equals(ASKER) && address != null && !leader.equals(fleet.name())) {
+            toVoter(() -> voter.receiveRequest("@" + parcel.senderAddress(), parcel.rulesMessage()));
+        } else if (parcel.sender().equals(ASKER) && address != null && !leader.equals(fleet.name())) {
             fleet.sendRules(
                     address,
-                    Wire.encode(new Parcel(parcel.fleet(), PASSED_ON, parcel.address(), 0, 0, null, parcel.talk())));
+                    Wire.encode(new Envelope(
+                            parcel.fleet(), PASSED_ON, parcel.senderAddress(), 0, 0, null, parcel.rulesMessage())));
         }
     }
 
@@ -425,12 +427,12 @@
         });
     }
 
-    private void post(String to, long epoch, RaftMessage raft, Talk talk) {
+    private void post(String to, long epoch, RaftMessage raft, RulesMessage talk) {
         // What is asked before it votes tells nothing of a store that may be an old copy.
         long generation = files == null || voter == null ? 0 : files.generation();
         loop.execute(() -> {
             String address = to.startsWith("@") ? to.substring(1) : fleet.addressOf(to);
-            Parcel parcel = new Parcel(
+            Envelope parcel = new Envelope(
                     fleet.config().fleet(), fleet.name(), fleet.config().advertise(), generation, epoch, raft, talk);
             if (to.equals(fleet.name())) {
                 take(parcel);
@@ -442,7 +444,7 @@
 
     /** The epoch of what this gateway heard to be acted on; for the loop. */
     private long heardEpoch() {
-        return RuleBook.epoch(holder.heard()[0]);
+        return RuleRegistry.epoch(holder.knownVersions()[0]);
     }
 
     /** On the voter's thread. */
@@ -452,17 +454,17 @@
     }
 
     @Override
-    public void send(String to, RaftMessage message) {
+    public void sendRaftMessage(String to, RaftMessage message) {
         post(to, ownEpoch(), message, null);
     }
 
     @Override
-    public void talk(String to, Talk talk) {
+    public void sendRulesMessage(String to, RulesMessage talk) {
         post(to, ownEpoch(), null, talk);
     }
 
     @Override
-    public void send(String voterName, Talk talk) {
+    public void send(String voterName, RulesMessage talk) {
         post(voterName, heardEpoch(), null, talk);
     }
 
@@ -500,16 +502,16 @@
     }
 
     @Override
-    public void changed() {
+    public void stateChanged() {
         if (voter != null) {
-            shown = RulesPage.Votes.of(voter, monotonicUs());
+            shown = RulesStatus.VoterStatus.of(voter, monotonicUs());
         }
     }
 
     // ---- What the holder says, on the loop ----
 
     @Override
-    public void acts(long at, Holder.Acting acting, String why) {
+    public void effectiveRulesChanged(long at, LeaseHolder.EffectiveRules acting, String why) {
         log.accept(
                 switch (acting.mode()) {
                     case LEASED -> "acts on version " + acting.version() + ": " + why;
@@ -530,7 +532,7 @@
     }
 
     @Override
-    public void keep(long version, String text) {
+    public void storeVersion(long version, String text) {
         if (kept != null) {
             execute(() -> kept.keep(version, text));
         }
@@ -542,7 +544,7 @@
     }
 
     @Override
-    public void say(String line) {
+    public void log(String line) {
         log.accept(line);
     }
 
@@ -553,7 +555,7 @@
         if (holder == null) {
             return file;
         }
-        Rules rules = holder.acting(nowUs.getAsLong()).rules();
+        Rules rules = holder.effectiveRules(nowUs.getAsLong()).rules();
         boolean on = rules.switches().getOrDefault("rsync", true);
         Set<String> closed = new HashSet<>();
         rules.modules().forEach((name, module) -> {
--- a/src/main/java/petrelstand/agreement/Holder.java
+++ b/src/main/java/petrelstand/agreement/LeaseHolder.java
@@ -7,26 +7,27 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.function.Function;
-import petrelstand.agreement.Talk.Elsewhere;
-import petrelstand.agreement.Talk.Fetch;
-import petrelstand.agreement.Talk.Grant;
-import petrelstand.agreement.Talk.Hint;
-import petrelstand.agreement.Talk.Piece;
-import petrelstand.agreement.Talk.Renew;
+import petrelstand.agreement.RulesMessage.FetchPiece;
+import petrelstand.agreement.RulesMessage.LeaseAnswer;
+import petrelstand.agreement.RulesMessage.LeaseRequest;
+import petrelstand.agreement.RulesMessage.NotLeader;
+import petrelstand.agreement.RulesMessage.TextPiece;
+import petrelstand.agreement.RulesMessage.VersionsChanged;
 
 /**
  * A gateway's half of the leases: on which version it may act at a moment. A lease counts from when it was asked for,
- * by this process's own clock; {@link #acting} is asked with the turn's one time wherever a rule decides, so that a
- * process which stood still for a minute acts on nothing stale when it goes on. Without a lease it acts on the floors
- * of what it last knew, or the stricter of that and what it has heard of since. Deterministic: one thread at a time.
+ * by this process's own clock; {@link #effectiveRules} is asked with the turn's one time wherever a rule decides, so
+ * that a process which stood still for a minute acts on nothing stale when it goes on. Without a lease it acts on the
+ * floors of what it last knew, or the stricter of that and what it has heard of since. Deterministic: one thread at a
+ * time.
  */
-public class Holder {
+public class LeaseHolder {
     /** Questions out, and texts kept. */
-    static final int MOST_ASKED = 16;
+    static final int MAX_OPEN_REQUESTS = 16;
 
-    static final int MOST_TEXTS = 4;
+    static final int MAX_TEXTS = 4;
     /** A question that is not answered by then goes to another voter. */
-    static final long PATIENCE_US = 200_000;
+    static final long ANSWER_TIMEOUT_US = 200_000;
     /** Renewals in a lease, so that three lost ones are no fault. */
     private static final int RENEWALS = 4;
     /** Pieces asked for at once. */
@@ -40,23 +41,23 @@
     }
 
     /** What it acts on at a moment. */
-    public record Acting(long version, Mode mode, Rules rules) {}
+    public record EffectiveRules(long version, Mode mode, Rules rules) {}
 
     /** What the process does for this module. */
     public interface Actions {
         /** Sends to a voter; it may get lost. */
-        void send(String voter, Talk talk);
+        void send(String voter, RulesMessage talk);
 
         /** What it acts on is another from now on; {@code why} in words. */
-        void acts(long nowUs, Acting acting, String why);
+        void effectiveRulesChanged(long nowUs, EffectiveRules acting, String why);
 
         /** A version that came whole: to be kept for the next start. */
-        void keep(long version, String text);
+        void storeVersion(long version, String text);
 
         void count(String what);
 
         /** Something that an operator should read. */
-        void say(String line);
+        void log(String line);
     }
 
     /** A text as it comes, and the rules that it loads to. */
@@ -72,10 +73,10 @@
         }
     }
 
-    private static final Acting NOTHING = new Acting(0, Mode.NONE, Rules.NONE);
+    private static final EffectiveRules NOTHING = new EffectiveRules(0, Mode.NONE, Rules.NONE);
 
     private final long life;
-    private final Promise promise;
+    private final LeaseTiming promise;
     private final List<String> voters;
     private final Function<String, Rules> loader;
     private final SplittableRandom random;
@@ -85,7 +86,7 @@
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<Long, Long> eldest) {
-            return size() > MOST_ASKED;
+            return size() > MAX_OPEN_REQUESTS;
         }
     };
     private final TreeMap<Long, Text> texts = new TreeMap<>();
@@ -99,10 +100,10 @@
     private long comingVersion;
 
     private long comingUntilUs;
-    private Acting told = NOTHING;
+    private EffectiveRules told = NOTHING;
     private long toldSinceUs;
     private long nextAskUs;
-    private long answeredUs;
+    private long lastAnswerUs;
     private long lastAskUs = Long.MIN_VALUE / 2;
 
     /**
@@ -111,11 +112,11 @@
      * @param life a random number, another at each start
      * @param loader what a text rules; throws an IllegalArgumentException of one line
      */
-    public Holder(
+    public LeaseHolder(
             long nowUs,
             long life,
             List<String> voters,
-            Promise promise,
+            LeaseTiming promise,
             long seed,
             Function<String, Rules> loader,
             Actions act) {
@@ -126,12 +127,12 @@
         this.random = new SplittableRandom(seed);
         this.act = act;
         this.nextAskUs = nowUs;
-        this.answeredUs = nowUs;
+        this.lastAnswerUs = nowUs;
         this.toldSinceUs = nowUs;
     }
 
     /** What an earlier life kept: its floors are acted on until a lease comes. */
-    public void recall(long nowUs, long version, String text) {
+    public void restore(long nowUs, long version, String text) {
         Text kept = kept(version);
         load(version, kept, text);
         if (kept.rules != null) {
@@ -143,8 +144,8 @@
     // ---- What a decision asks ----
 
     /** What may be acted on at a time, the turn's; costs a comparison. */
-    public Acting acting(long nowUs) {
-        if (leaseRuns(nowUs)) {
+    public EffectiveRules effectiveRules(long nowUs) {
+        if (isLeaseValid(nowUs)) {
             if (told.mode() != Mode.LEASED || told.version() != leasedVersion) {
                 tell(nowUs, "a lease");
             }
@@ -154,7 +155,7 @@
         return told;
     }
 
-    protected boolean leaseRuns(long nowUs) {
+    protected boolean isLeaseValid(long nowUs) {
         return nowUs < leasedUntilUs;
     }
 
@@ -165,12 +166,12 @@
     }
 
     /** Since when it acts on what it acts on. */
-    public long sinceUs() {
+    public long effectiveSinceUs() {
         return toldSinceUs;
     }
 
     /** The version that the leader last said is acted on, and the one that waits. */
-    public long[] heard() {
+    public long[] knownVersions() {
         return new long[] {active, waiting};
     }
 
@@ -179,28 +180,28 @@
     }
 
     /** When the last answer of a leader came. */
-    public long answeredUs() {
-        return answeredUs;
+    public long lastAnswerUs() {
+        return lastAnswerUs;
     }
 
     private void tell(long nowUs, String why) {
         Text text = texts.get(leasedVersion);
-        Acting now = NOTHING;
+        EffectiveRules now = NOTHING;
         if (text != null && text.rules != null) {
-            if (leaseRuns(nowUs)) {
-                now = new Acting(leasedVersion, Mode.LEASED, text.rules);
+            if (isLeaseValid(nowUs)) {
+                now = new EffectiveRules(leasedVersion, Mode.LEASED, text.rules);
             } else {
                 Rules rules = text.rules;
                 for (Text later : texts.tailMap(leasedVersion, false).values()) {
-                    rules = later.rules == null ? rules : rules.stricter(later.rules);
+                    rules = later.rules == null ? rules : rules.restrictedBy(later.rules);
                 }
-                now = new Acting(leasedVersion, Mode.FALLBACK, rules.fallback());
+                now = new EffectiveRules(leasedVersion, Mode.FALLBACK, rules.toFallback());
             }
         }
         if (!now.equals(told)) {
             told = now;
             toldSinceUs = nowUs;
-            act.acts(nowUs, now, why);
+            act.effectiveRulesChanged(nowUs, now, why);
         }
     }
 
@@ -208,8 +209,8 @@
 
     /** What is due by now; to be called some ten times a lease's quarter, and as often as it likes. */
     public void tick(long nowUs) {
-        acting(nowUs);
-        boolean unanswered = lastAskUs > answeredUs && nowUs - lastAskUs >= PATIENCE_US;
+        effectiveRules(nowUs);
+        boolean unanswered = lastAskUs > lastAnswerUs && nowUs - lastAskUs >= ANSWER_TIMEOUT_US;
         if (unanswered) {
             leader = "";
         }
@@ -217,7 +218,7 @@
             ask(nowUs);
         }
         for (long version : new long[] {active, waiting}) {
-            if (version > 0 && !kept(version).whole() && nowUs - kept(version).askedUs >= PATIENCE_US) {
+            if (version > 0 && !kept(version).whole() && nowUs - kept(version).askedUs >= ANSWER_TIMEOUT_US) {
                 fetch(nowUs, version, "");
             }
         }
@@ -231,11 +232,11 @@
         Text next = texts.get(waiting);
         act.send(
                 someVoter(),
-                new Renew(
+                new LeaseRequest(
                         nonce,
                         life,
                         told.mode() == Mode.LEASED ? told.version() : 0,
-                        prepared(),
+                        preparedVersion(),
                         waiting == 0 || next == null ? "" : next.fault));
     }
 
@@ -244,7 +245,7 @@
     }
 
     /** The newest version that it has whole and could load. */
-    public long prepared() {
+    public long preparedVersion() {
         for (Map.Entry<Long, Text> entry : texts.descendingMap().entrySet()) {
             if (entry.getValue().rules != null) {
                 return entry.getKey();
@@ -255,31 +256,31 @@
 
     // ---- Messages ----
 
-    public void receive(long nowUs, String from, Talk talk) {
-        if (talk instanceof Grant grant) {
+    public void receive(long nowUs, String from, RulesMessage talk) {
+        if (talk instanceof LeaseAnswer grant) {
             granted(nowUs, from, grant);
-        } else if (talk instanceof Elsewhere elsewhere) {
+        } else if (talk instanceof NotLeader elsewhere) {
             if (asked.remove(elsewhere.nonce()) != null) {
-                answeredUs = nowUs;
+                lastAnswerUs = nowUs;
                 // It may be a voter that was added since this process read its file.
                 boolean known =
                         !elsewhere.leader().isEmpty() && !elsewhere.leader().equals(from);
                 leader = known ? elsewhere.leader() : "";
-                nextAskUs = Math.min(nextAskUs, nowUs + (known ? 0 : PATIENCE_US / 2));
+                nextAskUs = Math.min(nextAskUs, nowUs + (known ? 0 : ANSWER_TIMEOUT_US / 2));
             }
-        } else if (talk instanceof Hint hint) {
+        } else if (talk instanceof VersionsChanged hint) {
             // Also one that tells nothing new is answered: the leader gives them to those of whom it thinks they are
             // behind.
-            if (hint.active() >= active && (hint.waiting() >= waiting || hint.waiting() == 0)) {
+            if (hint.activeVersion() >= active && (hint.pendingVersion() >= waiting || hint.pendingVersion() == 0)) {
                 leader = from;
-                heardOf(nowUs, hint.active(), hint.waiting());
+                heardOf(nowUs, hint.activeVersion(), hint.pendingVersion());
                 if (!kept(Math.max(active, waiting)).whole()) {
                     fetch(nowUs, Math.max(active, waiting), from);
                 }
                 nextAskUs = Math.min(nextAskUs, nowUs);
                 tick(nowUs);
             }
-        } else if (talk instanceof Piece piece) {
+        } else if (talk instanceof TextPiece piece) {
             pieceCame(nowUs, from, piece);
         }
     }
@@ -292,21 +293,21 @@
         }
     }
 
-    private void granted(long nowUs, String from, Grant grant) {
+    private void granted(long nowUs, String from, LeaseAnswer grant) {
         Long askedUs = asked.remove(grant.nonce());
         if (askedUs == null) {
             act.count("rules.refused.late");
             return;
         }
-        answeredUs = nowUs;
+        lastAnswerUs = nowUs;
         leader = from;
-        heardOf(nowUs, grant.active(), grant.waiting());
-        if (grant.lease() && grant.active() >= leasedVersion && grant.active() >= active) {
-            long untilUs = leaseEnd(nowUs, askedUs);
-            if (texts.containsKey(grant.active()) && texts.get(grant.active()).rules != null) {
-                lease(nowUs, grant.active(), untilUs);
+        heardOf(nowUs, grant.activeVersion(), grant.pendingVersion());
+        if (grant.granted() && grant.activeVersion() >= leasedVersion && grant.activeVersion() >= active) {
+            long untilUs = leaseEndUs(nowUs, askedUs);
+            if (texts.containsKey(grant.activeVersion()) && texts.get(grant.activeVersion()).rules != null) {
+                lease(nowUs, grant.activeVersion(), untilUs);
             } else {
-                comingVersion = grant.active();
+                comingVersion = grant.activeVersion();
                 comingUntilUs = untilUs;
             }
         }
@@ -318,7 +319,7 @@
     }
 
     /** Until when a lease runs: counted from the asking, since the answer may have been under way for any time. */
-    protected long leaseEnd(long nowUs, long askedUs) {
+    protected long leaseEndUs(long nowUs, long askedUs) {
         return askedUs + promise.leaseUs();
     }
 
@@ -327,7 +328,7 @@
         boolean other = version != leasedVersion;
         leasedVersion = version;
         texts.headMap(version, false).clear();
-        if (leaseRuns(nowUs) && (other || told.mode() != Mode.LEASED)) {
+        if (isLeaseValid(nowUs) && (other || told.mode() != Mode.LEASED)) {
             tell(nowUs, "a lease");
             // Said at once: the next version waits until all act on this one.
             nextAskUs = nowUs;
@@ -338,7 +339,7 @@
 
     private Text kept(long version) {
         Text text = texts.computeIfAbsent(version, v -> new Text());
-        while (texts.size() > MOST_TEXTS) {
+        while (texts.size() > MAX_TEXTS) {
             Long eldest = texts.firstKey() == leasedVersion ? texts.higherKey(leasedVersion) : texts.firstKey();
             texts.remove(eldest);
         }
@@ -352,25 +353,25 @@
         for (int i = 0; i < Math.max(1, text.pieces.length) && missing < AHEAD; i++) {
             if (text.pieces.length == 0 || text.pieces[i] == null) {
                 missing++;
-                act.send(from.isEmpty() ? someVoter() : from, new Fetch(random.nextLong(), version, i));
+                act.send(from.isEmpty() ? someVoter() : from, new FetchPiece(random.nextLong(), version, i));
             }
         }
     }
 
-    private void pieceCame(long nowUs, String from, Piece piece) {
+    private void pieceCame(long nowUs, String from, TextPiece piece) {
         Text text = texts.get(piece.version());
         if (text == null
                 || text.whole()
-                || piece.of() < 1
-                || piece.of() > Command.MOST_PIECES
-                || piece.piece() < 0
-                || piece.piece() >= piece.of()) {
+                || piece.pieceCount() < 1
+                || piece.pieceCount() > RegistryCommand.MAX_PIECES
+                || piece.pieceIndex() < 0
+                || piece.pieceIndex() >= piece.pieceCount()) {
             return;
         }
-        if (text.pieces.length != piece.of()) {
-            text.pieces = new String[piece.of()];
+        if (text.pieces.length != piece.pieceCount()) {
+            text.pieces = new String[piece.pieceCount()];
         }
-        text.pieces[piece.piece()] = piece.text();
+        text.pieces[piece.pieceIndex()] = piece.text();
         for (String part : text.pieces) {
             if (part == null) {
                 fetch(nowUs, piece.version(), from);
@@ -379,9 +380,9 @@
         }
         load(piece.version(), text, String.join("", text.pieces));
         if (!text.fault.isEmpty()) {
-            act.say("version " + piece.version() + " can't be loaded: " + text.fault);
+            act.log("version " + piece.version() + " can't be loaded: " + text.fault);
         } else {
-            act.keep(piece.version(), String.join("", text.pieces));
+            act.storeVersion(piece.version(), String.join("", text.pieces));
         }
         if (comingVersion == piece.version() && text.rules != null && comingVersion >= active) {
             lease(nowUs, comingVersion, comingUntilUs);
@@ -397,7 +398,7 @@
             text.rules = loader.apply(whole);
         } catch (IllegalArgumentException e) {
             String line = String.valueOf(e.getMessage());
-            text.fault = line.substring(0, Math.min(line.length(), Talk.MOST_LINE));
+            text.fault = line.substring(0, Math.min(line.length(), RulesMessage.MAX_LINE_CHARS));
         }
     }
 
--- a/src/main/java/petrelstand/agreement/LimitGate.java
+++ b/src/main/java/petrelstand/agreement/PlanLimiter.java
@@ -10,12 +10,12 @@
  * over in proportion and never above the new size, so that no second is counted twice. Asked before the decision
  * module, never in its place.
  */
-public final class LimitGate {
+public final class PlanLimiter {
     /** The largest request; a store holds that much at least, or a small part could never be used. */
     private final double mostUnits;
 
     private final List<String> plans;
-    private final Holder holder;
+    private final LeaseHolder holder;
     private final Map<String, Store> stores = new HashMap<>();
 
     private static final class Store {
@@ -26,15 +26,15 @@
     }
 
     /** For the plans as the settings order them. */
-    public LimitGate(Holder holder, List<String> plans, double mostUnits) {
+    public PlanLimiter(LeaseHolder holder, List<String> plans, double mostUnits) {
         this.holder = holder;
         this.plans = List.copyOf(plans);
         this.mostUnits = mostUnits;
     }
 
     /** Takes a request's units; 0 where they were there, else after how many µs they will be. */
-    public long take(long nowUs, int plan, double units) {
-        Holder.Acting acting = holder.acting(nowUs);
+    public long takeOrDelayUs(long nowUs, int plan, double units) {
+        LeaseHolder.EffectiveRules acting = holder.effectiveRules(nowUs);
         String name = plans.get(plan);
         Rules.Limit limit = acting.rules().limits().get(name);
         if (limit == null) {
--- a/src/main/java/petrelstand/agreement/RuleBook.java
+++ b/src/main/java/petrelstand/agreement/RuleRegistry.java
@@ -11,19 +11,19 @@
 
 /**
  * The versions that are agreed on: the state that the voters' log leads to, the same at each voter after the same
- * commands. At most one version waits beside the one that is acted on. Bounded: {@link #KEPT} versions,
- * {@link #MOST_PROPOSALS} proposals under way, {@link #MOST_NAMES} gateways.
+ * commands. At most one version waits beside the one that is acted on. Bounded: {@link #MAX_VERSIONS} versions,
+ * {@link #MAX_PROPOSALS} proposals under way, {@link #MAX_GATEWAYS} gateways.
  */
-public final class RuleBook {
+public final class RuleRegistry {
     /** Versions kept with their texts. */
-    public static final int KEPT = 16;
+    public static final int MAX_VERSIONS = 16;
     /** A version's number is its epoch times this, and its place in the epoch. */
-    public static final long EPOCH = 1_000_000;
+    public static final long VERSIONS_PER_EPOCH = 1_000_000;
     /** Of an epoch's number the part that is drawn. */
-    public static final int TAGS = 1000;
+    public static final int TAGS_PER_EPOCH_NUMBER = 1000;
 
-    static final int MOST_PROPOSALS = 4;
-    static final int MOST_NAMES = 1024;
+    static final int MAX_PROPOSALS = 4;
+    static final int MAX_GATEWAYS = 1024;
 
     /** What a version is. */
     public enum State {
@@ -37,30 +37,30 @@
     public record Version(
             long number,
             long base,
-            String who,
-            String why,
+            String author,
+            String reason,
             long wallMs,
             State state,
-            List<Command.Figure> figures,
+            List<RegistryCommand.PlanLimit> limits,
             String text) {
         public Version {
-            figures = List.copyOf(figures);
+            limits = List.copyOf(limits);
         }
 
-        Version as(State changed) {
-            return new Version(number, base, who, why, wallMs, changed, figures, text);
+        Version withState(State changed) {
+            return new Version(number, base, author, reason, wallMs, changed, limits, text);
         }
     }
 
     /** The answer to a command: the version that it made, or the one line why not. */
-    public record Result(long version, String fault) {}
+    public record Result(long version, String error) {}
 
     private final TreeMap<Long, Version> versions = new TreeMap<>();
     private final LinkedHashMap<Long, String[]> proposals = new LinkedHashMap<>();
-    private final TreeSet<String> names = new TreeSet<>();
-    private final TreeMap<String, Long> marks = new TreeMap<>();
+    private final TreeSet<String> gatewayNames = new TreeSet<>();
+    private final TreeMap<String, Long> reservedFloors = new TreeMap<>();
     private long active;
-    private long waiting;
+    private long pending;
     private long newest;
 
     /** The version that is acted on; 0 where there is none yet. */
@@ -70,12 +70,12 @@
 
     /** The epoch of a version: another one after each recovery by the operator. */
     public static long epoch(long version) {
-        return version / EPOCH;
+        return version / VERSIONS_PER_EPOCH;
     }
 
     /** The version that waits until all that act on the one before have confirmed it; 0 where none does. */
-    public long waiting() {
-        return waiting;
+    public long pending() {
+        return pending;
     }
 
     /** The highest number given; a proposal's base. */
@@ -89,79 +89,83 @@
     }
 
     /** Gateways that may act on some version, or on the floors of one. */
-    public java.util.Set<String> names() {
-        return Collections.unmodifiableSet(names);
+    public java.util.Set<String> gatewayNames() {
+        return Collections.unmodifiableSet(gatewayNames);
     }
 
     /** By plan, the highest floor that a gateway which is cut off may still act on. */
-    public Map<String, Long> marks() {
-        return Collections.unmodifiableMap(marks);
+    public Map<String, Long> reservedFloors() {
+        return Collections.unmodifiableMap(reservedFloors);
     }
 
     /** Applies a command. */
-    public Result apply(Command command) {
-        if (command instanceof Command.Part part) {
+    public Result apply(RegistryCommand command) {
+        if (command instanceof RegistryCommand.AddPiece part) {
             return part(part);
-        } else if (command instanceof Command.Propose propose) {
+        } else if (command instanceof RegistryCommand.Propose propose) {
             return propose(propose);
-        } else if (command instanceof Command.Activate activate) {
+        } else if (command instanceof RegistryCommand.Activate activate) {
             return activate(activate);
-        } else if (command instanceof Command.Withdraw withdraw) {
+        } else if (command instanceof RegistryCommand.Withdraw withdraw) {
             return withdraw(withdraw);
-        } else if (command instanceof Command.Register register) {
-            return names.contains(register.name()) || names.size() < MOST_NAMES && names.add(register.name())
+        } else if (command instanceof RegistryCommand.RegisterGateway register) {
+            return gatewayNames.contains(register.name())
+                            || gatewayNames.size() < MAX_GATEWAYS && gatewayNames.add(register.name())
                     ? new Result(newest, "")
-                    : new Result(newest, "no room for more than " + MOST_NAMES + " gateways");
-        } else if (command instanceof Command.Forget forget) {
-            return names.remove(forget.name())
+                    : new Result(newest, "no room for more than " + MAX_GATEWAYS + " gateways");
+        } else if (command instanceof RegistryCommand.ForgetGateway forget) {
+            return gatewayNames.remove(forget.name())
                     ? new Result(newest, "")
                     : new Result(newest, forget.name() + " is not known");
         }
         return new Result(newest, "");
     }
 
-    private Result part(Command.Part part) {
-        if (part.of() < 1 || part.of() > Command.MOST_PIECES || part.piece() < 0 || part.piece() >= part.of()) {
-            return new Result(newest, "a text of more than " + Command.MOST_TEXT + " characters");
+    private Result part(RegistryCommand.AddPiece part) {
+        if (part.pieceCount() < 1
+                || part.pieceCount() > RegistryCommand.MAX_PIECES
+                || part.pieceIndex() < 0
+                || part.pieceIndex() >= part.pieceCount()) {
+            return new Result(newest, "a text of more than " + RegistryCommand.MAX_TEXT_CHARS + " characters");
         }
-        String[] pieces = proposals.get(part.proposal());
-        if (pieces == null || pieces.length != part.of()) {
-            pieces = new String[part.of()];
-            proposals.remove(part.proposal());
-            if (proposals.size() >= MOST_PROPOSALS) {
+        String[] pieces = proposals.get(part.proposalId());
+        if (pieces == null || pieces.length != part.pieceCount()) {
+            pieces = new String[part.pieceCount()];
+            proposals.remove(part.proposalId());
+            if (proposals.size() >= MAX_PROPOSALS) {
                 proposals.remove(proposals.keySet().iterator().next());
             }
-            proposals.put(part.proposal(), pieces);
+            proposals.put(part.proposalId(), pieces);
         }
-        pieces[part.piece()] = part.text();
+        pieces[part.pieceIndex()] = part.text();
         return new Result(newest, "");
     }
 
-    private Result propose(Command.Propose propose) {
+    private Result propose(RegistryCommand.Propose propose) {
         for (Version version : versions.values()) {
             // The answer was lost, and the proposer asks again.
             if (version.wallMs() == propose.wallMs()
-                    && version.who().equals(propose.who())
+                    && version.author().equals(propose.author())
                     && version.base() == propose.base()
-                    && version.why().equals(propose.why())) {
-                proposals.remove(propose.proposal());
+                    && version.reason().equals(propose.reason())) {
+                proposals.remove(propose.proposalId());
                 return new Result(version.number(), "");
             }
         }
-        String[] pieces = proposals.get(propose.proposal());
+        String[] pieces = proposals.get(propose.proposalId());
         if (pieces == null
-                || pieces.length != propose.pieces()
+                || pieces.length != propose.pieceCount()
                 || Arrays.asList(pieces).contains(null)) {
             return new Result(newest, "the text did not come whole; propose it again");
         }
         if (propose.base() != newest) {
             return new Result(newest, "it is based on version " + propose.base() + ", and the newest is " + newest);
         }
-        if (waiting != 0) {
-            return new Result(newest, "version " + waiting + " is still on its way; wait, or withdraw it");
+        if (pending != 0) {
+            return new Result(newest, "version " + pending + " is still on its way; wait, or withdraw it");
         }
-        for (Command.Figure figure : propose.figures()) {
-            long mark = marks.getOrDefault(figure.plan(), 0L);
+        for (RegistryCommand.PlanLimit figure : propose.limits()) {
+            long mark = reservedFloors.getOrDefault(figure.plan(), 0L);
             if (figure.units() < mark) {
                 return new Result(
                         newest,
@@ -169,49 +173,49 @@
                                 + ", the floor that gateways which are cut off may act on; lower the floor first");
             }
         }
-        proposals.remove(propose.proposal());
-        waiting = ++newest;
+        proposals.remove(propose.proposalId());
+        pending = ++newest;
         versions.put(
-                waiting,
+                pending,
                 new Version(
-                        waiting,
+                        pending,
                         propose.base(),
-                        propose.who(),
-                        propose.why(),
+                        propose.author(),
+                        propose.reason(),
                         propose.wallMs(),
                         State.WAITS,
-                        propose.figures(),
+                        propose.limits(),
                         String.join("", pieces)));
-        while (versions.size() > KEPT) {
+        while (versions.size() > MAX_VERSIONS) {
             versions.remove(versions.keySet().stream()
-                    .filter(v -> v != active && v != waiting)
+                    .filter(v -> v != active && v != pending)
                     .findFirst()
                     .orElseThrow());
         }
-        return new Result(waiting, "");
+        return new Result(pending, "");
     }
 
-    private Result activate(Command.Activate activate) {
-        if (activate.version() != waiting || waiting == 0) {
+    private Result activate(RegistryCommand.Activate activate) {
+        if (activate.version() != pending || pending == 0) {
             return new Result(active, "version " + activate.version() + " does not wait");
         }
         if (active != 0) {
-            versions.computeIfPresent(active, (n, v) -> v.as(State.PAST));
+            versions.computeIfPresent(active, (n, v) -> v.withState(State.PAST));
         }
-        active = waiting;
-        waiting = 0;
-        Version now = versions.get(active).as(State.ACTED_ON);
+        active = pending;
+        pending = 0;
+        Version now = versions.get(active).withState(State.ACTED_ON);
         versions.put(active, now);
         // Whoever has not confirmed this version may be cut off, and act on the floors of any before.
-        if (activate.allOf() != 0 && activate.allOf() == print(names)) {
-            marks.clear();
+        if (activate.confirmedNamesHash() != 0 && activate.confirmedNamesHash() == hash(gatewayNames)) {
+            reservedFloors.clear();
         }
-        now.figures().forEach(figure -> marks.merge(figure.plan(), figure.floor(), Math::max));
+        now.limits().forEach(figure -> reservedFloors.merge(figure.plan(), figure.floor(), Math::max));
         return new Result(active, "");
     }
 
     /** A number of a set of names, never 0. */
-    static long print(java.util.SortedSet<String> of) {
+    static long hash(java.util.SortedSet<String> of) {
         long print = 1;
         for (String name : of) {
             for (int i = 0; i < name.length(); i++) {
@@ -222,67 +226,67 @@
         return print | 1L << 62;
     }
 
-    long namesPrint() {
-        return print(names);
+    long gatewayNamesHash() {
+        return hash(gatewayNames);
     }
 
-    private Result withdraw(Command.Withdraw withdraw) {
-        if (withdraw.version() != waiting || waiting == 0) {
+    private Result withdraw(RegistryCommand.Withdraw withdraw) {
+        if (withdraw.version() != pending || pending == 0) {
             return new Result(newest, "version " + withdraw.version() + " does not wait");
         }
-        Version old = versions.get(waiting);
+        Version old = versions.get(pending);
         versions.put(
-                waiting,
+                pending,
                 new Version(
                         old.number(),
                         old.base(),
-                        old.who(),
-                        old.why() + "; withdrawn by " + withdraw.who() + ": " + withdraw.why(),
+                        old.author(),
+                        old.reason() + "; withdrawn by " + withdraw.author() + ": " + withdraw.reason(),
                         old.wallMs(),
                         State.WITHDRAWN,
-                        old.figures(),
+                        old.limits(),
                         old.text()));
-        waiting = 0;
+        pending = 0;
         return new Result(newest, "");
     }
 
     // ---- Whole, for snapshots ----
 
     /** Everything, as a value that another book can begin with. */
-    public record Whole(
+    public record Snapshot(
             long active,
-            long waiting,
+            long pending,
             long newest,
             List<Version> versions,
-            List<String> names,
-            Map<String, Long> marks,
+            List<String> gatewayNames,
+            Map<String, Long> reservedFloors,
             Map<Long, List<String>> proposals) {}
 
-    public Whole whole() {
+    public Snapshot snapshot() {
         Map<Long, List<String>> under = new LinkedHashMap<>();
         proposals.forEach((id, pieces) -> under.put(id, Arrays.asList(pieces.clone())));
-        return new Whole(
+        return new Snapshot(
                 active,
-                waiting,
+                pending,
                 newest,
                 new ArrayList<>(versions.values()),
-                new ArrayList<>(names),
-                new TreeMap<>(marks),
+                new ArrayList<>(gatewayNames),
+                new TreeMap<>(reservedFloors),
                 under);
     }
 
     /** Takes another book's state in the place of this one's. */
-    public void become(Whole whole) {
+    public void restore(Snapshot whole) {
         versions.clear();
         whole.versions().forEach(version -> versions.put(version.number(), version));
-        names.clear();
-        names.addAll(whole.names());
-        marks.clear();
-        marks.putAll(whole.marks());
+        gatewayNames.clear();
+        gatewayNames.addAll(whole.gatewayNames());
+        reservedFloors.clear();
+        reservedFloors.putAll(whole.reservedFloors());
         proposals.clear();
         whole.proposals().forEach((id, pieces) -> proposals.put(id, pieces.toArray(new String[0])));
         active = whole.active();
-        waiting = whole.waiting();
+        pending = whole.pending();
         newest = whole.newest();
     }
 }
--- a/src/main/java/petrelstand/agreement/Rules.java
+++ b/src/main/java/petrelstand/agreement/Rules.java
@@ -60,14 +60,14 @@
      * What may be acted on without a lease: each limit is its floor, what is open stays open and nothing opens, no node
      * is dropped.
      */
-    public Rules fallback() {
+    public Rules toFallback() {
         Map<String, Limit> floors = new TreeMap<>();
         limits.forEach((plan, limit) -> floors.put(plan, new Limit(limit.floor(), limit.floor())));
         return new Rules(gateways, floors, modules, nodes, switches);
     }
 
     /** The stricter of two in each place: the lower limit, open only where both are, nodes that both list. */
-    public Rules stricter(Rules other) {
+    public Rules restrictedBy(Rules other) {
         Map<String, Limit> less = new TreeMap<>(limits);
         other.limits.forEach((plan, limit) -> less.merge(
                 plan, limit, (a, b) -> new Limit(Math.min(a.units(), b.units()), Math.min(a.floor(), b.floor()))));
@@ -90,7 +90,7 @@
     }
 
     /** Where two sets contradict each other, a line each. */
-    public List<String> contradictions(Rules other) {
+    public List<String> conflictsWith(Rules other) {
         List<String> found = new ArrayList<>();
         for (String plan : keys(limits, other.limits)) {
             Limit a = limits.get(plan);
--- a/src/main/java/petrelstand/agreement/Proposer.java
+++ b/src/main/java/petrelstand/agreement/RulesFileProposer.java
@@ -9,7 +9,7 @@
  * neither the one that the file was last in step with nor the file's own text, nothing is overwritten: a line says so.
  * Deterministic.
  */
-public final class Proposer {
+public final class RulesFileProposer {
     static final long AGAIN_US = 200_000;
     /** Without an answer for so long a proposal is given up. */
     static final long PATIENCE_US = 30_000_000;
@@ -19,14 +19,14 @@
     /** What the process does for this module. */
     public interface Actions {
         /** Sends to a voter, or to whoever leads where the name is empty. */
-        void send(String voter, Talk talk);
+        void send(String voter, RulesMessage talk);
 
-        void say(String line);
+        void log(String line);
     }
 
     private final String who;
     private final String why;
-    private final Holder holder;
+    private final LeaseHolder holder;
     private final SplittableRandom random;
     private final Actions act;
     private String text;
@@ -39,7 +39,7 @@
     private long askedUs;
 
     /** For a file; {@code why} is kept with each version. */
-    public Proposer(String who, String why, Holder holder, long seed, Actions act) {
+    public RulesFileProposer(String who, String why, LeaseHolder holder, long seed, Actions act) {
         this.who = who;
         this.why = why;
         this.holder = holder;
@@ -48,9 +48,9 @@
     }
 
     /** The file has another text, one that loads; {@code wallMs} is told to people. */
-    public void changed(long nowUs, String to, long wall) {
+    public void fileChanged(long nowUs, String to, long wall) {
         text = to;
-        pieces = Command.pieces(to);
+        pieces = RegistryCommand.splitIntoPieces(to);
         id = random.nextLong();
         base = newest();
         next = 0;
@@ -60,11 +60,11 @@
     }
 
     private long newest() {
-        return Math.max(holder.heard()[0], holder.heard()[1]);
+        return Math.max(holder.knownVersions()[0], holder.knownVersions()[1]);
     }
 
     /** Whether a text is on its way. */
-    public boolean busy() {
+    public boolean hasPendingProposal() {
         return text != null;
     }
 
@@ -75,14 +75,14 @@
         }
         long newest = newest();
         if (text.equals(holder.text(newest))) {
-            act.say("the file's rules are version " + newest);
+            act.log("the file's rules are version " + newest);
             text = null;
         } else if (nowUs - beginUs >= PATIENCE_US) {
-            act.say("nobody who leads took the file's rules in " + PATIENCE_US / 1_000_000
+            act.log("nobody who leads took the file's rules in " + PATIENCE_US / 1_000_000
                     + " s; change the file again, or use 'rules propose'");
             text = null;
         } else if (newest != base && holder.text(newest) != null) {
-            act.say("the file was changed on version " + base + ", and the newest is " + newest
+            act.log("the file was changed on version " + base + ", and the newest is " + newest
                     + " with another text: not proposed; look with 'rules diff', then use 'rules propose'");
             text = null;
         } else if (nowUs - askedUs >= AGAIN_US) {
@@ -92,22 +92,24 @@
 
     private void ask(long nowUs) {
         askedUs = nowUs;
-        act.send(holder.leader(), new Talk.Offer(id, base, who, why, wallMs, next, pieces.size(), pieces.get(next)));
+        act.send(
+                holder.leader(),
+                new RulesMessage.ProposalPiece(id, base, who, why, wallMs, next, pieces.size(), pieces.get(next)));
     }
 
     /** An answer to an offer, this one's or another's. */
-    public void receive(long nowUs, Talk.Taken taken) {
+    public void receive(long nowUs, RulesMessage.RequestAnswer taken) {
         if (text == null || taken.id() != id) {
             return;
         }
-        if (taken.next() >= 0) {
-            next = Math.min(taken.next(), pieces.size() - 1);
+        if (taken.nextPiece() >= 0) {
+            next = Math.min(taken.nextPiece(), pieces.size() - 1);
             ask(nowUs);
-        } else if (taken.fault().isEmpty()) {
-            act.say("the file's rules were proposed and are version " + taken.version());
+        } else if (taken.error().isEmpty()) {
+            act.log("the file's rules were proposed and are version " + taken.version());
             text = null;
-        } else if (!taken.fault().startsWith("it is based on") && !taken.fault().contains("still on its way")) {
-            act.say("the file's rules were refused: " + taken.fault());
+        } else if (!taken.error().startsWith("it is based on") && !taken.error().contains("still on its way")) {
+            act.log("the file's rules were refused: " + taken.error());
             text = null;
         }
         // Else another was faster: its text will come, and tells whether it is the same.
--- a/src/main/java/petrelstand/agreement/OldCopy.java
+++ b/src/main/java/petrelstand/agreement/StaleFolderCheck.java
@@ -9,7 +9,7 @@
  * many of them have answered that any majority with one of its votes in it has, or once the patience is over, with
  * whoever answered; never where one of them has heard it further on. Deterministic.
  */
-public final class OldCopy {
+public final class StaleFolderCheck {
     /** What is to be done. */
     public enum Verdict {
         WAIT,
@@ -20,7 +20,7 @@
     private final int voters;
     private final long generation;
     private final long untilUs;
-    private final Map<String, Long> heard = new HashMap<>();
+    private final Map<String, Long> recordAnswer = new HashMap<>();
 
     /**
      * A voter that starts.
@@ -29,35 +29,37 @@
      * @param generation how often its folder says that it was written
      * @param patienceUs how long it waits for the others
      */
-    public OldCopy(long nowUs, int voters, long generation, long patienceUs) {
+    public StaleFolderCheck(long nowUs, int voters, long generation, long patienceUs) {
         this.voters = voters;
         this.generation = generation;
         this.untilUs = nowUs + patienceUs;
     }
 
     /** Another voter has heard this one with a generation, 0 where never. */
-    public void heard(String voter, long of) {
-        heard.merge(voter, of, Math::max);
+    public void recordAnswer(String voter, long of) {
+        recordAnswer.merge(voter, of, Math::max);
     }
 
     /** The others whose answers are enough: all but those that a majority can do without. */
-    public int wanted() {
+    public int requiredAnswers() {
         return voters - (voters / 2 + 1) + 1;
     }
 
     public Verdict verdict(long nowUs) {
-        if (heard.values().stream().anyMatch(of -> of > generation)) {
+        if (recordAnswer.values().stream().anyMatch(of -> of > generation)) {
             return Verdict.REFUSE;
         }
-        return heard.size() >= Math.min(wanted(), voters - 1) || nowUs >= untilUs ? Verdict.VOTE : Verdict.WAIT;
+        return recordAnswer.size() >= Math.min(requiredAnswers(), voters - 1) || nowUs >= untilUs
+                ? Verdict.VOTE
+                : Verdict.WAIT;
     }
 
     /** The highest generation that another has heard, and how many have answered. */
-    public long highest() {
-        return heard.values().stream().mapToLong(Long::longValue).max().orElse(0);
+    public long highestGeneration() {
+        return recordAnswer.values().stream().mapToLong(Long::longValue).max().orElse(0);
     }
 
-    public int answers() {
-        return heard.size();
+    public int answerCount() {
+        return recordAnswer.size();
     }
 }
--- a/src/main/java/petrelstand/cli/LabFaults.java
+++ b/src/main/java/petrelstand/cli/LabFaults.java
@@ -8,7 +8,7 @@
 import java.util.Collections;
 import java.util.List;
 import java.util.concurrent.Callable;
-import petrelstand.agreement.Promise;
+import petrelstand.agreement.LeaseTiming;
 import petrelstand.lab.check.HistoryCheck;
 import petrelstand.lab.check.RulesCheck;
 import petrelstand.lab.check.Verdict;
@@ -230,7 +230,7 @@
         List<Long> contradicted = new ArrayList<>();
         long began = System.nanoTime();
         for (long seed = from; seed <= until; seed++) {
-            RulesSim sim = new RulesSim(rules, Math.min(voters, rules), Promise.USUAL, seed, RulesSim.USUAL);
+            RulesSim sim = new RulesSim(rules, Math.min(voters, rules), LeaseTiming.DEFAULT, seed, RulesSim.USUAL);
             FleetPlan plan = FleetPlan.draw(rules, seed);
             sim.arm(plan);
             sim.run(5_000_000);
--- a/src/main/java/petrelstand/cli/RulesCommand.java
+++ b/src/main/java/petrelstand/cli/RulesCommand.java
@@ -21,13 +21,13 @@
 import java.util.List;
 import java.util.TreeSet;
 import java.util.concurrent.Callable;
-import petrelstand.agreement.Command;
-import petrelstand.agreement.Talk;
+import petrelstand.agreement.RegistryCommand;
+import petrelstand.agreement.RulesMessage;
 import petrelstand.config.FleetConfig;
 import petrelstand.config.IniFile;
 import petrelstand.config.RulesText;
+import petrelstand.consensus.QuorumRecovery;
 import petrelstand.consensus.RaftFiles;
-import petrelstand.consensus.Recovery;
 import petrelstand.fleet.RulesClient;
 import petrelstand.store.DiskFolder;
 import petrelstand.store.StateFault;
@@ -393,11 +393,11 @@
 
         String who() {
             String name = who == null ? System.getProperty("user.name", "operator") : who;
-            return name.substring(0, Math.min(name.length(), Command.MOST_WHO));
+            return name.substring(0, Math.min(name.length(), RegistryCommand.MAX_AUTHOR_CHARS));
         }
 
         String why() {
-            return why.substring(0, Math.min(why.length(), Command.MOST_WHY));
+            return why.substring(0, Math.min(why.length(), RegistryCommand.MAX_REASON_CHARS));
         }
 
         RulesClient client() throws Fault {
@@ -417,22 +417,22 @@
             }
         }
 
-        int told(Talk.Taken taken, String done) throws Fault {
+        int told(RulesMessage.RequestAnswer taken, String done) throws Fault {
             if (taken == null) {
                 throw new Fault(
                         NO_ANSWER,
                         "nobody who leads answered in " + patienceS
                                 + " s; it may have been taken: look with 'rules history' before you ask again");
             }
-            if (!taken.fault().isEmpty()) {
-                throw new Fault(REFUSED, "refused: " + taken.fault());
+            if (!taken.error().isEmpty()) {
+                throw new Fault(REFUSED, "refused: " + taken.error());
             }
             out().println(done.replace("%", Long.toString(taken.version())));
             return 0;
         }
 
         int propose(long base, String text, boolean await) throws Fault, IOException, InterruptedException {
-            Talk.Taken taken;
+            RulesMessage.RequestAnswer taken;
             try (RulesClient client = client()) {
                 taken = client.propose(base, who(), why(), text, patienceS * 1000);
             }
@@ -648,30 +648,30 @@
                 return REFUSED;
             }
             try (DiskFolder disk = new DiskFolder(folder)) {
-                Recovery recovery = new Recovery(new RaftFiles(disk, out::println));
+                QuorumRecovery recovery = new QuorumRecovery(new RaftFiles(disk, out::println));
                 List<String> others = new ArrayList<>(recovery.voters());
-                others.remove(recovery.name());
-                out.println(folder + " is " + recovery.name() + "'s: acted on is version "
-                        + recovery.book().active()
-                        + ", the newest is " + recovery.book().newest() + "; the other voters are "
+                others.remove(recovery.voterName());
+                out.println(folder + " is " + recovery.voterName() + "'s: acted on is version "
+                        + recovery.registry().active()
+                        + ", the newest is " + recovery.registry().newest() + "; the other voters are "
                         + String.join(",", others)
-                        + "; the word is " + recovery.print());
+                        + "; the word is " + recovery.fingerprint());
                 if (word == null) {
                     out.println("nothing was written");
                     return NOT_ALL;
                 }
-                if (!word.equals(recovery.print()) || !new TreeSet<>(others).equals(new TreeSet<>(givenUp))) {
+                if (!word.equals(recovery.fingerprint()) || !new TreeSet<>(others).equals(new TreeSet<>(givenUp))) {
                     err.println(
                             "not written: --confirm must be the word, and --give-up name the other voters, all of them");
                     return REFUSED;
                 }
                 String name = who == null ? System.getProperty("user.name", "operator") : who;
                 long version = recovery.write(
-                        name.substring(0, Math.min(name.length(), Command.MOST_WHO)),
-                        why.substring(0, Math.min(why.length(), Command.MOST_WHY - 20)),
+                        name.substring(0, Math.min(name.length(), RegistryCommand.MAX_AUTHOR_CHARS)),
+                        why.substring(0, Math.min(why.length(), RegistryCommand.MAX_REASON_CHARS - 20)),
                         System.currentTimeMillis(),
                         new SecureRandom().nextInt());
-                out.println("version " + version + " is the first of a new epoch; start " + recovery.name()
+                out.println("version " + version + " is the first of a new epoch; start " + recovery.voterName()
                         + ", then add the other voters with empty folders");
                 return 0;
             } catch (IOException | StateFault e) {
--- a/src/main/java/petrelstand/config/RulesConfig.java
+++ b/src/main/java/petrelstand/config/RulesConfig.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.List;
-import petrelstand.agreement.Promise;
+import petrelstand.agreement.LeaseTiming;
 import petrelstand.decision.Scheduling.Settings;
 import petrelstand.members.Member;
 
@@ -20,7 +20,13 @@
  * @param page whether {@code GET /rules} is answered
  */
 public record RulesConfig(
-        List<String> voters, boolean mayVote, Promise promise, Path folder, boolean page, String file, String text) {
+        List<String> voters,
+        boolean mayVote,
+        LeaseTiming promise,
+        Path folder,
+        boolean page,
+        String file,
+        String text) {
     private static final int MOST_VOTERS = 9;
 
     static RulesConfig of(
@@ -38,8 +44,8 @@
                 || voters.stream().anyMatch(name -> !name.matches("[A-Za-z0-9._-]{1," + Member.MOST_NAME + "}"))) {
             throw section.wrong("voters", "must be 1 to " + MOST_VOTERS + " different names of the fleet's gateways");
         }
-        long within = section.durationUs("promise", Promise.USUAL.withinUs(), 500_000, 600_000_000);
-        double drift = section.number("drift", Promise.USUAL.drift() * 100, 0, 10) / 100;
+        long within = section.durationUs("promise", LeaseTiming.DEFAULT.maxConflictUs(), 500_000, 600_000_000);
+        double drift = section.number("drift", LeaseTiming.DEFAULT.drift() * 100, 0, 10) / 100;
         String file = null;
         String text = null;
         if (section.has("file")) {
@@ -62,7 +68,7 @@
         return new RulesConfig(
                 voters,
                 section.has("may_vote") && section.place("may_vote", List.of("no", "yes")) == 1,
-                new Promise(within, drift),
+                new LeaseTiming(within, drift),
                 section.has("folder") ? ini.beside(section.text("folder")) : null,
                 !section.has("page") || section.place("page", List.of("off", "on")) == 1,
                 file,
--- a/src/main/java/petrelstand/config/RulesText.java
+++ b/src/main/java/petrelstand/config/RulesText.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import petrelstand.agreement.Command;
+import petrelstand.agreement.RegistryCommand;
 import petrelstand.agreement.Rules;
 
 /**
@@ -30,8 +30,9 @@
                 throw new IllegalArgumentException(name + ": character " + i + " is no text");
             }
         }
-        if (text.length() > Command.MOST_TEXT) {
-            throw new IllegalArgumentException(name + " is longer than " + Command.MOST_TEXT + " characters");
+        if (text.length() > RegistryCommand.MAX_TEXT_CHARS) {
+            throw new IllegalArgumentException(
+                    name + " is longer than " + RegistryCommand.MAX_TEXT_CHARS + " characters");
         }
         IniFile ini = new IniFile(Path.of(name), text);
         IniFile.Section fleet = ini.section("fleet");
@@ -52,8 +53,8 @@
             }
             limits.put(plan, new Rules.Limit(units, floor));
         }
-        if (limits.size() > Command.MOST_FIGURES) {
-            throw new IllegalArgumentException(name + " has more than " + Command.MOST_FIGURES + " limits");
+        if (limits.size() > RegistryCommand.MAX_LIMITS) {
+            throw new IllegalArgumentException(name + " has more than " + RegistryCommand.MAX_LIMITS + " limits");
         }
         Map<String, Rules.Module> modules = new TreeMap<>();
         for (IniFile.Section section : ini.sections("module")) {
@@ -79,8 +80,8 @@
 
     private static String rest(IniFile.Section section, String word) {
         String name = section.name().substring(word.length() + 1).strip();
-        if (name.isEmpty() || name.length() > Command.MOST_NAME) {
-            throw section.wrong(null, "has no name, or one longer than " + Command.MOST_NAME);
+        if (name.isEmpty() || name.length() > RegistryCommand.MAX_NAME_CHARS) {
+            throw section.wrong(null, "has no name, or one longer than " + RegistryCommand.MAX_NAME_CHARS);
         }
         return name;
     }
--- a/src/main/java/petrelstand/consensus/Parcel.java
+++ b/src/main/java/petrelstand/consensus/Envelope.java
@@ -1,7 +1,7 @@
 package petrelstand.consensus;
 
 import io.microraft.model.message.RaftMessage;
-import petrelstand.agreement.Talk;
+import petrelstand.agreement.RulesMessage;
 
 /**
  * What goes from one gateway to another about rules: a voters' message or a talk, one of them null.
@@ -10,5 +10,11 @@
  *     it is no voter
  * @param epoch of the sender's votes: voters of different ones do not hear each other
  */
-public record Parcel(
-        String fleet, String from, String address, long generation, long epoch, RaftMessage raft, Talk talk) {}
+public record Envelope(
+        String fleet,
+        String sender,
+        String senderAddress,
+        long generation,
+        long epoch,
+        RaftMessage raftMessage,
+        RulesMessage rulesMessage) {}
--- a/src/main/java/petrelstand/consensus/Recovery.java
+++ b/src/main/java/petrelstand/consensus/QuorumRecovery.java
@@ -9,8 +9,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
-import petrelstand.agreement.Command;
-import petrelstand.agreement.RuleBook;
+import petrelstand.agreement.RegistryCommand;
+import petrelstand.agreement.RuleRegistry;
 
 /**
  * Makes one voter's folder the beginning of a new epoch, after a majority of voters was lost for ever. Its book becomes
@@ -18,22 +18,22 @@
  * number of the new epoch, above all of the one before, so that no gateway that has heard of it goes back to the old
  * voters. The epoch has a drawn part: two recoveries that know nothing of each other do not pass for one.
  */
-public final class Recovery {
+public final class QuorumRecovery {
     private final RaftFiles files;
-    private final RuleBook book = new RuleBook();
-    private final String name;
+    private final RuleRegistry registry = new RuleRegistry();
+    private final String voterName;
     private final List<String> voters = new ArrayList<>();
     private final int term;
     private final long index;
 
     /** Looks at a folder that no process has; writes nothing. */
-    public Recovery(RaftFiles files) throws IOException {
+    public QuorumRecovery(RaftFiles files) throws IOException {
         this.files = files;
-        RestoredRaftState state = files.restored();
+        RestoredRaftState state = files.restoredState();
         if (state == null) {
             throw new IOException("the folder holds no votes");
         }
-        name = String.valueOf(
+        voterName = String.valueOf(
                 state.getLocalEndpointPersistentState().getLocalEndpoint().getId());
         long at = 0;
         int last = state.getTermPersistentState().getTerm();
@@ -43,14 +43,14 @@
             for (Object chunk : (List<?>) state.getSnapshotEntry().getOperation()) {
                 chunks.add(((SnapshotChunk) chunk).getOperation());
             }
-            book.become(Wire.whole(chunks));
+            registry.restore(Wire.whole(chunks));
             at = state.getSnapshotEntry().getIndex();
             members = state.getSnapshotEntry().getGroupMembersView();
         }
         // What is in the log may have been acknowledged by a majority with this voter in it, and is taken whole.
         for (LogEntry entry : state.getLogEntries()) {
-            if (entry.getOperation() instanceof Command command) {
-                book.apply(command);
+            if (entry.getOperation() instanceof RegistryCommand command) {
+                registry.apply(command);
             }
             at = Math.max(at, entry.getIndex());
             last = Math.max(last, entry.getTerm());
@@ -63,8 +63,8 @@
     }
 
     /** Whose folder it is. */
-    public String name() {
-        return name;
+    public String voterName() {
+        return voterName;
     }
 
     /** The voters as this folder first knew them, or since its last snapshot. */
@@ -72,42 +72,44 @@
         return List.copyOf(voters);
     }
 
-    public RuleBook book() {
-        return book;
+    public RuleRegistry registry() {
+        return registry;
     }
 
     /** A word that names what was looked at; to be given back, so that nobody recovers another folder than he saw. */
-    public String print() {
+    public String fingerprint() {
         return String.format(
-                "%08x", (name + " " + term + " " + index + " " + book.newest() + " " + book.active()).hashCode());
+                "%08x",
+                (voterName + " " + term + " " + index + " " + registry.newest() + " " + registry.active()).hashCode());
     }
 
     /**
      * Writes the new beginning; {@code drawn} is a random number. Returns the version that is acted on from then on.
      */
     public long write(String who, String why, long wallMs, int drawn) throws IOException {
-        long epoch = (RuleBook.epoch(book.newest()) / RuleBook.TAGS + 1) * RuleBook.TAGS
-                + Math.floorMod(drawn, RuleBook.TAGS);
-        RuleBook.Whole old = book.whole();
-        long number = epoch * RuleBook.EPOCH;
-        List<RuleBook.Version> versions = new ArrayList<>();
-        for (RuleBook.Version version : old.versions()) {
+        long epoch = (RuleRegistry.epoch(registry.newest()) / RuleRegistry.TAGS_PER_EPOCH_NUMBER + 1)
+                        * RuleRegistry.TAGS_PER_EPOCH_NUMBER
+                + Math.floorMod(drawn, RuleRegistry.TAGS_PER_EPOCH_NUMBER);
+        RuleRegistry.Snapshot old = registry.snapshot();
+        long number = epoch * RuleRegistry.VERSIONS_PER_EPOCH;
+        List<RuleRegistry.Version> versions = new ArrayList<>();
+        for (RuleRegistry.Version version : old.versions()) {
             if (version.number() == old.active()) {
-                versions.add(new RuleBook.Version(
+                versions.add(new RuleRegistry.Version(
                         number,
                         version.number(),
                         who,
                         "recovered: " + why,
                         wallMs,
-                        RuleBook.State.ACTED_ON,
-                        version.figures(),
+                        RuleRegistry.State.ACTED_ON,
+                        version.limits(),
                         version.text()));
             }
         }
         boolean acted = !versions.isEmpty();
-        RuleBook.Whole fresh = new RuleBook.Whole(
-                acted ? number : 0, 0, number, versions, old.names(), old.marks(), java.util.Map.of());
-        Set<RaftEndpoint> alone = Set.of(new Name(name));
+        RuleRegistry.Snapshot fresh = new RuleRegistry.Snapshot(
+                acted ? number : 0, 0, number, versions, old.gatewayNames(), old.reservedFloors(), java.util.Map.of());
+        Set<RaftEndpoint> alone = Set.of(new VoterEndpoint(voterName));
         RaftGroupMembersView view = Wire.MODEL
                 .createRaftGroupMembersViewBuilder()
                 .setLogIndex(0)
@@ -115,7 +117,7 @@
                 .setVotingMembers(alone)
                 .build();
         List<byte[]> chunks = Wire.chunks(fresh);
-        files.begin(name, view, term + 1, index + 1, chunks);
+        files.reset(voterName, view, term + 1, index + 1, chunks);
         return number;
     }
 }
--- a/src/main/java/petrelstand/consensus/RaftFiles.java
+++ b/src/main/java/petrelstand/consensus/RaftFiles.java
@@ -196,19 +196,19 @@
     }
 
     /** What an earlier life left, or null. */
-    public RestoredRaftState restored() {
+    public RestoredRaftState restoredState() {
         if (endpoint == null || members == null) {
             return null;
         }
         RaftEndpointPersistentState self = Wire.MODEL
                 .createRaftEndpointPersistentStateBuilder()
-                .setLocalEndpoint(new Name(endpoint))
+                .setLocalEndpoint(new VoterEndpoint(endpoint))
                 .setVoting(voting)
                 .build();
         RaftTermPersistentState voted = Wire.MODEL
                 .createRaftTermPersistentStateBuilder()
                 .setTerm(term)
-                .setVotedFor(votedFor == null ? null : new Name(votedFor))
+                .setVotedFor(votedFor == null ? null : new VoterEndpoint(votedFor))
                 .build();
         SnapshotEntry snapshot = null;
         for (TreeMap<Integer, SnapshotChunk> of : chunks.values()) {
@@ -330,7 +330,7 @@
     }
 
     /** Puts a snapshot, a term and one voter in the place of all that is there, in one step. */
-    void begin(String voter, RaftGroupMembersView view, int newTerm, long index, List<byte[]> pieces)
+    void reset(String voter, RaftGroupMembersView view, int newTerm, long index, List<byte[]> pieces)
             throws IOException {
         entries.clear();
         chunks.clear();
--- a/src/main/java/petrelstand/consensus/Voter.java
+++ b/src/main/java/petrelstand/consensus/Voter.java
@@ -26,40 +26,40 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import java.util.function.LongSupplier;
-import petrelstand.agreement.Command;
-import petrelstand.agreement.Grantor;
-import petrelstand.agreement.Promise;
-import petrelstand.agreement.RuleBook;
+import petrelstand.agreement.LeaseGrantor;
+import petrelstand.agreement.LeaseTiming;
+import petrelstand.agreement.RegistryCommand;
+import petrelstand.agreement.RuleRegistry;
 import petrelstand.agreement.Rules;
-import petrelstand.agreement.Talk;
+import petrelstand.agreement.RulesMessage;
 
 /**
  * A voter: MicroRaft's node with the rule book as its state, and the leader's half of the leases. All of it runs on one
  * executor, a thread of its own or an event queue in virtual time; nothing here waits but the store.
  */
-public final class Voter implements Grantor.Actions {
+public final class Voter implements LeaseGrantor.Actions {
     private static final int SNAPSHOT_AFTER = 500;
     private static final int MOST_PENDING = 256;
     private static final int MOST_OFFERS = 8;
     /**
      * A leader that ends has so long to hand on; shorter than the time in which a gateway that ends takes what comes.
      */
-    public static final long HAND_ON_MS = 300;
+    public static final long LEADERSHIP_TRANSFER_MS = 300;
     /** A new voter is sent the log or a snapshot for so long before it counts. */
     private static final long LISTENS_MS = 2_000;
 
     /** What the process does for a voter. */
-    public interface Carrier {
+    public interface Callbacks {
         /** Sends to a voter; it may get lost. */
-        void send(String to, RaftMessage message);
+        void sendRaftMessage(String to, RaftMessage message);
 
         /** Sends to a gateway or, where the name is an address, to whoever asked from there. */
-        void talk(String to, Talk talk);
+        void sendRulesMessage(String to, RulesMessage talk);
 
         /** The voter's world changed: what was applied, who leads. */
-        void changed();
+        void stateChanged();
 
-        void say(String line);
+        void log(String line);
     }
 
     /** Offers whose pieces come one by one. */
@@ -71,10 +71,10 @@
     private final String name;
     private final RaftNodeExecutor executor;
     private final LongSupplier nowUs;
-    private final Carrier carrier;
+    private final Callbacks carrier;
     private final Function<String, Rules> loader;
-    private final RuleBook book = new RuleBook();
-    private final Grantor grantor;
+    private final RuleRegistry registry = new RuleRegistry();
+    private final LeaseGrantor grantor;
     private final RaftNode node;
     private final Map<Long, Offer> offers = new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1;
@@ -91,8 +91,8 @@
     private int outstanding;
 
     /** Makes the leader's half of the leases; the usual one, but for tests that plant a defect. */
-    public interface Maker {
-        Grantor make(Promise promise, RuleBook book, Grantor.Actions actions);
+    public interface GrantorFactory {
+        LeaseGrantor create(LeaseTiming promise, RuleRegistry book, LeaseGrantor.Actions actions);
     }
 
     /**
@@ -104,22 +104,22 @@
     public Voter(
             String name,
             List<String> voters,
-            Promise promise,
+            LeaseTiming promise,
             RaftFiles files,
-            Maker maker,
+            GrantorFactory maker,
             RaftNodeExecutor executor,
             LongSupplier nowUs,
             long seed,
             Function<String, Rules> loader,
-            Carrier carrier) {
+            Callbacks carrier) {
         this.name = name;
         this.executor = executor;
         this.nowUs = nowUs;
         this.carrier = carrier;
         this.loader = loader;
-        this.grantor = maker.make(promise, book, this);
+        this.grantor = maker.create(promise, registry, this);
         List<RaftEndpoint> members = new ArrayList<>();
-        voters.forEach(voter -> members.add(new Name(voter)));
+        voters.forEach(voter -> members.add(new VoterEndpoint(voter)));
         RaftNode.RaftNodeBuilder builder = RaftNode.newBuilder()
                 .setGroupId(Wire.GROUP)
                 .setConfig(RaftConfig.newBuilder()
@@ -139,10 +139,10 @@
                 .setModelFactory(Wire.MODEL)
                 .setRaftNodeReportListener(this::reported)
                 .setStore(files == null ? new NopRaftStore() : files);
-        if (files != null && files.restored() != null) {
-            builder.setRestoredState(files.restored());
+        if (files != null && files.restoredState() != null) {
+            builder.setRestoredState(files.restoredState());
         } else {
-            builder.setLocalEndpoint(new Name(name)).setInitialGroupMembers(members);
+            builder.setLocalEndpoint(new VoterEndpoint(name)).setInitialGroupMembers(members);
         }
         this.node = builder.build();
     }
@@ -161,14 +161,14 @@
      * executor.
      */
     public void leave() {
-        Name self = new Name(name);
-        if (grantor.leads()) {
+        VoterEndpoint self = new VoterEndpoint(name);
+        if (grantor.isLeader()) {
             node.getCommittedMembers().getVotingMembers().stream()
                     .filter(other -> !other.equals(self))
                     .findFirst()
                     .ifPresent(other ->
                             node.transferLeadership(other).whenComplete((done, fault) -> executor.execute(this::stop)));
-            executor.schedule(this::stop, HAND_ON_MS, TimeUnit.MILLISECONDS);
+            executor.schedule(this::stop, LEADERSHIP_TRANSFER_MS, TimeUnit.MILLISECONDS);
         } else {
             stop();
         }
@@ -177,15 +177,15 @@
     /** What is due by now; on the executor. */
     public void tick() {
         grantor.tick(nowUs.getAsLong());
-        if (outstanding > 0 && grantor.leads()) {
+        if (outstanding > 0 && grantor.isLeader()) {
             node.query(ASK, QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.empty())
                     .exceptionally(fault -> null);
         }
     }
 
     /** A voters' message, on the executor; one of another epoch is passed over. */
-    public void receive(RaftMessage message, long ofEpoch) {
-        if (book.newest() == 0) {
+    public void receiveRaftMessage(RaftMessage message, long ofEpoch) {
+        if (registry.newest() == 0) {
             // It was just added, and learns from the first that writes to it.
             joined = Math.max(joined, ofEpoch);
         }
@@ -196,7 +196,7 @@
 
     /** The epoch that it votes in. */
     public long epoch() {
-        return book.newest() == 0 ? joined : RuleBook.epoch(book.newest());
+        return registry.newest() == 0 ? joined : RuleRegistry.epoch(registry.newest());
     }
 
     // ---- MicroRaft's side ----
@@ -204,7 +204,7 @@
     private final class Post implements Transport {
         @Override
         public void send(RaftEndpoint to, RaftMessage message) {
-            carrier.send(String.valueOf(to.getId()), message);
+            carrier.sendRaftMessage(String.valueOf(to.getId()), message);
         }
 
         @Override
@@ -219,10 +219,10 @@
     private final class Machine implements StateMachine {
         @Override
         public Object runOperation(long index, Object operation) {
-            if (operation instanceof Command command) {
-                RuleBook.Result result = book.apply(command);
+            if (operation instanceof RegistryCommand command) {
+                RuleRegistry.Result result = registry.apply(command);
                 executor.execute(Voter.this::tick);
-                carrier.changed();
+                carrier.stateChanged();
                 return result;
             }
             return null;
@@ -230,14 +230,14 @@
 
         @Override
         public void takeSnapshot(long index, Consumer<Object> chunks) {
-            Wire.chunks(book.whole()).forEach(chunks);
+            Wire.chunks(registry.snapshot()).forEach(chunks);
         }
 
         @Override
         public void installSnapshot(long index, List<Object> chunks) {
             try {
-                book.become(Wire.whole(chunks));
-                carrier.changed();
+                registry.restore(Wire.whole(chunks));
+                carrier.stateChanged();
             } catch (IOException e) {
                 throw new IllegalStateException("a snapshot that can't be read: " + e.getMessage(), e);
             }
@@ -245,7 +245,7 @@
 
         @Override
         public Object getNewTermOperation() {
-            return new Command.Term();
+            return new RegistryCommand.NewTerm();
         }
     }
 
@@ -254,86 +254,89 @@
         RaftEndpoint leads = report.getTerm().getLeaderEndpoint();
         String now = leads == null ? "" : String.valueOf(leads.getId());
         if (report.getRole() == RaftRole.LEADER) {
-            grantor.leads(nowUs.getAsLong(), term);
+            grantor.isLeader(nowUs.getAsLong(), term);
         } else {
-            grantor.follows();
+            grantor.becomeFollower();
         }
         if (!now.equals(leader)) {
             leader = now;
-            carrier.say(now.isEmpty() ? "no leader is known, term " + term : now + " leads in term " + term);
+            carrier.log(now.isEmpty() ? "no leader is known, term " + term : now + " leads in term " + term);
         }
-        carrier.changed();
+        carrier.stateChanged();
     }
 
     // ---- The grantor's side ----
 
     @Override
-    public void send(String to, Talk talk) {
-        carrier.talk(to, talk);
+    public void send(String to, RulesMessage talk) {
+        carrier.sendRulesMessage(to, talk);
     }
 
     @Override
-    public void commit(Command command) {
+    public void commit(RegistryCommand command) {
         replicate(command, (done, fault) -> {});
     }
 
     @Override
-    public void confirm(long round) {
+    public void confirmLeadership(long round) {
         node.query(ASK, QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.empty())
                 .whenComplete((answer, fault) -> executor.execute(() -> {
                     if (fault == null) {
-                        grantor.confirmed(nowUs.getAsLong(), round);
+                        grantor.leadershipConfirmed(nowUs.getAsLong(), round);
                     } else {
-                        grantor.unconfirmed(round);
+                        grantor.leadershipUnconfirmed(round);
                     }
                 }));
     }
 
     @Override
-    public void say(String line) {
-        carrier.say(line);
+    public void log(String line) {
+        carrier.log(line);
     }
 
     // ---- What gateways and the command line ask; on the executor ----
 
     /** Something that a gateway asks, or whoever listens at {@code from}. */
-    public void hear(String from, Talk talk) {
+    public void receiveRequest(String from, RulesMessage talk) {
         long now = nowUs.getAsLong();
-        if (talk instanceof Talk.Renew renew) {
-            if (grantor.leads()) {
+        if (talk instanceof RulesMessage.LeaseRequest renew) {
+            if (grantor.isLeader()) {
                 grantor.renew(now, from, renew);
             } else {
-                carrier.talk(from, new Talk.Elsewhere(renew.nonce(), leader));
+                carrier.sendRulesMessage(from, new RulesMessage.NotLeader(renew.nonce(), leader));
             }
-        } else if (talk instanceof Talk.Fetch fetch) {
-            RuleBook.Version version = book.versions().get(fetch.version());
-            List<String> pieces = version == null ? List.of() : Command.pieces(version.text());
-            boolean has = fetch.piece() >= 0 && fetch.piece() < pieces.size();
-            carrier.talk(
+        } else if (talk instanceof RulesMessage.FetchPiece fetch) {
+            RuleRegistry.Version version = registry.versions().get(fetch.version());
+            List<String> pieces = version == null ? List.of() : RegistryCommand.splitIntoPieces(version.text());
+            boolean has = fetch.pieceIndex() >= 0 && fetch.pieceIndex() < pieces.size();
+            carrier.sendRulesMessage(
                     from,
-                    new Talk.Piece(
+                    new RulesMessage.TextPiece(
                             fetch.nonce(),
                             fetch.version(),
-                            fetch.piece(),
+                            fetch.pieceIndex(),
                             pieces.size(),
-                            has ? pieces.get(fetch.piece()) : ""));
-        } else if (talk instanceof Talk.Offer offer) {
+                            has ? pieces.get(fetch.pieceIndex()) : ""));
+        } else if (talk instanceof RulesMessage.ProposalPiece offer) {
             if (leads(from, offer.id())) {
                 offered(from, offer);
             }
-        } else if (talk instanceof Talk.Order order) {
+        } else if (talk instanceof RulesMessage.AdminRequest order) {
             if (leads(from, order.id())) {
-                if (order.verb().endsWith("-voter")) {
+                if (order.action().endsWith("-voter")) {
                     changeVoters(from, order);
                     return;
                 }
-                Command command = switch (order.verb()) {
-                    case "withdraw" -> new Command.Withdraw(order.version(), order.who(), order.why());
-                    case "forget" -> new Command.Forget(order.name());
+                RegistryCommand command = switch (order.action()) {
+                    case "withdraw" -> new RegistryCommand.Withdraw(order.version(), order.author(), order.reason());
+                    case "forget" -> new RegistryCommand.ForgetGateway(order.name());
                     default -> null;
                 };
                 if (command == null) {
-                    carrier.talk(from, new Talk.Taken(order.id(), -1, 0, "no order is called '" + order.verb() + "'"));
+                    carrier.sendRulesMessage(
+                            from,
+                            new RulesMessage.RequestAnswer(
+                                    order.id(), -1, 0, "no order is called '" + order.action() + "'"));
                 } else {
                     answer(from, order.id(), command);
                 }
@@ -346,47 +349,49 @@
      * an empty folder, and votes from {@link #LISTENS_MS} on; where the leader changes meanwhile it is to be added
      * again.
      */
-    private void changeVoters(String from, Talk.Order order) {
-        Name voter = new Name(order.name());
+    private void changeVoters(String from, RulesMessage.AdminRequest order) {
+        VoterEndpoint voter = new VoterEndpoint(order.name());
         boolean there = node.getCommittedMembers().getVotingMembers().contains(voter);
-        if (order.verb().equals("add-voter") && !there) {
+        if (order.action().equals("add-voter") && !there) {
             boolean listens = node.getCommittedMembers().getMembers().contains(voter);
             change(
                     from,
                     order,
                     voter,
                     listens ? MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER : MembershipChangeMode.ADD_LEARNER);
-        } else if (order.verb().equals("remove-voter")
+        } else if (order.action().equals("remove-voter")
                 && node.getCommittedMembers().getMembers().contains(voter)) {
             if (node.getCommittedMembers().getVotingMembers().size() < 2 && there) {
-                carrier.talk(from, new Talk.Taken(order.id(), -1, 0, "it is the only voter"));
+                carrier.sendRulesMessage(
+                        from, new RulesMessage.RequestAnswer(order.id(), -1, 0, "it is the only voter"));
                 return;
             }
             change(from, order, voter, MembershipChangeMode.REMOVE_MEMBER);
         } else {
-            carrier.talk(from, new Talk.Taken(order.id(), -1, book.newest(), ""));
+            carrier.sendRulesMessage(from, new RulesMessage.RequestAnswer(order.id(), -1, registry.newest(), ""));
         }
     }
 
-    private void change(String from, Talk.Order order, Name voter, MembershipChangeMode mode) {
+    private void change(String from, RulesMessage.AdminRequest order, VoterEndpoint voter, MembershipChangeMode mode) {
         node.changeMembership(voter, mode, node.getCommittedMembers().getLogIndex())
                 .whenComplete((done, fault) -> executor.execute(() -> {
                     if (fault != null) {
                         return;
                     }
-                    carrier.say("voters are now " + voters()
+                    carrier.log("voters are now " + voters()
                             + (mode == MembershipChangeMode.ADD_LEARNER ? "; " + voter + " listens first" : ""));
                     if (mode == MembershipChangeMode.ADD_LEARNER) {
                         executor.schedule(
                                 () -> {
-                                    if (grantor.leads()) {
+                                    if (grantor.isLeader()) {
                                         change(from, order, voter, MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER);
                                     }
                                 },
                                 LISTENS_MS,
                                 TimeUnit.MILLISECONDS);
                     } else {
-                        carrier.talk(from, new Talk.Taken(order.id(), -1, book.newest(), ""));
+                        carrier.sendRulesMessage(
+                                from, new RulesMessage.RequestAnswer(order.id(), -1, registry.newest(), ""));
                     }
                 }));
     }
@@ -400,27 +405,34 @@
     }
 
     private boolean leads(String from, long id) {
-        if (!grantor.leads()) {
-            carrier.talk(from, new Talk.Elsewhere(id, leader));
+        if (!grantor.isLeader()) {
+            carrier.sendRulesMessage(from, new RulesMessage.NotLeader(id, leader));
         }
-        return grantor.leads();
+        return grantor.isLeader();
     }
 
-    private void offered(String from, Talk.Offer piece) {
-        if (piece.of() < 1 || piece.of() > Command.MOST_PIECES || piece.piece() < 0 || piece.piece() >= piece.of()) {
-            carrier.talk(
+    private void offered(String from, RulesMessage.ProposalPiece piece) {
+        if (piece.pieceCount() < 1
+                || piece.pieceCount() > RegistryCommand.MAX_PIECES
+                || piece.pieceIndex() < 0
+                || piece.pieceIndex() >= piece.pieceCount()) {
+            carrier.sendRulesMessage(
                     from,
-                    new Talk.Taken(piece.id(), -1, 0, "a text of more than " + Command.MOST_TEXT + " characters"));
+                    new RulesMessage.RequestAnswer(
+                            piece.id(),
+                            -1,
+                            0,
+                            "a text of more than " + RegistryCommand.MAX_TEXT_CHARS + " characters"));
             return;
         }
         Offer offer = offers.computeIfAbsent(piece.id(), id -> new Offer());
-        if (offer.pieces.length != piece.of()) {
-            offer.pieces = new String[piece.of()];
+        if (offer.pieces.length != piece.pieceCount()) {
+            offer.pieces = new String[piece.pieceCount()];
         }
-        offer.pieces[piece.piece()] = piece.text();
-        for (int i = 0; i < piece.of(); i++) {
+        offer.pieces[piece.pieceIndex()] = piece.text();
+        for (int i = 0; i < piece.pieceCount(); i++) {
             if (offer.pieces[i] == null) {
-                carrier.talk(from, new Talk.Taken(piece.id(), i, 0, ""));
+                carrier.sendRulesMessage(from, new RulesMessage.RequestAnswer(piece.id(), i, 0, ""));
                 return;
             }
         }
@@ -428,37 +440,39 @@
             return;
         }
         String text = String.join("", offer.pieces);
-        List<Command.Figure> figures = new ArrayList<>();
+        List<RegistryCommand.PlanLimit> figures = new ArrayList<>();
         try {
             loader.apply(text)
                     .limits()
-                    .forEach((plan, limit) -> figures.add(new Command.Figure(plan, limit.units(), limit.floor())));
+                    .forEach((plan, limit) ->
+                            figures.add(new RegistryCommand.PlanLimit(plan, limit.units(), limit.floor())));
         } catch (IllegalArgumentException e) {
             offers.remove(piece.id());
-            carrier.talk(from, new Talk.Taken(piece.id(), -1, 0, cut(String.valueOf(e.getMessage()))));
+            carrier.sendRulesMessage(
+                    from, new RulesMessage.RequestAnswer(piece.id(), -1, 0, cut(String.valueOf(e.getMessage()))));
             return;
         }
         offer.proposing = true;
         for (int i = 0; i < offer.pieces.length; i++) {
-            commit(new Command.Part(piece.id(), i, offer.pieces.length, offer.pieces[i]));
+            commit(new RegistryCommand.AddPiece(piece.id(), i, offer.pieces.length, offer.pieces[i]));
         }
         answer(
                 from,
                 piece.id(),
-                new Command.Propose(
+                new RegistryCommand.Propose(
                         piece.id(),
                         piece.base(),
-                        piece.who(),
-                        piece.why(),
+                        piece.author(),
+                        piece.reason(),
                         piece.wallMs(),
                         offer.pieces.length,
                         figures));
     }
 
     /** Puts a command into the log; {@code then} is told how that went, on the executor. */
-    private void replicate(Command command, BiConsumer<Ordered<RuleBook.Result>, Throwable> then) {
+    private void replicate(RegistryCommand command, BiConsumer<Ordered<RuleRegistry.Result>, Throwable> then) {
         outstanding++;
-        node.<RuleBook.Result>replicate(command)
+        node.<RuleRegistry.Result>replicate(command)
                 .whenComplete((done, fault) -> executor.execute(() -> {
                     outstanding--;
                     then.accept(done, fault);
@@ -466,28 +480,29 @@
     }
 
     /** Answers once the command is in the log of a majority; where that can't be told, the asker asks again. */
-    private void answer(String to, long id, Command command) {
+    private void answer(String to, long id, RegistryCommand command) {
         replicate(command, (done, fault) -> {
             offers.remove(id);
             if (fault == null) {
-                RuleBook.Result result = done.getResult();
-                carrier.talk(to, new Talk.Taken(id, -1, result.version(), cut(result.fault())));
+                RuleRegistry.Result result = done.getResult();
+                carrier.sendRulesMessage(
+                        to, new RulesMessage.RequestAnswer(id, -1, result.version(), cut(result.error())));
                 grantor.tick(nowUs.getAsLong());
             }
         });
     }
 
     private static String cut(String line) {
-        return line.substring(0, Math.min(line.length(), Talk.MOST_LINE));
+        return line.substring(0, Math.min(line.length(), RulesMessage.MAX_LINE_CHARS));
     }
 
     // ---- What is shown; on the executor ----
 
-    public RuleBook book() {
-        return book;
+    public RuleRegistry registry() {
+        return registry;
     }
 
-    public Grantor grantor() {
+    public LeaseGrantor grantor() {
         return grantor;
     }
 
--- a/src/main/java/petrelstand/consensus/Name.java
+++ b/src/main/java/petrelstand/consensus/VoterEndpoint.java
@@ -3,7 +3,7 @@
 import io.microraft.RaftEndpoint;
 
 /** A voter, by its name in the fleet. */
-record Name(String name) implements RaftEndpoint {
+record VoterEndpoint(String name) implements RaftEndpoint {
     @Override
     public Object getId() {
         return name;
--- a/src/main/java/petrelstand/consensus/Wire.java
+++ b/src/main/java/petrelstand/consensus/Wire.java
@@ -32,9 +32,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import petrelstand.agreement.Command;
-import petrelstand.agreement.RuleBook;
-import petrelstand.agreement.Talk;
+import petrelstand.agreement.RegistryCommand;
+import petrelstand.agreement.RuleRegistry;
+import petrelstand.agreement.RulesMessage;
 import petrelstand.cbor.CborReader;
 
 /**
@@ -74,24 +74,24 @@
     // ---- Parcels ----
 
     /** The content of a parcel's datagram. */
-    public static byte[] encode(Parcel parcel) {
+    public static byte[] encode(Envelope parcel) {
         return array(to -> {
             to.writeNumber(VERSION);
             to.writeString(parcel.fleet());
-            to.writeString(parcel.from());
-            to.writeString(parcel.address());
+            to.writeString(parcel.sender());
+            to.writeString(parcel.senderAddress());
             to.writeNumber(parcel.generation());
             to.writeNumber(parcel.epoch());
-            if (parcel.raft() != null) {
-                write(to, parcel.raft());
+            if (parcel.raftMessage() != null) {
+                write(to, parcel.raftMessage());
             } else {
-                write(to, parcel.talk());
+                write(to, parcel.rulesMessage());
             }
         });
     }
 
     /** Reads a parcel whole; an IOException says that it is malformed, and where. */
-    public static Parcel decode(byte[] content) throws IOException {
+    public static Envelope decode(byte[] content) throws IOException {
         try (CborReader from = new CborReader(content)) {
             from.expect(JsonToken.START_ARRAY);
             long version = from.whole();
@@ -104,9 +104,10 @@
             long generation = from.whole();
             long epoch = from.whole();
             int kind = from.count();
-            Parcel parcel = kind < 20
-                    ? new Parcel(fleet, name, address, generation, epoch, raft(from, kind, new Name(name)), null)
-                    : new Parcel(fleet, name, address, generation, epoch, null, talk(from, kind));
+            Envelope parcel = kind < 20
+                    ? new Envelope(
+                            fleet, name, address, generation, epoch, raft(from, kind, new VoterEndpoint(name)), null)
+                    : new Envelope(fleet, name, address, generation, epoch, null, talk(from, kind));
             from.expect(JsonToken.END_ARRAY);
             from.end();
             return parcel;
@@ -192,7 +193,7 @@
         }
     }
 
-    private static RaftMessage raft(CborReader from, int kind, Name sender) throws IOException {
+    private static RaftMessage raft(CborReader from, int kind, VoterEndpoint sender) throws IOException {
         int term = from.count();
         return switch (kind) {
             case 1 ->
@@ -315,7 +316,7 @@
             to.writeString(String.valueOf(op.getEndpoint().getId()));
             to.writeNumber(op.getMode().ordinal());
         } else {
-            write(to, (Command) entry.getOperation());
+            write(to, (RegistryCommand) entry.getOperation());
         }
     }
 
@@ -327,7 +328,7 @@
                 ? MODEL.createUpdateRaftGroupMembersOpBuilder()
                         .setMembers(names(from))
                         .setVotingMembers(names(from))
-                        .setEndpoint(new Name(from.text(MOST_NAME)))
+                        .setEndpoint(new VoterEndpoint(from.text(MOST_NAME)))
                         .setMode(mode(from.count()))
                         .build()
                 : command(from, kind);
@@ -345,66 +346,72 @@
         return MembershipChangeMode.values()[ordinal];
     }
 
-    private static void write(CBORGenerator to, Command command) throws IOException {
-        if (command instanceof Command.Term) {
+    private static void write(CBORGenerator to, RegistryCommand command) throws IOException {
+        if (command instanceof RegistryCommand.NewTerm) {
             to.writeNumber(1);
-        } else if (command instanceof Command.Part part) {
+        } else if (command instanceof RegistryCommand.AddPiece part) {
             to.writeNumber(2);
-            to.writeNumber(part.proposal());
-            to.writeNumber(part.piece());
-            to.writeNumber(part.of());
+            to.writeNumber(part.proposalId());
+            to.writeNumber(part.pieceIndex());
+            to.writeNumber(part.pieceCount());
             to.writeString(part.text());
-        } else if (command instanceof Command.Propose one) {
+        } else if (command instanceof RegistryCommand.Propose one) {
             to.writeNumber(3);
-            to.writeNumber(one.proposal());
+            to.writeNumber(one.proposalId());
             to.writeNumber(one.base());
-            to.writeString(one.who());
-            to.writeString(one.why());
+            to.writeString(one.author());
+            to.writeString(one.reason());
             to.writeNumber(one.wallMs());
-            to.writeNumber(one.pieces());
-            figures(to, one.figures());
-        } else if (command instanceof Command.Activate one) {
+            to.writeNumber(one.pieceCount());
+            figures(to, one.limits());
+        } else if (command instanceof RegistryCommand.Activate one) {
             to.writeNumber(4);
             to.writeNumber(one.version());
-            to.writeNumber(one.allOf());
-        } else if (command instanceof Command.Withdraw one) {
+            to.writeNumber(one.confirmedNamesHash());
+        } else if (command instanceof RegistryCommand.Withdraw one) {
             to.writeNumber(5);
             to.writeNumber(one.version());
-            to.writeString(one.who());
-            to.writeString(one.why());
-        } else if (command instanceof Command.Register one) {
+            to.writeString(one.author());
+            to.writeString(one.reason());
+        } else if (command instanceof RegistryCommand.RegisterGateway one) {
             to.writeNumber(6);
             to.writeString(one.name());
-        } else if (command instanceof Command.Forget one) {
+        } else if (command instanceof RegistryCommand.ForgetGateway one) {
             to.writeNumber(7);
             to.writeString(one.name());
         }
     }
 
-    private static Command command(CborReader from, int kind) throws IOException {
+    private static RegistryCommand command(CborReader from, int kind) throws IOException {
         return switch (kind) {
-            case 1 -> new Command.Term();
-            case 2 -> new Command.Part(from.whole(), from.count(), from.count(), from.text(Command.PIECE));
+            case 1 -> new RegistryCommand.NewTerm();
+            case 2 ->
+                new RegistryCommand.AddPiece(
+                        from.whole(), from.count(), from.count(), from.text(RegistryCommand.PIECE_CHARS));
             case 3 ->
-                new Command.Propose(
+                new RegistryCommand.Propose(
                         from.whole(),
                         from.whole(),
-                        from.text(Command.MOST_WHO),
-                        from.text(Command.MOST_WHY),
+                        from.text(RegistryCommand.MAX_AUTHOR_CHARS),
+                        from.text(RegistryCommand.MAX_REASON_CHARS),
                         from.whole(),
                         from.count(),
                         figures(from));
-            case 4 -> new Command.Activate(from.whole(), from.whole());
-            case 5 -> new Command.Withdraw(from.whole(), from.text(Command.MOST_WHO), from.text(Command.MOST_WHY));
-            case 6 -> new Command.Register(from.text(MOST_NAME));
-            case 7 -> new Command.Forget(from.text(MOST_NAME));
+            case 4 -> new RegistryCommand.Activate(from.whole(), from.whole());
+            case 5 ->
+                new RegistryCommand.Withdraw(
+                        from.whole(),
+                        from.text(RegistryCommand.MAX_AUTHOR_CHARS),
+                        from.text(RegistryCommand.MAX_REASON_CHARS));
+            case 6 -> new RegistryCommand.RegisterGateway(from.text(MOST_NAME));
+            case 7 -> new RegistryCommand.ForgetGateway(from.text(MOST_NAME));
             default -> throw new IOException("no command has the kind " + kind);
         };
     }
 
-    private static void figures(CBORGenerator to, List<Command.Figure> figures) throws IOException {
+    private static void figures(CBORGenerator to, List<RegistryCommand.PlanLimit> figures) throws IOException {
         to.writeStartArray();
-        for (Command.Figure figure : figures) {
+        for (RegistryCommand.PlanLimit figure : figures) {
             to.writeStartArray();
             to.writeString(figure.plan());
             to.writeNumber(figure.units());
@@ -414,10 +421,11 @@
         to.writeEndArray();
     }
 
-    private static List<Command.Figure> figures(CborReader from) throws IOException {
+    private static List<RegistryCommand.PlanLimit> figures(CborReader from) throws IOException {
         return from.list(
-                Command.MOST_FIGURES,
-                () -> new Command.Figure(from.text(Command.MOST_NAME), from.whole(), from.whole()));
+                RegistryCommand.MAX_LIMITS,
+                () -> new RegistryCommand.PlanLimit(
+                        from.text(RegistryCommand.MAX_NAME_CHARS), from.whole(), from.whole()));
     }
 
     static void write(CBORGenerator to, SnapshotChunk chunk) throws IOException {
@@ -464,139 +472,145 @@
 
     private static Set<RaftEndpoint> names(CborReader from) throws IOException {
         Set<RaftEndpoint> names = new LinkedHashSet<>();
-        from.texts(MOST_VOTERS, MOST_NAME).forEach(name -> names.add(new Name(name)));
+        from.texts(MOST_VOTERS, MOST_NAME).forEach(name -> names.add(new VoterEndpoint(name)));
         return names;
     }
 
     // ---- Talk ----
 
-    private static void write(CBORGenerator to, Talk talk) throws IOException {
-        if (talk instanceof Talk.Renew one) {
+    private static void write(CBORGenerator to, RulesMessage talk) throws IOException {
+        if (talk instanceof RulesMessage.LeaseRequest one) {
             to.writeNumber(21);
             to.writeNumber(one.nonce());
-            to.writeNumber(one.life());
-            to.writeNumber(one.acting());
-            to.writeNumber(one.prepared());
-            to.writeString(one.refuses());
-        } else if (talk instanceof Talk.Grant one) {
+            to.writeNumber(one.instanceId());
+            to.writeNumber(one.actingVersion());
+            to.writeNumber(one.preparedVersion());
+            to.writeString(one.loadError());
+        } else if (talk instanceof RulesMessage.LeaseAnswer one) {
             to.writeNumber(22);
             to.writeNumber(one.nonce());
             to.writeNumber(one.term());
-            to.writeNumber(one.active());
-            to.writeNumber(one.waiting());
-            to.writeBoolean(one.lease());
-        } else if (talk instanceof Talk.Elsewhere one) {
+            to.writeNumber(one.activeVersion());
+            to.writeNumber(one.pendingVersion());
+            to.writeBoolean(one.granted());
+        } else if (talk instanceof RulesMessage.NotLeader one) {
             to.writeNumber(23);
             to.writeNumber(one.nonce());
             to.writeString(one.leader());
-        } else if (talk instanceof Talk.Hint one) {
+        } else if (talk instanceof RulesMessage.VersionsChanged one) {
             to.writeNumber(24);
-            to.writeNumber(one.active());
-            to.writeNumber(one.waiting());
-        } else if (talk instanceof Talk.Fetch one) {
+            to.writeNumber(one.activeVersion());
+            to.writeNumber(one.pendingVersion());
+        } else if (talk instanceof RulesMessage.FetchPiece one) {
             to.writeNumber(25);
             to.writeNumber(one.nonce());
             to.writeNumber(one.version());
-            to.writeNumber(one.piece());
-        } else if (talk instanceof Talk.Piece one) {
+            to.writeNumber(one.pieceIndex());
+        } else if (talk instanceof RulesMessage.TextPiece one) {
             to.writeNumber(26);
             to.writeNumber(one.nonce());
             to.writeNumber(one.version());
-            to.writeNumber(one.piece());
-            to.writeNumber(one.of());
+            to.writeNumber(one.pieceIndex());
+            to.writeNumber(one.pieceCount());
             to.writeString(one.text());
-        } else if (talk instanceof Talk.Offer one) {
+        } else if (talk instanceof RulesMessage.ProposalPiece one) {
             to.writeNumber(27);
             to.writeNumber(one.id());
             to.writeNumber(one.base());
-            to.writeString(one.who());
-            to.writeString(one.why());
+            to.writeString(one.author());
+            to.writeString(one.reason());
             to.writeNumber(one.wallMs());
-            to.writeNumber(one.piece());
-            to.writeNumber(one.of());
+            to.writeNumber(one.pieceIndex());
+            to.writeNumber(one.pieceCount());
             to.writeString(one.text());
-        } else if (talk instanceof Talk.Order one) {
+        } else if (talk instanceof RulesMessage.AdminRequest one) {
             to.writeNumber(28);
             to.writeNumber(one.id());
-            to.writeString(one.verb());
+            to.writeString(one.action());
             to.writeNumber(one.version());
             to.writeString(one.name());
-            to.writeString(one.who());
-            to.writeString(one.why());
-        } else if (talk instanceof Talk.Taken one) {
+            to.writeString(one.author());
+            to.writeString(one.reason());
+        } else if (talk instanceof RulesMessage.RequestAnswer one) {
             to.writeNumber(29);
             to.writeNumber(one.id());
-            to.writeNumber(one.next());
+            to.writeNumber(one.nextPiece());
             to.writeNumber(one.version());
-            to.writeString(one.fault());
-        } else if (talk instanceof Talk.Recall one) {
+            to.writeString(one.error());
+        } else if (talk instanceof RulesMessage.GenerationQuery one) {
             to.writeNumber(30);
             to.writeNumber(one.nonce());
-        } else if (talk instanceof Talk.Recalled one) {
+        } else if (talk instanceof RulesMessage.GenerationAnswer one) {
             to.writeNumber(31);
             to.writeNumber(one.nonce());
             to.writeNumber(one.generation());
         }
     }
 
-    private static Talk talk(CborReader from, int kind) throws IOException {
+    private static RulesMessage talk(CborReader from, int kind) throws IOException {
         return switch (kind) {
             case 21 ->
-                new Talk.Renew(from.whole(), from.whole(), from.whole(), from.whole(), from.text(Talk.MOST_LINE));
-            case 22 -> new Talk.Grant(from.whole(), from.whole(), from.whole(), from.whole(), from.flag());
-            case 23 -> new Talk.Elsewhere(from.whole(), from.text(MOST_NAME));
-            case 24 -> new Talk.Hint(from.whole(), from.whole());
-            case 25 -> new Talk.Fetch(from.whole(), from.whole(), from.count());
-            case 26 -> new Talk.Piece(from.whole(), from.whole(), from.count(), from.count(), from.text(Command.PIECE));
+                new RulesMessage.LeaseRequest(
+                        from.whole(), from.whole(), from.whole(), from.whole(), from.text(RulesMessage.MAX_LINE_CHARS));
+            case 22 ->
+                new RulesMessage.LeaseAnswer(from.whole(), from.whole(), from.whole(), from.whole(), from.flag());
+            case 23 -> new RulesMessage.NotLeader(from.whole(), from.text(MOST_NAME));
+            case 24 -> new RulesMessage.VersionsChanged(from.whole(), from.whole());
+            case 25 -> new RulesMessage.FetchPiece(from.whole(), from.whole(), from.count());
+            case 26 ->
+                new RulesMessage.TextPiece(
+                        from.whole(), from.whole(), from.count(), from.count(), from.text(RegistryCommand.PIECE_CHARS));
             case 27 ->
-                new Talk.Offer(
+                new RulesMessage.ProposalPiece(
                         from.whole(),
                         from.whole(),
-                        from.text(Command.MOST_WHO),
-                        from.text(Command.MOST_WHY),
+                        from.text(RegistryCommand.MAX_AUTHOR_CHARS),
+                        from.text(RegistryCommand.MAX_REASON_CHARS),
                         from.whole(),
                         from.count(),
                         from.count(),
-                        from.text(Command.PIECE));
+                        from.text(RegistryCommand.PIECE_CHARS));
             case 28 ->
-                new Talk.Order(
+                new RulesMessage.AdminRequest(
                         from.whole(),
                         from.text(16),
                         from.whole(),
                         from.text(MOST_NAME),
-                        from.text(Command.MOST_WHO),
-                        from.text(Command.MOST_WHY));
-            case 29 -> new Talk.Taken(from.whole(), (int) from.whole(), from.whole(), from.text(Talk.MOST_LINE));
-            case 30 -> new Talk.Recall(from.whole());
-            case 31 -> new Talk.Recalled(from.whole(), from.whole());
+                        from.text(RegistryCommand.MAX_AUTHOR_CHARS),
+                        from.text(RegistryCommand.MAX_REASON_CHARS));
+            case 29 ->
+                new RulesMessage.RequestAnswer(
+                        from.whole(), (int) from.whole(), from.whole(), from.text(RulesMessage.MAX_LINE_CHARS));
+            case 30 -> new RulesMessage.GenerationQuery(from.whole());
+            case 31 -> new RulesMessage.GenerationAnswer(from.whole(), from.whole());
             default -> throw new IOException("no talk has the kind " + kind);
         };
     }
 
     // ---- Whole books, for snapshots ----
 
-    static List<byte[]> chunks(RuleBook.Whole whole) {
+    static List<byte[]> chunks(RuleRegistry.Snapshot whole) {
         byte[] all = array(to -> {
             to.writeNumber(whole.active());
-            to.writeNumber(whole.waiting());
+            to.writeNumber(whole.pending());
             to.writeNumber(whole.newest());
             to.writeStartArray();
-            for (RuleBook.Version version : whole.versions()) {
+            for (RuleRegistry.Version version : whole.versions()) {
                 to.writeStartArray();
                 to.writeNumber(version.number());
                 to.writeNumber(version.base());
-                to.writeString(version.who());
-                to.writeString(version.why());
+                to.writeString(version.author());
+                to.writeString(version.reason());
                 to.writeNumber(version.wallMs());
                 to.writeNumber(version.state().ordinal());
-                figures(to, version.figures());
+                figures(to, version.limits());
                 to.writeString(version.text());
                 to.writeEndArray();
             }
             to.writeEndArray();
-            texts(to, whole.names());
+            texts(to, whole.gatewayNames());
             to.writeStartArray();
-            for (Map.Entry<String, Long> mark : whole.marks().entrySet()) {
+            for (Map.Entry<String, Long> mark : whole.reservedFloors().entrySet()) {
                 to.writeStartArray();
                 to.writeString(mark.getKey());
                 to.writeNumber(mark.getValue());
@@ -637,7 +651,7 @@
         to.writeEndArray();
     }
 
-    static RuleBook.Whole whole(List<Object> chunks) throws IOException {
+    static RuleRegistry.Snapshot whole(List<Object> chunks) throws IOException {
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         if (chunks.size() > MOST_CHUNKS) {
             throw new IOException("a snapshot of more than " + MOST_CHUNKS + " pieces");
@@ -650,39 +664,40 @@
             long active = from.whole();
             long waiting = from.whole();
             long newest = from.whole();
-            List<RuleBook.Version> versions = from.list(
-                    RuleBook.KEPT,
-                    () -> new RuleBook.Version(
+            List<RuleRegistry.Version> versions = from.list(
+                    RuleRegistry.MAX_VERSIONS,
+                    () -> new RuleRegistry.Version(
                             from.whole(),
                             from.whole(),
-                            from.text(Command.MOST_WHO),
-                            from.text(4 * Command.MOST_WHY),
+                            from.text(RegistryCommand.MAX_AUTHOR_CHARS),
+                            from.text(4 * RegistryCommand.MAX_REASON_CHARS),
                             from.whole(),
                             state(from.count()),
                             figures(from),
-                            from.text(Command.MOST_TEXT)));
+                            from.text(RegistryCommand.MAX_TEXT_CHARS)));
             List<String> names = from.texts(MOST_CHUNKS, MOST_NAME);
             Map<String, Long> marks = new TreeMap<>();
-            from.list(MOST_CHUNKS, () -> marks.put(from.text(Command.MOST_NAME), from.whole()));
+            from.list(MOST_CHUNKS, () -> marks.put(from.text(RegistryCommand.MAX_NAME_CHARS), from.whole()));
             Map<Long, List<String>> proposals = new LinkedHashMap<>();
             from.list(64, () -> {
                 long id = from.whole();
-                String[] pieces = new String[Math.min(from.count(), Command.MOST_PIECES)];
+                String[] pieces = new String[Math.min(from.count(), RegistryCommand.MAX_PIECES)];
                 from.list(
-                        Command.MOST_PIECES,
-                        () -> pieces[Math.min(pieces.length - 1, from.count())] = from.text(Command.PIECE));
+                        RegistryCommand.MAX_PIECES,
+                        () -> pieces[Math.min(pieces.length - 1, from.count())] =
+                                from.text(RegistryCommand.PIECE_CHARS));
                 return proposals.put(id, java.util.Arrays.asList(pieces));
             });
             from.expect(JsonToken.END_ARRAY);
             from.end();
-            return new RuleBook.Whole(active, waiting, newest, versions, names, marks, proposals);
+            return new RuleRegistry.Snapshot(active, waiting, newest, versions, names, marks, proposals);
         }
     }
 
-    private static RuleBook.State state(int ordinal) throws IOException {
-        if (ordinal >= RuleBook.State.values().length) {
+    private static RuleRegistry.State state(int ordinal) throws IOException {
+        if (ordinal >= RuleRegistry.State.values().length) {
             throw new IOException("no version is in the state " + ordinal);
         }
-        return RuleBook.State.values()[ordinal];
+        return RuleRegistry.State.values()[ordinal];
     }
 }
--- a/src/main/java/petrelstand/fleet/RulesClient.java
+++ b/src/main/java/petrelstand/fleet/RulesClient.java
@@ -10,9 +10,9 @@
 import java.nio.ByteBuffer;
 import java.security.SecureRandom;
 import java.util.List;
-import petrelstand.agreement.Command;
-import petrelstand.agreement.Talk;
-import petrelstand.consensus.Parcel;
+import petrelstand.agreement.RegistryCommand;
+import petrelstand.agreement.RulesMessage;
+import petrelstand.consensus.Envelope;
 import petrelstand.consensus.Wire;
 import petrelstand.net.Addresses;
 
@@ -45,30 +45,33 @@
      *
      * @return the version, or the fault; null where nobody who leads answered in time: it may have been taken
      */
-    public Talk.Taken propose(long base, String who, String why, String text, long patienceMs) throws IOException {
-        List<String> pieces = Command.pieces(text);
+    public RulesMessage.RequestAnswer propose(long base, String who, String why, String text, long patienceMs)
+            throws IOException {
+        List<String> pieces = RegistryCommand.splitIntoPieces(text);
         long id = new SecureRandom().nextLong();
         long wallMs = System.currentTimeMillis();
         long untilNs = System.nanoTime() + patienceMs * 1_000_000;
         int next = 0;
         while (System.nanoTime() < untilNs) {
-            Talk.Taken taken =
-                    ask(new Talk.Offer(id, base, who, why, wallMs, next, pieces.size(), pieces.get(next)), id);
-            if (taken != null && taken.next() < 0) {
+            RulesMessage.RequestAnswer taken = ask(
+                    new RulesMessage.ProposalPiece(id, base, who, why, wallMs, next, pieces.size(), pieces.get(next)),
+                    id);
+            if (taken != null && taken.nextPiece() < 0) {
                 return taken;
             }
-            next = taken == null || taken.next() >= pieces.size() ? 0 : taken.next();
+            next = taken == null || taken.nextPiece() >= pieces.size() ? 0 : taken.nextPiece();
         }
         return null;
     }
 
     /** Orders; the answer, or null where nobody who leads answered in time. */
-    public Talk.Taken order(String verb, long version, String name, String who, String why, long patienceMs)
-            throws IOException {
+    public RulesMessage.RequestAnswer order(
+            String verb, long version, String name, String who, String why, long patienceMs) throws IOException {
         long id = new SecureRandom().nextLong();
         long untilNs = System.nanoTime() + patienceMs * 1_000_000;
         while (System.nanoTime() < untilNs) {
-            Talk.Taken taken = ask(new Talk.Order(id, verb, version, name, who, why), id);
+            RulesMessage.RequestAnswer taken =
+                    ask(new RulesMessage.AdminRequest(id, verb, version, name, who, why), id);
             if (taken != null) {
                 return taken;
             }
@@ -76,8 +79,8 @@
         return null;
     }
 
-    private Talk.Taken ask(Talk talk, long id) throws IOException {
-        byte[] datagram = seal.close(Seal.RULES, Wire.encode(new Parcel(fleet, NAME, own, 0, 0, null, talk)));
+    private RulesMessage.RequestAnswer ask(RulesMessage talk, long id) throws IOException {
+        byte[] datagram = seal.close(Seal.RULES, Wire.encode(new Envelope(fleet, NAME, own, 0, 0, null, talk)));
         for (InetSocketAddress gateway : gateways) {
             try {
                 socket.send(new DatagramPacket(datagram, datagram.length, gateway));
@@ -92,8 +95,8 @@
             DatagramPacket answer = new DatagramPacket(buffer, buffer.length);
             try {
                 socket.receive(answer);
-                Parcel parcel = Wire.decode(seal.open(ByteBuffer.wrap(buffer, 0, answer.getLength())));
-                if (parcel.talk() instanceof Talk.Taken taken && taken.id() == id) {
+                Envelope parcel = Wire.decode(seal.open(ByteBuffer.wrap(buffer, 0, answer.getLength())));
+                if (parcel.rulesMessage() instanceof RulesMessage.RequestAnswer taken && taken.id() == id) {
                     return taken;
                 }
             } catch (SocketTimeoutException e) {
--- a/src/main/java/petrelstand/lab/capacity/RulesPlay.java
+++ b/src/main/java/petrelstand/lab/capacity/RulesPlay.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.stream.IntStream;
 import java.util.stream.LongStream;
-import petrelstand.agreement.Promise;
+import petrelstand.agreement.LeaseTiming;
 import petrelstand.lab.Probe;
 import petrelstand.lab.faults.FleetPlan;
 import petrelstand.lab.faults.FleetPlan.Fault;
@@ -24,7 +24,7 @@
     RulesPlay(int size, long seed, RulesSim.Maker maker, Probe probe) {
         this.size = size;
         this.seed = seed;
-        sim = new RulesSim(size, VOTERS, VOTERS, Promise.USUAL, seed, maker, probe);
+        sim = new RulesSim(size, VOTERS, VOTERS, LeaseTiming.DEFAULT, seed, maker, probe);
         sim.proposeAt(S);
     }
 
--- a/src/main/java/petrelstand/lab/faults/FaultScenario.java
+++ b/src/main/java/petrelstand/lab/faults/FaultScenario.java
@@ -5,7 +5,7 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Locale;
-import petrelstand.agreement.Promise;
+import petrelstand.agreement.LeaseTiming;
 import petrelstand.config.IniFile;
 import petrelstand.members.Timing;
 
@@ -82,7 +82,7 @@
                 !trial.has("fleet") || trial.place("fleet", List.of("off", "on")) == 1,
                 trial.whole("voters", 0, 0, Math.min(9, processes)),
                 trial.durationUs("change", 0, 0, 3_600_000_000L),
-                trial.durationUs("promise", Promise.USUAL.withinUs(), 500_000, 60_000_000),
+                trial.durationUs("promise", LeaseTiming.DEFAULT.maxConflictUs(), 500_000, 60_000_000),
                 List.copyOf(faults));
         ini.refuseUnread();
         return scenario;
--- a/src/main/java/petrelstand/lab/faults/RulesDriver.java
+++ b/src/main/java/petrelstand/lab/faults/RulesDriver.java
@@ -12,7 +12,7 @@
 import java.util.HexFormat;
 import java.util.List;
 import java.util.function.Consumer;
-import petrelstand.agreement.Talk;
+import petrelstand.agreement.RulesMessage;
 import petrelstand.fleet.RulesClient;
 
 /** An operator who changes the rules of a trial's gateways again and again, and says what was answered. */
@@ -44,14 +44,15 @@
                                             + units + "\nfloor = " + Math.max(1, units / 10) + "\n";
                             JsonObject line = line("proposed", n, base, "");
                             record.accept(line);
-                            Talk.Taken taken = client.propose(base, "trial", "change " + n, text, PATIENCE_MS);
+                            RulesMessage.RequestAnswer taken =
+                                    client.propose(base, "trial", "change " + n, text, PATIENCE_MS);
                             record.accept(line(
-                                    taken == null ? "unknown" : taken.fault().isEmpty() ? "agreed" : "refused",
+                                    taken == null ? "unknown" : taken.error().isEmpty() ? "agreed" : "refused",
                                     n,
                                     taken == null ? 0 : taken.version(),
-                                    taken == null ? "" : taken.fault()));
+                                    taken == null ? "" : taken.error()));
                             if (taken != null
-                                    && (taken.fault().isEmpty() || taken.fault().startsWith("it is based on"))) {
+                                    && (taken.error().isEmpty() || taken.error().startsWith("it is based on"))) {
                                 base = taken.version();
                             }
                             Thread.sleep(everyUs / 1000);
--- a/src/main/java/petrelstand/lab/rules/RulesMeasure.java
+++ b/src/main/java/petrelstand/lab/rules/RulesMeasure.java
@@ -4,7 +4,7 @@
 import java.util.Collections;
 import java.util.List;
 import java.util.Locale;
-import petrelstand.agreement.Promise;
+import petrelstand.agreement.LeaseTiming;
 import petrelstand.lab.faults.FleetPlan;
 import petrelstand.lab.faults.FleetPlan.Fault;
 import petrelstand.lab.faults.FleetPlan.Kind;
@@ -25,7 +25,7 @@
             long messages = 0;
             long bytes = 0;
             for (int seed = 1; seed <= (size[0] > 20 ? Math.max(1, seeds / 20) : seeds); seed++) {
-                RulesSim sim = new RulesSim(size[0], size[1], Promise.USUAL, seed, RulesSim.USUAL);
+                RulesSim sim = new RulesSim(size[0], size[1], LeaseTiming.DEFAULT, seed, RulesSim.USUAL);
                 sim.proposeAt(6_000_000);
                 sim.run(8_000_000);
                 long sent = sim.counts().get("messages");
@@ -35,7 +35,7 @@
                 messages = (sim.counts().get("messages") - sent) / 10 / size[0];
                 bytes = (sim.counts().get("bytes") - carried) / 10 / size[0];
                 calm.addAll(sim.tookUs());
-                RulesSim one = new RulesSim(size[0], size[1], Promise.USUAL, seed, RulesSim.USUAL);
+                RulesSim one = new RulesSim(size[0], size[1], LeaseTiming.DEFAULT, seed, RulesSim.USUAL);
                 one.proposeAt(6_000_000, 10_000_000 + seed * 37_000L);
                 // One that does not lead falls silent just before the change.
                 one.run(9_999_000 + seed * 37_000L);
@@ -65,7 +65,7 @@
     }
 
     private static long leaderless(Kind kind, int seed) {
-        RulesSim sim = new RulesSim(5, 3, Promise.USUAL, seed, RulesSim.USUAL);
+        RulesSim sim = new RulesSim(5, 3, LeaseTiming.DEFAULT, seed, RulesSim.USUAL);
         sim.run(9_000_000 + seed * 7_000L);
         int leader = sim.leaderNow();
         long from = sim.nowUs();
--- a/src/main/java/petrelstand/lab/rules/RulesSearch.java
+++ b/src/main/java/petrelstand/lab/rules/RulesSearch.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import petrelstand.agreement.Promise;
+import petrelstand.agreement.LeaseTiming;
 import petrelstand.lab.faults.FleetPlan;
 import petrelstand.lab.faults.FleetPlan.Fault;
 import petrelstand.lab.faults.FleetPlan.Kind;
@@ -19,14 +19,14 @@
     /** Moments before and after the change: about it, messages are some hundreds of microseconds apart. */
     private static final long[] MOMENTS_US = {-3_500_000, -1_000_000, -100_000, 500, 1_000, 2_000, 4_000, 1_000_000};
 
-    private static final Promise SHORT = new Promise(2_000_000, 0.05);
+    private static final LeaseTiming SHORT = new LeaseTiming(2_000_000, 0.05);
 
     /** How many courses were played, the first broken promise in words, its faults, and the longest contradiction. */
     public record Result(long played, String fault, List<Fault> faults, long longestUs) {
         @Override
         public String toString() {
             return played + " courses played, longest contradiction " + longestUs / 1000 + " ms of "
-                    + SHORT.withinUs() / 1000 + "; "
+                    + SHORT.maxConflictUs() / 1000 + "; "
                     + (fault.isEmpty() ? "no promise broken" : fault + " in " + faults);
         }
     }
--- a/src/main/java/petrelstand/lab/rules/RulesSim.java
+++ b/src/main/java/petrelstand/lab/rules/RulesSim.java
@@ -11,16 +11,16 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
-import petrelstand.agreement.Grantor;
-import petrelstand.agreement.Holder;
-import petrelstand.agreement.Promise;
-import petrelstand.agreement.RuleBook;
+import petrelstand.agreement.LeaseGrantor;
+import petrelstand.agreement.LeaseHolder;
+import petrelstand.agreement.LeaseTiming;
+import petrelstand.agreement.RuleRegistry;
 import petrelstand.agreement.Rules;
-import petrelstand.agreement.Talk;
+import petrelstand.agreement.RulesMessage;
 import petrelstand.config.RulesText;
-import petrelstand.consensus.Parcel;
+import petrelstand.consensus.Envelope;
+import petrelstand.consensus.QuorumRecovery;
 import petrelstand.consensus.RaftFiles;
-import petrelstand.consensus.Recovery;
 import petrelstand.consensus.Voter;
 import petrelstand.consensus.Wire;
 import petrelstand.lab.Probe;
@@ -37,22 +37,33 @@
 public final class RulesSim {
     /** Makes the modules of a process; tests plant defects here. */
     public interface Maker {
-        Holder holder(long nowUs, long life, List<String> voters, Promise promise, long seed, Holder.Actions actions);
+        LeaseHolder holder(
+                long nowUs,
+                long life,
+                List<String> voters,
+                LeaseTiming promise,
+                long seed,
+                LeaseHolder.Actions actions);
 
-        Grantor grantor(Promise promise, RuleBook book, Grantor.Actions actions);
+        LeaseGrantor grantor(LeaseTiming promise, RuleRegistry book, LeaseGrantor.Actions actions);
     }
 
     /** The modules as the gateway has them. */
     public static final Maker USUAL = new Maker() {
         @Override
-        public Holder holder(
-                long nowUs, long life, List<String> voters, Promise promise, long seed, Holder.Actions actions) {
-            return new Holder(nowUs, life, voters, promise, seed, RulesSim::load, actions);
+        public LeaseHolder holder(
+                long nowUs,
+                long life,
+                List<String> voters,
+                LeaseTiming promise,
+                long seed,
+                LeaseHolder.Actions actions) {
+            return new LeaseHolder(nowUs, life, voters, promise, seed, RulesSim::load, actions);
         }
 
         @Override
-        public Grantor grantor(Promise promise, RuleBook book, Grantor.Actions actions) {
-            return new Grantor(promise, book, actions);
+        public LeaseGrantor grantor(LeaseTiming promise, RuleRegistry book, LeaseGrantor.Actions actions) {
+            return new LeaseGrantor(promise, book, actions);
         }
     };
 
@@ -67,12 +78,12 @@
         return RulesText.load("rules", text, null);
     }
 
-    private final class Process implements RaftNodeExecutor, Holder.Actions, Voter.Carrier {
+    private final class Process implements RaftNodeExecutor, LeaseHolder.Actions, Voter.Callbacks {
         final int number;
         final String name;
         final double rate;
         final MemoryFolder folder = new MemoryFolder();
-        Holder holder;
+        LeaseHolder holder;
         Voter voter;
         RaftFiles files;
         long life;
@@ -103,13 +114,13 @@
             probe.entered(number);
             holder = maker.holder(clock(), random.nextLong(), voters, promise, random.nextLong(), this);
             if (kept != null) {
-                holder.recall(clock(), keptVersion, kept);
+                holder.restore(clock(), keptVersion, kept);
             }
             voter = null;
             if (number < mayVote) {
                 try {
                     files = new RaftFiles(folder.opened(), line -> {});
-                    if (voters.contains(name) || files.restored() != null) {
+                    if (voters.contains(name) || files.restoredState() != null) {
                         vote();
                     }
                 } catch (IOException | StateFault e) {
@@ -205,28 +216,28 @@
         }
 
         @Override
-        public void send(String to, RaftMessage message) {
-            carry(this, to, new Parcel("lab", name, name, files.generation(), voter.epoch(), message, null));
+        public void sendRaftMessage(String to, RaftMessage message) {
+            carry(this, to, new Envelope("lab", name, name, files.generation(), voter.epoch(), message, null));
         }
 
         @Override
-        public void talk(String to, Talk talk) {
-            carry(this, to, new Parcel("lab", name, name, files.generation(), voter.epoch(), null, talk));
+        public void sendRulesMessage(String to, RulesMessage talk) {
+            carry(this, to, new Envelope("lab", name, name, files.generation(), voter.epoch(), null, talk));
         }
 
         @Override
-        public void send(String to, Talk talk) {
-            carry(this, to, new Parcel("lab", name, name, 0, 0, null, talk));
+        public void send(String to, RulesMessage talk) {
+            carry(this, to, new Envelope("lab", name, name, 0, 0, null, talk));
         }
 
         @Override
-        public void changed() {}
+        public void stateChanged() {}
 
         @Override
-        public void acts(long at, Holder.Acting acting, String why) {}
+        public void effectiveRulesChanged(long at, LeaseHolder.EffectiveRules acting, String why) {}
 
         @Override
-        public void keep(long version, String text) {
+        public void storeVersion(long version, String text) {
             kept = text;
             keptVersion = version;
         }
@@ -237,32 +248,32 @@
         }
 
         @Override
-        public void say(String line) {}
+        public void log(String line) {}
 
-        void receive(String from, Parcel parcel) {
-            if (parcel.raft() != null) {
+        void receive(String from, Envelope parcel) {
+            if (parcel.raftMessage() != null) {
                 if (voter == null && files != null) {
                     vote();
                 }
                 if (voter != null) {
-                    voter.receive(parcel.raft(), parcel.epoch());
+                    voter.receiveRaftMessage(parcel.raftMessage(), parcel.epoch());
                 }
-            } else if (parcel.talk() instanceof Talk.Renew
-                    || parcel.talk() instanceof Talk.Fetch
-                    || parcel.talk() instanceof Talk.Offer
-                    || parcel.talk() instanceof Talk.Order) {
+            } else if (parcel.rulesMessage() instanceof RulesMessage.LeaseRequest
+                    || parcel.rulesMessage() instanceof RulesMessage.FetchPiece
+                    || parcel.rulesMessage() instanceof RulesMessage.ProposalPiece
+                    || parcel.rulesMessage() instanceof RulesMessage.AdminRequest) {
                 if (voter != null) {
-                    voter.hear(from, parcel.talk());
+                    voter.receiveRequest(from, parcel.rulesMessage());
                 }
             } else {
-                holder.receive(clock(), from, parcel.talk());
+                holder.receive(clock(), from, parcel.rulesMessage());
             }
         }
     }
 
     private final Maker maker;
     private final Probe probe;
-    private final Promise promise;
+    private final LeaseTiming promise;
     private final SplittableRandom random;
     private final List<String> voters = new ArrayList<>();
     private final int mayVote;
@@ -271,7 +282,7 @@
     private final VirtualTime time = new VirtualTime();
     private final Links links;
     private final Map<String, Long> counts = new TreeMap<>();
-    private final Holder.Acting[] acting;
+    private final LeaseHolder.EffectiveRules[] acting;
     private String broken = "";
     // Proposals of the day's own operator.
     private long proposal;
@@ -288,24 +299,24 @@
     private long firstActedVersion;
 
     /** Gateways of which the first {@code voting} vote; clocks drift by up to the promise's rate, either way. */
-    public RulesSim(int size, int voting, Promise promise, long seed, Maker maker) {
+    public RulesSim(int size, int voting, LeaseTiming promise, long seed, Maker maker) {
         this(size, voting, voting, promise, seed, maker);
     }
 
     /** The same, and some after the first may be made voters by an order. */
-    public RulesSim(int size, int voting, int mayVote, Promise promise, long seed, Maker maker) {
+    public RulesSim(int size, int voting, int mayVote, LeaseTiming promise, long seed, Maker maker) {
         this(size, voting, mayVote, promise, seed, maker, Probe.NONE);
     }
 
     /** The same, observed. */
-    public RulesSim(int size, int voting, int mayVote, Promise promise, long seed, Maker maker, Probe probe) {
+    public RulesSim(int size, int voting, int mayVote, LeaseTiming promise, long seed, Maker maker, Probe probe) {
         this.maker = maker;
         this.probe = probe;
         this.mayVote = mayVote;
         this.promise = promise;
         this.random = new SplittableRandom(seed);
         this.links = new Links(size, seed + 1);
-        this.acting = new Holder.Acting[size];
+        this.acting = new LeaseHolder.EffectiveRules[size];
         for (int i = 0; i < voting; i++) {
             voters.add(name(i));
         }
@@ -336,10 +347,10 @@
         return time.nowUs();
     }
 
-    private void carry(Process from, String to, Parcel parcel) {
+    private void carry(Process from, String to, Envelope parcel) {
         Process there = processes.get(to);
         if (to.equals("operator")) {
-            at(time.nowUs() + LEAST_DELAY_US, () -> answered(parcel.talk()));
+            at(time.nowUs() + LEAST_DELAY_US, () -> answered(parcel.rulesMessage()));
         }
         if (there == null) {
             return;
@@ -350,7 +361,7 @@
         probe.entered(from.number);
     }
 
-    private void transport(Process from, Process there, Parcel parcel, byte[] bytes) {
+    private void transport(Process from, Process there, Envelope parcel, byte[] bytes) {
         probe.sent(from.number, bytes.length);
         counts.merge("messages", 1L, Long::sum);
         counts.merge("bytes", (long) bytes.length, Long::sum);
@@ -366,7 +377,7 @@
                 if (there.up) {
                     probe.received(there.number, bytes.length);
                 }
-                Parcel come = opened(there, bytes);
+                Envelope come = opened(there, bytes);
                 if (come != null) {
                     there.run(there.life, () -> there.receive(from.name, come));
                 }
@@ -375,7 +386,7 @@
     }
 
     /** The parcel of some bytes that reached a process; null where they can't be read, which breaks the day. */
-    private Parcel opened(Process there, byte[] bytes) {
+    private Envelope opened(Process there, byte[] bytes) {
         probe.entered(there.number);
         try {
             return Wire.decode(bytes);
@@ -476,14 +487,15 @@
                                 there.life,
                                 () -> there.receive(
                                         "operator",
-                                        new Parcel(
+                                        new Envelope(
                                                 "lab",
                                                 "operator",
                                                 "operator",
                                                 0,
                                                 0,
                                                 null,
-                                                new Talk.Order(id, verb, version, name, "operator", "day")))));
+                                                new RulesMessage.AdminRequest(
+                                                        id, verb, version, name, "operator", "day")))));
             }
             at(time.nowUs() + 1_000_000, () -> order(id, verb, version, name));
         }
@@ -497,7 +509,7 @@
     /** A process that is down has its folder made the beginning of a new epoch, and starts again. */
     public void recover(int number, int drawn) throws IOException, StateFault {
         Process process = byNumber.get(number);
-        base = new Recovery(new RaftFiles(process.folder.opened(), line -> {}))
+        base = new QuorumRecovery(new RaftFiles(process.folder.opened(), line -> {}))
                 .write("operator", "day", time.nowUs() / 1000, drawn);
         proposal = 0;
         process.start();
@@ -512,8 +524,8 @@
     public int leasedOn(long version) {
         return (int) byNumber.stream()
                 .filter(p -> p.up && !p.stopped)
-                .map(p -> p.holder.acting(p.clock()))
-                .filter(a -> a.mode() == Holder.Mode.LEASED && a.version() == version)
+                .map(p -> p.holder.effectiveRules(p.clock()))
+                .filter(a -> a.mode() == LeaseHolder.Mode.LEASED && a.version() == version)
                 .count();
     }
 
@@ -523,7 +535,7 @@
                 .filter(p -> p.up
                         && !p.stopped
                         && p.voter != null
-                        && p.voter.grantor().leads())
+                        && p.voter.grantor().isLeader())
                 .mapToInt(p -> p.number)
                 .max()
                 .orElse(-1);
@@ -532,7 +544,7 @@
     /** Who votes, as the process that leads holds it; empty where none does. */
     public List<String> votersNow() {
         return byNumber.stream()
-                .filter(p -> p.up && p.voter != null && p.voter.grantor().leads())
+                .filter(p -> p.up && p.voter != null && p.voter.grantor().isLeader())
                 .findFirst()
                 .map(p -> p.voter.voters())
                 .orElse(List.of());
@@ -546,16 +558,17 @@
                 proposedUs = time.nowUs();
             }
             // Asked of every voter: whoever leads takes it.
-            String text =
-                    "[fleet]\ngateways = 2\n[limit basic]\nunits = " + (base + 1) % RuleBook.EPOCH + "\nfloor = 0\n";
-            Talk.Offer offer = new Talk.Offer(proposal, base, "operator", "day", proposedUs / 1000, 0, 1, text);
+            String text = "[fleet]\ngateways = 2\n[limit basic]\nunits = "
+                    + (base + 1) % RuleRegistry.VERSIONS_PER_EPOCH + "\nfloor = 0\n";
+            RulesMessage.ProposalPiece offer =
+                    new RulesMessage.ProposalPiece(proposal, base, "operator", "day", proposedUs / 1000, 0, 1, text);
             for (Process there : byNumber.subList(0, mayVote)) {
                 at(
                         time.nowUs() + LEAST_DELAY_US,
                         () -> there.run(
                                 there.life,
                                 () -> there.receive(
-                                        "operator", new Parcel("lab", "operator", "operator", 0, 0, null, offer))));
+                                        "operator", new Envelope("lab", "operator", "operator", 0, 0, null, offer))));
             }
         }
         if (pauseUs > 0) {
@@ -569,18 +582,18 @@
         }
     }
 
-    private void answered(Talk talk) {
-        if (talk instanceof Talk.Taken taken && taken.id() != proposal && taken.next() < 0) {
+    private void answered(RulesMessage talk) {
+        if (talk instanceof RulesMessage.RequestAnswer taken && taken.id() != proposal && taken.nextPiece() < 0) {
             ordersDone.add(taken.id());
         }
-        if (!(talk instanceof Talk.Taken taken) || taken.id() != proposal || taken.next() >= 0) {
+        if (!(talk instanceof RulesMessage.RequestAnswer taken) || taken.id() != proposal || taken.nextPiece() >= 0) {
             return;
         }
-        if (taken.fault().isEmpty()) {
+        if (taken.error().isEmpty()) {
             acknowledged.put(taken.version(), time.nowUs());
             proposedAtUs.put(taken.version(), proposedUs);
             base = taken.version();
-        } else if (taken.fault().startsWith("it is based on")) {
+        } else if (taken.error().startsWith("it is based on")) {
             base = taken.version();
         }
         proposal = 0;
@@ -599,13 +612,13 @@
         if (!process.up || process.stopped) {
             return;
         }
-        Holder.Acting now = process.holder.acting(process.clock());
-        Holder.Acting before = acting[process.number];
+        LeaseHolder.EffectiveRules now = process.holder.effectiveRules(process.clock());
+        LeaseHolder.EffectiveRules before = acting[process.number];
         if (now.equals(before)) {
             return;
         }
         acting[process.number] = now;
-        if (now.mode() == Holder.Mode.LEASED) {
+        if (now.mode() == LeaseHolder.Mode.LEASED) {
             if (now.version() > firstActedVersion) {
                 firstActedVersion = now.version();
                 unconfirmed(process, now.version());
@@ -621,9 +634,9 @@
             if (other == first || !other.up) {
                 continue;
             }
-            Holder.Acting there = other.holder.acting(other.clock());
-            boolean old = there.mode() == Holder.Mode.LEASED && there.version() < version;
-            if (old && other.holder.prepared() < version) {
+            LeaseHolder.EffectiveRules there = other.holder.effectiveRules(other.clock());
+            boolean old = there.mode() == LeaseHolder.Mode.LEASED && there.version() < version;
+            if (old && other.holder.preparedVersion() < version) {
                 breaks(first.name + " acted on version " + version + " while " + other.name + " acted on version "
                         + there.version() + " and had not confirmed it");
             }
@@ -633,19 +646,19 @@
     private void compare(int number) {
         for (Process other : byNumber) {
             int pair = Math.min(number, other.number) * byNumber.size() + Math.max(number, other.number);
-            Holder.Acting a = acting[number];
-            Holder.Acting b = acting[other.number];
+            LeaseHolder.EffectiveRules a = acting[number];
+            LeaseHolder.EffectiveRules b = acting[other.number];
             boolean contradicts = other.number != number
                     && a != null
                     && b != null
-                    && a.mode() == Holder.Mode.LEASED
-                    && b.mode() == Holder.Mode.LEASED
+                    && a.mode() == LeaseHolder.Mode.LEASED
+                    && b.mode() == LeaseHolder.Mode.LEASED
                     && a.version() != b.version()
-                    && !a.rules().contradictions(b.rules()).isEmpty();
+                    && !a.rules().conflictsWith(b.rules()).isEmpty();
             Long since = contradictsSinceUs.get(pair);
             if (contradicts && since == null) {
                 contradictsSinceUs.put(pair, time.nowUs());
-                at(time.nowUs() + promise.withinUs(), () -> still(pair, time.nowUs()));
+                at(time.nowUs() + promise.maxConflictUs(), () -> still(pair, time.nowUs()));
             } else if (!contradicts && since != null) {
                 contradictsSinceUs.remove(pair);
                 contradictions.add(time.nowUs() - since);
@@ -657,7 +670,7 @@
     /** A contradiction that began a promise's time ago: a stopped process does not act, so it is looked at anew. */
     private void still(int pair, long at) {
         Long since = contradictsSinceUs.get(pair);
-        if (since != null && at - since >= promise.withinUs()) {
+        if (since != null && at - since >= promise.maxConflictUs()) {
             breaks(name(pair / byNumber.size()) + " and " + name(pair % byNumber.size()) + " contradict each other for "
                     + (at - since) / 1000 + " ms: versions " + acting[pair / byNumber.size()].version() + " and "
                     + acting[pair % byNumber.size()].version());
@@ -669,10 +682,10 @@
             return;
         }
         for (Process process : byNumber) {
-            Holder.Acting there = acting[process.number];
+            LeaseHolder.EffectiveRules there = acting[process.number];
             if (process.up
                     && !process.stopped
-                    && (there == null || there.mode() != Holder.Mode.LEASED || there.version() != version)) {
+                    && (there == null || there.mode() != LeaseHolder.Mode.LEASED || there.version() != version)) {
                 return;
             }
         }
@@ -690,7 +703,8 @@
             if (process.voter == null || !process.up) {
                 continue;
             }
-            for (RuleBook.Version version : process.voter.book().versions().values()) {
+            for (RuleRegistry.Version version :
+                    process.voter.registry().versions().values()) {
                 String told = version.base() + " " + version.wallMs() + " " + version.text();
                 String other = agreed.putIfAbsent(version.number(), told);
                 if (other != null && !other.equals(told)) {
@@ -700,7 +714,7 @@
         }
         long newest = byNumber.stream()
                 .filter(p -> p.up && p.voter != null)
-                .mapToLong(p -> p.voter.book().newest())
+                .mapToLong(p -> p.voter.registry().newest())
                 .max()
                 .orElse(Long.MAX_VALUE);
         if (!acknowledged.isEmpty() && newest < acknowledged.lastKey()) {
@@ -741,8 +755,9 @@
     /** Whether all that run act under a lease on the newest version. */
     public boolean settled() {
         for (Process process : byNumber) {
-            Holder.Acting there = process.up && !process.stopped ? process.holder.acting(process.clock()) : null;
-            if (process.up && (there == null || there.mode() != Holder.Mode.LEASED || there.version() < base)) {
+            LeaseHolder.EffectiveRules there =
+                    process.up && !process.stopped ? process.holder.effectiveRules(process.clock()) : null;
+            if (process.up && (there == null || there.mode() != LeaseHolder.Mode.LEASED || there.version() < base)) {
                 return false;
             }
         }
--- a/src/test/java/petrelstand/DefectiveRules.java
+++ b/src/test/java/petrelstand/DefectiveRules.java
@@ -1,6 +1,6 @@
 package petrelstand;
 
-import petrelstand.agreement.Holder;
+import petrelstand.agreement.LeaseHolder;
 
 /** The program with a planted defect in its leases, by the name in the argument; the checks must find each. */
 public final class DefectiveRules {
@@ -12,10 +12,10 @@
         }
         // A lease once given is acted on until another comes.
         RulesPart.in((now, life, config, seed, loader, act) ->
-                new Holder(now, life, config.voters(), config.promise(), seed, loader, act) {
+                new LeaseHolder(now, life, config.voters(), config.promise(), seed, loader, act) {
                     @Override
-                    protected boolean leaseRuns(long at) {
-                        return super.leaseRuns(Long.MIN_VALUE / 4) || heard()[0] > 0;
+                    protected boolean isLeaseValid(long at) {
+                        return super.isLeaseValid(Long.MIN_VALUE / 4) || knownVersions()[0] > 0;
                     }
                 });
         Main.main(new String[] {"serve"});
--- a/src/test/java/petrelstand/agreement/AgreementTest.java
+++ b/src/test/java/petrelstand/agreement/AgreementTest.java
@@ -14,7 +14,7 @@
 
 /** When gateways may act on which version: in virtual time, over faults, with mistakes planted that must be found. */
 class AgreementTest {
-    static RulesSim play(int size, int voting, Promise promise, long seed, RulesSim.Maker maker) {
+    static RulesSim play(int size, int voting, LeaseTiming promise, long seed, RulesSim.Maker maker) {
         RulesSim sim = new RulesSim(size, voting, promise, seed, maker);
         FleetPlan plan = FleetPlan.draw(size, seed);
         sim.arm(plan);
@@ -28,10 +28,14 @@
     void drawnFaultsBreakNoPromise() {
         int changes = 0;
         for (int seed = 1; seed <= 60; seed++) {
-            RulesSim sim =
-                    play(3 + seed % 6, seed % 2 == 0 ? 3 : 3 + 2 * (seed % 3 / 2), Promise.USUAL, seed, RulesSim.USUAL);
+            RulesSim sim = play(
+                    3 + seed % 6,
+                    seed % 2 == 0 ? 3 : 3 + 2 * (seed % 3 / 2),
+                    LeaseTiming.DEFAULT,
+                    seed,
+                    RulesSim.USUAL);
             assertEquals("", sim.fault(), "seed " + seed);
-            assertTrue(sim.longestUs() < Promise.USUAL.withinUs(), "seed " + seed);
+            assertTrue(sim.longestUs() < LeaseTiming.DEFAULT.maxConflictUs(), "seed " + seed);
             changes += sim.acknowledged();
         }
         assertTrue(changes > 1_000, changes + " changes");
@@ -39,14 +43,14 @@
 
     @Test
     void withAllThereAChangeIsActedOnByAllWithin300MsAndNothingWaitsForOneThatIsSilentLongerThanThePromise() {
-        RulesSim calm = new RulesSim(5, 3, Promise.USUAL, 1, RulesSim.USUAL);
+        RulesSim calm = new RulesSim(5, 3, LeaseTiming.DEFAULT, 1, RulesSim.USUAL);
         calm.run(6_000_000);
         calm.proposeEvery(500_000);
         calm.run(20_000_000);
         assertTrue(
                 calm.tookUs().size() > 20 && calm.tookUs().stream().allMatch(us -> us < 300_000), "" + calm.tookUs());
         assertTrue(calm.counts().get("longest") <= 1376, "" + calm.counts());
-        RulesSim silent = new RulesSim(5, 3, Promise.USUAL, 2, RulesSim.USUAL);
+        RulesSim silent = new RulesSim(5, 3, LeaseTiming.DEFAULT, 2, RulesSim.USUAL);
         silent.arm(new FleetPlan(5, 2, 0, List.of(new FleetPlan.Fault(FleetPlan.Kind.KILL, 4, 10_100_000, 0, 0))));
         silent.run(6_000_000);
         silent.proposeEvery(500_000);
@@ -67,7 +71,7 @@
     void votersAreAddedAndRemovedWhileFaultsGoOn() {
         int whole = 0;
         for (int seed = 1; seed <= 25; seed++) {
-            RulesSim sim = new RulesSim(8, 3, 6, Promise.USUAL, seed, RulesSim.USUAL);
+            RulesSim sim = new RulesSim(8, 3, 6, LeaseTiming.DEFAULT, seed, RulesSim.USUAL);
             sim.arm(FleetPlan.draw(8, seed));
             sim.run(4_000_000);
             sim.proposeEvery(500_000);
@@ -77,7 +81,7 @@
             }
             sim.run(60_000_000);
             assertEquals("", sim.fault(), "seed " + seed);
-            assertTrue(sim.longestUs() < Promise.USUAL.withinUs(), "seed " + seed);
+            assertTrue(sim.longestUs() < LeaseTiming.DEFAULT.maxConflictUs(), "seed " + seed);
             whole += sim.ordersDone() == 6 && sim.votersNow().equals(List.of("g003", "g004", "g005")) ? 1 : 0;
         }
         // A plan that ends a majority for good leaves orders without an answer.
@@ -88,7 +92,7 @@
     /** Two of three voters are lost for ever; the third one's folder begins a new epoch, and others are added to it. */
     @Test
     void aMajorityThatIsLostForEverIsRecoveredByTheOperator() throws Exception {
-        RulesSim sim = new RulesSim(6, 3, 5, Promise.USUAL, 3, RulesSim.USUAL);
+        RulesSim sim = new RulesSim(6, 3, 5, LeaseTiming.DEFAULT, 3, RulesSim.USUAL);
         sim.arm(new FleetPlan(
                 6,
                 3,
@@ -110,7 +114,7 @@
         assertEquals("", sim.fault());
         assertTrue(sim.acknowledged() > before + 10 && sim.settled(), sim.acknowledged() + " after " + before);
         assertEquals(List.of("g002", "g003", "g004"), sim.votersNow());
-        assertTrue(sim.newest() > 1042 * RuleBook.EPOCH, "" + sim.newest());
+        assertTrue(sim.newest() > 1042 * RuleRegistry.VERSIONS_PER_EPOCH, "" + sim.newest());
     }
 
     /**
@@ -120,12 +124,17 @@
     @Test
     void aVersionThatAMemberCantLoadWaitsAndNobodyLosesItsLease() {
         int[] made = new int[1];
-        RulesSim sim = new RulesSim(5, 3, Promise.USUAL, 1, new Planted() {
+        RulesSim sim = new RulesSim(5, 3, LeaseTiming.DEFAULT, 1, new Planted() {
             @Override
-            public Holder holder(
-                    long nowUs, long life, List<String> voters, Promise promise, long seed, Holder.Actions actions) {
+            public LeaseHolder holder(
+                    long nowUs,
+                    long life,
+                    List<String> voters,
+                    LeaseTiming promise,
+                    long seed,
+                    LeaseHolder.Actions actions) {
                 boolean older = made[0]++ == 2;
-                return new Holder(
+                return new LeaseHolder(
                         nowUs,
                         life,
                         voters,
@@ -159,7 +168,7 @@
     @Test
     void aLeaderThatEndsHandsOn() {
         for (int seed = 1; seed <= 5; seed++) {
-            RulesSim sim = new RulesSim(5, 3, Promise.USUAL, seed, RulesSim.USUAL);
+            RulesSim sim = new RulesSim(5, 3, LeaseTiming.DEFAULT, seed, RulesSim.USUAL);
             sim.run(8_000_000);
             int leader = sim.leaderNow();
             sim.arm(new FleetPlan(
@@ -174,11 +183,16 @@
     /** The lease is counted from the answer, which may have been under way for any time. */
     private static final RulesSim.Maker FROM_ANSWER = new Planted() {
         @Override
-        public Holder holder(
-                long nowUs, long life, List<String> voters, Promise promise, long seed, Holder.Actions actions) {
-            return new Holder(nowUs, life, voters, promise, seed, RulesSim::load, actions) {
+        public LeaseHolder holder(
+                long nowUs,
+                long life,
+                List<String> voters,
+                LeaseTiming promise,
+                long seed,
+                LeaseHolder.Actions actions) {
+            return new LeaseHolder(nowUs, life, voters, promise, seed, RulesSim::load, actions) {
                 @Override
-                protected long leaseEnd(long now, long askedUs) {
+                protected long leaseEndUs(long now, long askedUs) {
                     return now + promise.leaseUs();
                 }
             };
@@ -188,10 +202,10 @@
     /** The leader takes a lease to be over as soon as its own clock says so. */
     private static final RulesSim.Maker NO_DRIFT = new Planted() {
         @Override
-        public Grantor grantor(Promise promise, RuleBook book, Grantor.Actions actions) {
-            return new Grantor(promise, book, actions) {
+        public LeaseGrantor grantor(LeaseTiming promise, RuleRegistry book, LeaseGrantor.Actions actions) {
+            return new LeaseGrantor(promise, book, actions) {
                 @Override
-                protected long leaseEnd(long nowUs, long receivedUs) {
+                protected long leaseEndUs(long nowUs, long receivedUs) {
                     return receivedUs + promise.leaseUs();
                 }
             };
@@ -201,14 +215,14 @@
     /** A majority's confirmation is enough. */
     private static final RulesSim.Maker MAJORITY = new Planted() {
         @Override
-        public Grantor grantor(Promise promise, RuleBook book, Grantor.Actions actions) {
-            return new Grantor(promise, book, actions) {
+        public LeaseGrantor grantor(LeaseTiming promise, RuleRegistry book, LeaseGrantor.Actions actions) {
+            return new LeaseGrantor(promise, book, actions) {
                 @Override
                 protected boolean mayActivate(long nowUs) {
-                    long confirmed = holders().stream()
-                            .filter(h -> h.prepared() >= book.waiting())
+                    long confirmed = gateways().stream()
+                            .filter(h -> h.preparedVersion() >= book.pending())
                             .count();
-                    return 2 * confirmed > holders().size();
+                    return 2 * confirmed > gateways().size();
                 }
             };
         }
@@ -217,12 +231,17 @@
     /** The lease is not looked at when something is decided, only at each renewal. */
     private static final RulesSim.Maker NOT_LOOKED_AT = new Planted() {
         @Override
-        public Holder holder(
-                long nowUs, long life, List<String> voters, Promise promise, long seed, Holder.Actions actions) {
-            return new Holder(nowUs, life, voters, promise, seed, RulesSim::load, actions) {
+        public LeaseHolder holder(
+                long nowUs,
+                long life,
+                List<String> voters,
+                LeaseTiming promise,
+                long seed,
+                LeaseHolder.Actions actions) {
+            return new LeaseHolder(nowUs, life, voters, promise, seed, RulesSim::load, actions) {
                 @Override
-                protected boolean leaseRuns(long now) {
-                    return super.leaseRuns(Long.MIN_VALUE / 4) || answeredUs() > 0 && heard()[0] > 0;
+                protected boolean isLeaseValid(long now) {
+                    return super.isLeaseValid(Long.MIN_VALUE / 4) || lastAnswerUs() > 0 && knownVersions()[0] > 0;
                 }
             };
         }
@@ -230,13 +249,18 @@
 
     private static class Planted implements RulesSim.Maker {
         @Override
-        public Holder holder(
-                long nowUs, long life, List<String> voters, Promise promise, long seed, Holder.Actions actions) {
+        public LeaseHolder holder(
+                long nowUs,
+                long life,
+                List<String> voters,
+                LeaseTiming promise,
+                long seed,
+                LeaseHolder.Actions actions) {
             return RulesSim.USUAL.holder(nowUs, life, voters, promise, seed, actions);
         }
 
         @Override
-        public Grantor grantor(Promise promise, RuleBook book, Grantor.Actions actions) {
+        public LeaseGrantor grantor(LeaseTiming promise, RuleRegistry book, LeaseGrantor.Actions actions) {
             return RulesSim.USUAL.grantor(promise, book, actions);
         }
     }
@@ -247,7 +271,7 @@
         List<Integer> found = new ArrayList<>();
         for (int i = 0; i < planted.size(); i++) {
             // Clocks that differ more make the forgotten drift show sooner.
-            Promise promise = i == 1 ? new Promise(3_000_000, 0.1) : Promise.USUAL;
+            LeaseTiming promise = i == 1 ? new LeaseTiming(3_000_000, 0.1) : LeaseTiming.DEFAULT;
             for (int seed = 1; seed <= 400 && found.size() == i; seed++) {
                 if (!play(5, 3, promise, seed, planted.get(i)).fault().isEmpty()) {
                     found.add(seed);
@@ -261,19 +285,19 @@
     // ---- A file of rules ----
 
     /** A holder that knows a version, what its proposer said and sent. */
-    private static final class FromFile implements Holder.Actions, Proposer.Actions {
+    private static final class FromFile implements LeaseHolder.Actions, RulesFileProposer.Actions {
         final List<String> lines = new ArrayList<>();
-        final List<Talk.Offer> offers = new ArrayList<>();
-        final Holder holder = new Holder(0, 1, List.of("v"), Promise.USUAL, 1, RulesSim::load, this);
-        final Proposer proposer = new Proposer("g", "the file", holder, 1, this);
+        final List<RulesMessage.ProposalPiece> offers = new ArrayList<>();
+        final LeaseHolder holder = new LeaseHolder(0, 1, List.of("v"), LeaseTiming.DEFAULT, 1, RulesSim::load, this);
+        final RulesFileProposer proposer = new RulesFileProposer("g", "the file", holder, 1, this);
         long nowUs;
         private long nonce;
 
         /** The leader says that a version is acted on, and gives its text. */
         void agreed(long version, String text) {
             holder.tick(nowUs += 2_000_000);
-            holder.receive(nowUs, "v", new Talk.Grant(nonce, 1, version, 0, true));
-            holder.receive(nowUs, "v", new Talk.Piece(1, version, 0, 1, text));
+            holder.receive(nowUs, "v", new RulesMessage.LeaseAnswer(nonce, 1, version, 0, true));
+            holder.receive(nowUs, "v", new RulesMessage.TextPiece(1, version, 0, 1, text));
         }
 
         void run(int turns) {
@@ -283,25 +307,25 @@
         }
 
         @Override
-        public void send(String voter, Talk talk) {
-            if (talk instanceof Talk.Renew renew) {
+        public void send(String voter, RulesMessage talk) {
+            if (talk instanceof RulesMessage.LeaseRequest renew) {
                 nonce = renew.nonce();
-            } else if (talk instanceof Talk.Offer offer) {
+            } else if (talk instanceof RulesMessage.ProposalPiece offer) {
                 offers.add(offer);
             }
         }
 
         @Override
-        public void acts(long at, Holder.Acting acting, String why) {}
+        public void effectiveRulesChanged(long at, LeaseHolder.EffectiveRules acting, String why) {}
 
         @Override
-        public void keep(long version, String text) {}
+        public void storeVersion(long version, String text) {}
 
         @Override
         public void count(String what) {}
 
         @Override
-        public void say(String line) {
+        public void log(String line) {
             lines.add(line);
         }
     }
@@ -312,116 +336,120 @@
     void aChangedFileIsProposedAgainUntilAnswered() {
         FromFile one = new FromFile();
         one.agreed(3, "[limit basic]\nunits = 5\n");
-        one.proposer.changed(one.nowUs, NEW, 9);
+        one.proposer.fileChanged(one.nowUs, NEW, 9);
         one.run(60);
         assertTrue(one.offers.size() > 3
                 && one.offers.stream().allMatch(o -> o.base() == 3 && o.text().equals(NEW)));
-        one.proposer.receive(one.nowUs, new Talk.Taken(one.offers.get(0).id(), -1, 4, ""));
+        one.proposer.receive(
+                one.nowUs, new RulesMessage.RequestAnswer(one.offers.get(0).id(), -1, 4, ""));
         assertEquals(List.of("the file's rules were proposed and are version 4"), one.lines);
-        assertFalse(one.proposer.busy());
+        assertFalse(one.proposer.hasPendingProposal());
     }
 
     @Test
     void theSameFileOfAnotherGatewayIsOneVersionAndAnotherTextIsNotOverwritten() {
         FromFile same = new FromFile();
         same.agreed(3, "[limit basic]\nunits = 5\n");
-        same.proposer.changed(same.nowUs, NEW, 9);
+        same.proposer.fileChanged(same.nowUs, NEW, 9);
         same.agreed(4, NEW);
         same.run(30);
         assertEquals(List.of("the file's rules are version 4"), same.lines);
         FromFile other = new FromFile();
         other.agreed(3, "[limit basic]\nunits = 5\n");
-        other.proposer.changed(other.nowUs, NEW, 9);
+        other.proposer.fileChanged(other.nowUs, NEW, 9);
         other.agreed(4, "[limit basic]\nunits = 6\n");
         other.run(30);
         assertTrue(
                 other.lines.get(0).startsWith("the file was changed on version 3, and the newest is 4"),
                 "" + other.lines);
         FromFile alone = new FromFile();
-        alone.proposer.changed(0, NEW, 9);
+        alone.proposer.fileChanged(0, NEW, 9);
         alone.run(700);
         assertTrue(alone.lines.get(0).startsWith("nobody who leads took the file's rules in 30 s"), "" + alone.lines);
     }
 
     @Test
     void aFloodOfAskersAndOfVersionsLeavesEveryTableBounded() {
-        Grantor grantor = new Grantor(Promise.USUAL, new RuleBook(), new Grantor.Actions() {
+        LeaseGrantor grantor = new LeaseGrantor(LeaseTiming.DEFAULT, new RuleRegistry(), new LeaseGrantor.Actions() {
             @Override
-            public void send(String name, Talk talk) {}
+            public void send(String name, RulesMessage talk) {}
 
             @Override
-            public void commit(Command command) {}
+            public void commit(RegistryCommand command) {}
 
             @Override
-            public void confirm(long round) {}
+            public void confirmLeadership(long round) {}
 
             @Override
-            public void say(String line) {}
+            public void log(String line) {}
         });
-        grantor.leads(1, 1);
+        grantor.isLeader(1, 1);
         FromFile one = new FromFile();
         for (int i = 0; i < 3_000; i++) {
-            grantor.renew(2, "n" + i, new Talk.Renew(i, i, 0, 0, ""));
-            one.holder.receive(one.nowUs, "v", new Talk.Hint(i, 0));
+            grantor.renew(2, "n" + i, new RulesMessage.LeaseRequest(i, i, 0, 0, ""));
+            one.holder.receive(one.nowUs, "v", new RulesMessage.VersionsChanged(i, 0));
         }
-        assertTrue(grantor.kept().stream().allMatch(n -> n <= 2 * Grantor.MOST_HOLDERS), "" + grantor.kept());
-        assertEquals(Grantor.MOST_HOLDERS, grantor.kept().get(0));
-        assertTrue(one.holder.kept().get(0) <= Holder.MOST_ASKED
-                && one.holder.kept().get(1) <= Holder.MOST_TEXTS);
+        assertTrue(
+                grantor.tableSizes().stream().allMatch(n -> n <= 2 * LeaseGrantor.MAX_GATEWAYS),
+                "" + grantor.tableSizes());
+        assertEquals(LeaseGrantor.MAX_GATEWAYS, grantor.tableSizes().get(0));
+        assertTrue(one.holder.kept().get(0) <= LeaseHolder.MAX_OPEN_REQUESTS
+                && one.holder.kept().get(1) <= LeaseHolder.MAX_TEXTS);
     }
 
     // ---- The book and the rules ----
 
-    private static RuleBook.Result propose(RuleBook book, long id, long base, long units, long floor) {
-        book.apply(new Command.Part(id, 0, 1, "text " + id));
-        return book.apply(
-                new Command.Propose(id, base, "who", "why", id, 1, List.of(new Command.Figure("basic", units, floor))));
+    private static RuleRegistry.Result propose(RuleRegistry book, long id, long base, long units, long floor) {
+        book.apply(new RegistryCommand.AddPiece(id, 0, 1, "text " + id));
+        return book.apply(new RegistryCommand.Propose(
+                id, base, "who", "why", id, 1, List.of(new RegistryCommand.PlanLimit("basic", units, floor))));
     }
 
     @Test
     void anOldBaseAWaitingVersionAHalfTextAndALimitBelowTheFloorsAreRefused() {
-        RuleBook book = new RuleBook();
+        RuleRegistry book = new RuleRegistry();
         assertEquals(1, propose(book, 1, 0, 100, 40).version());
         assertEquals(
                 "version 1 is still on its way; wait, or withdraw it",
-                propose(book, 2, 1, 90, 0).fault());
+                propose(book, 2, 1, 90, 0).error());
         assertEquals(1, propose(book, 1, 0, 100, 40).version(), "asked again, answered alike");
-        book.apply(new Command.Register("a"));
-        book.apply(new Command.Register("b"));
-        assertEquals("", book.apply(new Command.Activate(1, 0)).fault());
+        book.apply(new RegistryCommand.RegisterGateway("a"));
+        book.apply(new RegistryCommand.RegisterGateway("b"));
+        assertEquals("", book.apply(new RegistryCommand.Activate(1, 0)).error());
         assertEquals(
                 "it is based on version 0, and the newest is 1",
-                propose(book, 3, 0, 90, 0).fault());
-        assertTrue(propose(book, 4, 1, 30, 0).fault().startsWith("limit basic: units 30 is below 40, the floor"));
+                propose(book, 3, 0, 90, 0).error());
+        assertTrue(propose(book, 4, 1, 30, 0).error().startsWith("limit basic: units 30 is below 40, the floor"));
         assertEquals(2, propose(book, 5, 1, 60, 10).version());
-        book.apply(new Command.Activate(2, 0));
-        assertEquals(40, book.marks().get("basic"), "who is cut off may still act on the old floor");
+        book.apply(new RegistryCommand.Activate(2, 0));
+        assertEquals(40, book.reservedFloors().get("basic"), "who is cut off may still act on the old floor");
         assertEquals(3, propose(book, 6, 2, 60, 10).version());
-        book.apply(new Command.Activate(3, book.namesPrint()));
-        assertEquals(10, book.marks().get("basic"));
-        assertTrue(book.apply(new Command.Propose(9, 3, "w", "w", 1, 2, List.of()))
-                .fault()
+        book.apply(new RegistryCommand.Activate(3, book.gatewayNamesHash()));
+        assertEquals(10, book.reservedFloors().get("basic"));
+        assertTrue(book.apply(new RegistryCommand.Propose(9, 3, "w", "w", 1, 2, List.of()))
+                .error()
                 .contains("did not come whole"));
         assertEquals(4, propose(book, 10, 3, 60, 10).version());
-        assertEquals("", book.apply(new Command.Withdraw(4, "who", "a slip")).fault());
-        assertEquals(RuleBook.State.WITHDRAWN, book.versions().get(4L).state());
+        assertEquals(
+                "", book.apply(new RegistryCommand.Withdraw(4, "who", "a slip")).error());
+        assertEquals(RuleRegistry.State.WITHDRAWN, book.versions().get(4L).state());
         assertEquals(5, propose(book, 11, 4, 60, 10).version());
     }
 
     @Test
     void theBookIsBoundedAndItsWholeIsItself() {
-        RuleBook book = new RuleBook();
+        RuleRegistry book = new RuleRegistry();
         for (int i = 1; i <= 100; i++) {
             propose(book, i, i - 1, 10, 0);
-            book.apply(new Command.Activate(i, 0));
-            book.apply(new Command.Part(1000 + i, 0, 3, "left"));
-            book.apply(new Command.Register("n" + i));
+            book.apply(new RegistryCommand.Activate(i, 0));
+            book.apply(new RegistryCommand.AddPiece(1000 + i, 0, 3, "left"));
+            book.apply(new RegistryCommand.RegisterGateway("n" + i));
         }
-        assertEquals(RuleBook.KEPT, book.versions().size());
-        assertTrue(book.whole().proposals().size() <= RuleBook.MOST_PROPOSALS);
-        RuleBook other = new RuleBook();
-        other.become(book.whole());
-        assertEquals(book.whole(), other.whole());
+        assertEquals(RuleRegistry.MAX_VERSIONS, book.versions().size());
+        assertTrue(book.snapshot().proposals().size() <= RuleRegistry.MAX_PROPOSALS);
+        RuleRegistry other = new RuleRegistry();
+        other.restore(book.snapshot());
+        assertEquals(book.snapshot(), other.snapshot());
     }
 
     @Test
@@ -432,8 +460,8 @@
         Rules two =
                 RulesSim.load("[fleet]\ngateways = 4\n[limit basic]\nunits = 50\nfloor = 30\n[module a]\nopen = no\n"
                         + "[module b]\nopen = yes\n[switch s]\nset = on\n");
-        assertEquals(List.of("limit basic", "module a", "node n"), one.contradictions(two));
-        Rules both = one.stricter(two).fallback();
+        assertEquals(List.of("limit basic", "module a", "node n"), one.conflictsWith(two));
+        Rules both = one.restrictedBy(two).toFallback();
         assertEquals(new Rules.Limit(20, 20), both.limits().get("basic"));
         assertFalse(both.modules().get("a").open());
         assertTrue(both.modules().get("b").open()
--- a/src/test/java/petrelstand/store/VoteFilesTest.java
+++ b/src/test/java/petrelstand/store/VoteFilesTest.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import petrelstand.agreement.Command;
+import petrelstand.agreement.RegistryCommand;
 import petrelstand.consensus.RaftFiles;
 
 /** A voter's files on a disk that loses, tears and reorders what was not synced: no vote and no entry is forgotten. */
@@ -31,7 +31,7 @@
         return MODEL.createLogEntryBuilder()
                 .setIndex(index)
                 .setTerm(term)
-                .setOperation(new Command.Register("g" + index))
+                .setOperation(new RegistryCommand.RegisterGateway("g" + index))
                 .build();
     }
 
@@ -66,7 +66,7 @@
     }
 
     private static String state(RaftFiles files) {
-        RestoredRaftState restored = files.restored();
+        RestoredRaftState restored = files.restoredState();
         if (restored == null) {
             return "nothing";
         }
