--- a/src/main/java/petrelstand/discovery/NodeListWatcher.java
+++ b/src/main/java/petrelstand/discovery/NodeListWatcher.java
@@ -23,151 +23,166 @@
 import petrelstand.net.SocketAddresses;
 
 /**
- * Follows the node list: one call after another, each waiting at the agent for something newer. The next call goes out
- * at once after an answer, and a call that got none is given up for a new one. Whatever two calls in a row fail of, the
- * third goes out 5.4 s after the first at the latest: a change counts as told 6 s after discovery could be reached.
+ * Watches the node list at a discovery agent by long polling, one call after another. After an answer the next call is
+ * sent at once; a call without an answer times out and is retried. If two calls in a row fail, in whatever way, the
+ * third is sent at most 5.4 s after the first, so that a change is known here within 6 s of discovery being reachable.
  */
 public final class NodeListWatcher {
-    /** How long a call waits at the agent where calls are answered. */
-    static final long WAIT_MS = 2_000;
-    /** How long it waits after a failure, a start or a move: what was missed is there, so an answer comes at once. */
-    static final long SOON_MS = 200;
-    /** How long the first call of all waits: the start waits for it. */
-    static final long FIRST_MS = 1;
-    /** Calls that wait only so long; after these the agent is taken to be down, and asked less often. */
-    static final int SOON_CALLS = 2;
-    /** What a call may take beyond its wait, the connection that it had to open included. */
-    static final long SLACK_US = 600_000;
-    /** Rest before a new call after one that failed: under the 200 ms within which a watch goes on. */
-    static final long REST_US = 100_000;
+    /** How long the agent may hold a call while earlier calls are answered. */
+    static final long LONG_WAIT_MS = 2_000;
+    /** The wait after a failure, a start or a change of address: a change missed meanwhile is answered at once. */
+    static final long SHORT_WAIT_MS = 200;
+    /** The wait of the very first call; kept minimal because the start of the gateway waits for its answer. */
+    static final long FIRST_WAIT_MS = 1;
+    /** Number of calls with the short wait; later ones wait long again, even if the agent is still down. */
+    static final int SHORT_WAIT_CALLS = 2;
+    /** How much longer than its wait a call may take, including the time to connect. */
+    static final long TIMEOUT_SLACK_US = 600_000;
+    /** Delay between a failed call and the next one; the watch has to resume within 200 ms. */
+    static final long RETRY_DELAY_US = 100_000;
 
-    private static final int MOST_LIST = 1 << 20;
+    private static final int MAX_LIST_BYTES = 1 << 20;
 
     private final NodePool.Dialer dialer;
-    private final LongSupplier clock;
+    private final LongSupplier clockUs;
     private final Timers timers;
     private String address;
     private final String host;
     private final List<String> zones;
-    private final Consumer<NodeList> heard;
+    private final Consumer<NodeList> listener;
     private final Counters counters;
     private final Consumer<String> log;
     private long version;
-    private int failures;
-    /** Calls left that wait only shortly. */
-    private int soon = SOON_CALLS;
+    private int consecutiveFailures;
+    private int shortWaitCallsLeft = SHORT_WAIT_CALLS;
 
+    /** Reused for the next call; null while there is no connection to the agent. */
     private UpstreamConnection connection;
-    private Round round;
-    /** The rest after a failed call. */
-    private Timers.Timer rest;
 
+    private LongPoll currentPoll;
+    /** Starts the next call after a failed one. */
+    private Timers.Timer retryTimer;
+
+    /**
+     * Creates a watcher; {@link #start} sends the first call.
+     *
+     * @param clockUs the loop's time in microseconds
+     * @param address the agent's address, "ip:port"
+     * @param host value of the Host header
+     * @param zones names of the zones; a node's zone is stored as its index in this list
+     * @param version version of the list already known, or negative to ask for the whole list
+     * @param listener receives each list, which may hold only the changes since the last one
+     */
     public NodeListWatcher(
             NodePool.Dialer dialer,
-            LongSupplier clock,
+            LongSupplier clockUs,
             Timers timers,
             String address,
             String host,
             List<String> zones,
             long version,
-            Consumer<NodeList> heard,
+            Consumer<NodeList> listener,
             Counters counters,
             Consumer<String> log) {
         this.dialer = dialer;
-        this.clock = clock;
+        this.clockUs = clockUs;
         this.timers = timers;
         this.address = address;
         this.host = host;
         this.zones = zones;
         this.version = version;
-        this.heard = heard;
+        this.listener = listener;
         this.counters = counters;
         this.log = log;
     }
 
+    /** Sends the first call. */
     public void start() {
-        next(FIRST_MS);
+        startPoll(FIRST_WAIT_MS);
     }
 
     /**
-     * Goes on at another address, at once and from the version reached. What the old agent has written by now counts as
-     * told and is heard first, whatever becomes of the new one; then the call that is out ends. Guards against two
-     * loops side by side, where a failed call was resting, and against a connection to the old address that comes up
-     * late.
+     * Continues at another agent, at once and from the current version; does nothing if the address is the same.
+     *
+     * <p>An answer that the old agent has already sent is read and delivered first. Then the call in progress ends, a
+     * pending retry is cancelled so that only one call is active, and a connection to the old address that is still
+     * being established is closed.
      */
     public void changeAddress(String newAddress) {
         if (newAddress.equals(address)) {
             return;
         }
         address = newAddress;
-        if (round != null) {
-            round.endHere();
+        if (currentPoll != null) {
+            currentPoll.readPendingAndEnd();
         }
-        failures = 0;
-        soon = SOON_CALLS;
-        if (round == null) {
+        consecutiveFailures = 0;
+        shortWaitCallsLeft = SHORT_WAIT_CALLS;
+        if (currentPoll == null) {
             return;
         }
-        if (rest != null) {
-            rest.cancel();
+        if (retryTimer != null) {
+            retryTimer.cancel();
         }
         UpstreamConnection old = connection;
         connection = null;
         if (old != null) {
             old.drop();
         }
-        next();
+        startPoll();
     }
 
-    private void next() {
-        next(soon > 0 ? SOON_MS : WAIT_MS);
+    private void startPoll() {
+        startPoll(shortWaitCallsLeft > 0 ? SHORT_WAIT_MS : LONG_WAIT_MS);
     }
 
-    private void next(long waitMs) {
-        round = new Round(waitMs);
-        soon = Math.max(0, soon - 1);
+    private void startPoll(long waitMs) {
+        currentPoll = new LongPoll(waitMs);
+        shortWaitCallsLeft = Math.max(0, shortWaitCallsLeft - 1);
         if (connection != null) {
-            round.on(connection);
+            currentPoll.sendOn(connection);
             return;
         }
-        round.limit(SLACK_US);
+        currentPoll.setTimeout(TIMEOUT_SLACK_US);
         try {
-            round.dialed = dialer.connect(SocketAddresses.parse(address), round);
+            currentPoll.connectingChannel = dialer.connect(SocketAddresses.parse(address), currentPoll);
         } catch (IOException | RuntimeException e) {
-            round.failed("no connection, " + e);
+            currentPoll.fail("can't connect to the agent: " + e);
         }
     }
 
-    /** One call, and the connection it had to open. */
-    private final class Round implements Call, EventLoop.Connector {
-        private final long begunUs = clock.getAsLong();
+    /** One call to the agent, including the connection if a new one is needed. */
+    private final class LongPoll implements Call, EventLoop.Connector {
+        private final long startedUs = clockUs.getAsLong();
         private final long waitMs;
         private Timers.Timer timeout;
-        private SocketChannel dialed;
-        private boolean over;
-        /** No call follows this one by itself. */
+        /** The channel being connected, if any. */
+        private SocketChannel connectingChannel;
+
+        private boolean finished;
+        /** The end of this call doesn't start another one. */
         private boolean last;
 
-        Round(long waitMs) {
+        LongPoll(long waitMs) {
             this.waitMs = waitMs;
         }
 
-        /** It ends so long after its beginning at the latest. */
-        private void limit(long us) {
+        /** Sets or replaces the timeout, counted from the start of the call. */
+        private void setTimeout(long durationUs) {
             if (timeout != null) {
                 timeout.cancel();
             }
-            timeout = timers.at(begunUs + us, this::late);
+            timeout = timers.at(startedUs + durationUs, this::timedOut);
         }
 
-        private void on(UpstreamConnection open) {
-            dialed = null;
-            limit(waitMs * 1000 + SLACK_US);
-            open.send(this);
+        private void sendOn(UpstreamConnection idleConnection) {
+            connectingChannel = null;
+            setTimeout(waitMs * 1000 + TIMEOUT_SLACK_US);
+            idleConnection.send(this);
         }
 
-        /** Hears what has come, and ends. */
-        private void endHere() {
+        /** Delivers an answer that has already arrived, then ends the call without starting another one. */
+        private void readPendingAndEnd() {
             last = true;
             if (connection != null) {
                 connection.onFillable();
@@ -175,36 +190,37 @@
             finish();
         }
 
+        /** Ends the call and releases what it holds; returns false if it had ended before. */
         private boolean finish() {
-            boolean first = !over;
-            over = true;
+            boolean first = !finished;
+            finished = true;
             timeout.cancel();
-            if (dialed != null) {
+            if (connectingChannel != null) {
                 try {
-                    dialed.close();
+                    connectingChannel.close();
                 } catch (IOException e) {
-                    // It goes with its time at the latest.
+                    // The event loop's connect timeout closes it at the latest.
                 }
-                dialed = null;
+                connectingChannel = null;
             }
             return first;
         }
 
         @Override
         public Connection connected(EndPoint endPoint) {
-            return new UpstreamConnection(endPoint, MOST_LIST, new Budget(MOST_LIST), (c, free) -> {
-                if (!free && connection == c) {
+            return new UpstreamConnection(endPoint, MAX_LIST_BYTES, new Budget(MAX_LIST_BYTES), (source, free) -> {
+                if (!free && connection == source) {
                     connection = null;
                 }
             }) {
                 @Override
                 public void onOpen() {
                     super.onOpen();
-                    if (over) {
+                    if (finished) {
                         drop();
                     } else {
                         connection = this;
-                        on(this);
+                        sendOn(this);
                     }
                 }
             };
@@ -212,13 +228,13 @@
 
         @Override
         public void connectFailed(Throwable cause) {
-            failed("no connection, " + cause);
+            fail("can't connect to the agent: " + cause);
         }
 
         @Override
         public ByteBuffer[] bytes() {
-            // The wait, too, is counted from the beginning: a connection that came up late has taken its part of it.
-            long leftMs = Math.max(0, waitMs - (clock.getAsLong() - begunUs) / 1000);
+            // The wait counts from the start of the call, so the time to connect is taken off.
+            long leftMs = Math.max(0, waitMs - (clockUs.getAsLong() - startedUs) / 1000);
             String target = "/v1/endpoints" + (version >= 0 ? "?index=" + version + "&wait=" + leftMs : "");
             return new ByteBuffer[] {
                 Wire.request("GET", target, HttpFields.build().put(HttpHeader.HOST, host), 0)
@@ -228,7 +244,7 @@
         @Override
         public void answered(int status, HttpFields fields, ByteBuffer body) {
             if (status != 200) {
-                failed("answer " + status);
+                fail("the agent answered with status " + status);
                 return;
             }
             if (!finish()) {
@@ -238,47 +254,51 @@
                 NodeList list =
                         NodeList.parse(StandardCharsets.UTF_8.decode(body).toString(), zones);
                 counters.add("discovery.answers");
-                if (failures > 0) {
-                    log.accept("discovery: answers again");
+                if (consecutiveFailures > 0) {
+                    log.accept("discovery: the agent answers again");
                 }
-                failures = 0;
+                consecutiveFailures = 0;
                 version = list.version();
-                heard.accept(list);
+                listener.accept(list);
                 if (!last) {
-                    next();
+                    startPoll();
                 }
             } catch (IllegalArgumentException e) {
-                over = false;
-                failed(e.getMessage());
+                finished = false;
+                fail(e.getMessage());
             }
         }
 
         @Override
         public void broke(Break how) {
-            failed(how == Break.SPOILT ? "an answer that can't be read" : "the connection broke");
+            fail(
+                    how == Break.SPOILT
+                            ? "the agent's answer is malformed"
+                            : "the connection ended before the whole answer arrived");
         }
 
-        private void late() {
-            UpstreamConnection silent = connection;
-            if (silent != null) {
-                // An answer that came while the loop stood still has not been read yet.
-                silent.onFillable();
-                if (over) {
+        private void timedOut() {
+            UpstreamConnection current = connection;
+            if (current != null) {
+                // An answer that arrived while the loop was stalled has not been read yet.
+                current.onFillable();
+                if (finished) {
                     return;
                 }
-                silent.drop();
+                current.drop();
             }
-            failed("no answer");
+            fail("the agent did not answer in time");
         }
 
-        private void failed(String why) {
+        private void fail(String reason) {
             if (finish()) {
                 counters.add("discovery.failures");
-                if (failures++ == 0) {
-                    soon = SOON_CALLS;
-                    log.accept("discovery: " + why + "; asking again");
+                if (consecutiveFailures++ == 0) {
+                    shortWaitCallsLeft = SHORT_WAIT_CALLS;
+                    log.accept("discovery: " + reason + "; retrying");
                 }
-                rest = last ? null : timers.at(clock.getAsLong() + REST_US, NodeListWatcher.this::next);
+                retryTimer =
+                        last ? null : timers.at(clockUs.getAsLong() + RETRY_DELAY_US, NodeListWatcher.this::startPoll);
             }
         }
     }
