--- a/src/main/java/petrelstand/net/EventLoop.java
+++ b/src/main/java/petrelstand/net/EventLoop.java
@@ -31,39 +31,46 @@
 import petrelstand.core.Timers;
 
 /**
- * The one event loop: Jetty's selector, with the timers run between its selects and every task that Jetty would hand to
- * a pool run on the same thread. The clock is read once a turn, right after the select, and the timers run when all
- * that was selected has been read: what had come by a timer's time goes before it, however long the loop stood still.
+ * The gateway's event loop: Jetty's selector with a single thread, which also runs the timers and the tasks that Jetty
+ * would otherwise give to a thread pool.
+ *
+ * <p>Each iteration selects, reads the clock, handles the selected channels and then runs the timers that are due.
+ * Input that arrived before a timer was due is therefore handled before the timer, even after a stall of the loop.
  */
 public final class EventLoop extends SelectorManager {
-    /** Someone who wants a connection out, and hears if it does not come up. */
+    /** Receives the result of {@link #connect}, on the loop's thread. */
     public interface Connector {
+        /** Creates the connection for a channel that has connected; the loop then opens it. */
         Connection connected(EndPoint endPoint);
 
+        /** Called if the channel can't be connected, or not in time. */
         void connectFailed(Throwable cause);
     }
 
     /**
-     * Jetty's own bound on a connection that does not come up; callers with a shorter one close the channel. Not 0:
-     * Jetty then fails every connection that does come up, on the timer that it did not set.
+     * Connect timeout; callers with a shorter one close the channel. Must not be 0: Jetty then sets no timer, and fails
+     * every established connection when it cancels the timer.
      */
-    private static final long CONNECT_MS = 3_000;
-    /** Connections that the system holds for a listener. */
-    private static final int BACKLOG = 1024;
-    /** Those of them that a listener which ends takes in a turn. */
-    private static final int LAST_IN_A_TURN = 16;
+    private static final long CONNECT_TIMEOUT_MS = 3_000;
+    /** Connections that the operating system queues for a listener. */
+    private static final int LISTEN_BACKLOG = 1024;
+    /** Queued connections accepted per iteration from a listener that is being closed. */
+    private static final int DRAINED_PER_ITERATION = 16;
+    /** Upper bound on a select, also used when no timer is set. */
+    private static final long MAX_SELECT_MS = 60_000;
 
     private final LoopClock clock;
     private final Timers timers;
     private final LoopExecutor executor;
-    private final Map<SocketAddress, Function<EndPoint, Connection>> fronts = new HashMap<>();
-    /** Channels that are there, and whose connections are not made yet. */
-    private final Set<SelectableChannel> accepting = ConcurrentHashMap.newKeySet();
-    /** Listeners that are being closed. */
-    private int unlistening;
-    /** Written by the loop's thread alone. */
+    private final Map<SocketAddress, Function<EndPoint, Connection>> connectionFactories = new HashMap<>();
+    /** Accepted channels whose connections have not been created yet. */
+    private final Set<SelectableChannel> pendingAccepts = ConcurrentHashMap.newKeySet();
+
+    private int closingListeners;
+    /** Written only by the loop's thread. */
     private volatile long iterations;
 
+    /** Creates a loop that updates the clock and runs the timers; {@code start()} starts its thread. */
     public EventLoop(LoopClock clock, Timers timers) {
         this(clock, timers, new LoopExecutor());
     }
@@ -73,38 +80,38 @@
         this.clock = clock;
         this.timers = timers;
         this.executor = executor;
-        setConnectTimeout(CONNECT_MS);
+        setConnectTimeout(CONNECT_TIMEOUT_MS);
     }
 
-    /** Runs a task on the loop's thread, from any thread. */
+    /** Queues a task for the loop's thread; may be called from any thread. */
     public void execute(Runnable task) {
         executor.execute(task);
         executor.wake();
     }
 
     /**
-     * Who hears of an exception or error that has ended the loop's thread, of errors that Jetty would swallow, and of
-     * an end of the thread that nobody asked for. Before the start.
+     * Sets the handler of exceptions that end the loop's thread, of each {@link Error} that Jetty would catch, and of
+     * an end of the thread without a call to {@code stop()}. Must be called before the start.
      */
     public void setFatalErrorHandler(Thread.UncaughtExceptionHandler handler) {
-        executor.whenBroken = handler;
+        executor.fatalErrorHandler = handler;
     }
 
-    /** How often the loop has turned; from any thread. */
+    /** Returns the number of iterations so far; may be called from any thread. */
     public long iterations() {
         return iterations;
     }
 
-    /** Makes a loop that waits turn; from any thread. */
+    /** Ends a select that is waiting, so that the loop starts another iteration; may be called from any thread. */
     public void wake() {
         executor.wake();
     }
 
-    /** The place in the code where the loop's thread is, for people; from any thread. */
+    /** Returns the stack frame that the loop's thread executes, for diagnostics; may be called from any thread. */
     public String currentStackFrame() {
         Thread thread = executor.thread;
         StackTraceElement[] trace = thread == null ? new StackTraceElement[0] : thread.getStackTrace();
-        return trace.length == 0 ? "no place" : trace[0].toString();
+        return trace.length == 0 ? "an unknown location" : trace[0].toString();
     }
 
     @Override
@@ -113,19 +120,28 @@
         super.doStop();
     }
 
-    /** Waits until the loop has ended. */
+    /** Waits until the loop's thread has ended. */
     public void join() throws InterruptedException {
         executor.thread.join();
     }
 
-    /** Listens; each accepted connection is made by the front. A port of 0 takes a free one. */
-    public ServerSocketChannel listen(InetSocketAddress address, Function<EndPoint, Connection> front)
+    /** Listens on an address without sharing it with other processes; port 0 picks a free port. */
+    public ServerSocketChannel listen(InetSocketAddress address, Function<EndPoint, Connection> connectionFactory)
             throws IOException {
-        return listen(address, false, front);
+        return listen(address, false, connectionFactory);
     }
 
-    /** Listens, where shared beside other processes that do so too: the system gives each its part of connections. */
-    public ServerSocketChannel listen(InetSocketAddress address, boolean shared, Function<EndPoint, Connection> front)
+    /**
+     * Listens on an address.
+     *
+     * @param address the address; port 0 picks a free port
+     * @param shared whether other processes may listen on the same address (SO_REUSEPORT); the operating system then
+     *     distributes the connections among them
+     * @param connectionFactory creates the connection for each accepted channel
+     * @throws IOException if the address can't be bound
+     */
+    public ServerSocketChannel listen(
+            InetSocketAddress address, boolean shared, Function<EndPoint, Connection> connectionFactory)
             throws IOException {
         ServerSocketChannel server = ServerSocketChannel.open();
         server.configureBlocking(false);
@@ -133,23 +149,26 @@
             if (shared) {
                 server.setOption(StandardSocketOptions.SO_REUSEPORT, true);
             }
-            server.bind(address, BACKLOG);
+            server.bind(address, LISTEN_BACKLOG);
         } catch (IOException e) {
             server.close();
             throw e;
         }
-        fronts.put(server.getLocalAddress(), front);
+        connectionFactories.put(server.getLocalAddress(), connectionFactory);
         acceptor(server);
         return server;
     }
 
     /**
-     * Ends listening, in later turns: what the system holds for the listener is taken first, a few in each turn, so
-     * that what there is no room for is closed before the next come. A listener that closes while it is registered
-     * stays open to the system until the next select, and what comes up meanwhile would be reset.
+     * Closes a listener in later iterations, after accepting the connections that the operating system has queued for
+     * it. They are accepted a few per iteration, so that connections over the limit are closed before the next ones
+     * arrive.
+     *
+     * <p>The listener's key is cancelled first: a registered channel stays open until the next select, and connections
+     * arriving until then would be reset.
      */
     public void stopListening(ServerSocketChannel server) {
-        unlistening++;
+        closingListeners++;
         executor.execute(() -> {
             try {
                 SelectionKey key = server.keyFor(executor.selector);
@@ -158,63 +177,66 @@
                     executor.selector.selectNow();
                 }
             } catch (IOException e) {
-                notClosed(e);
+                logListenerError(e);
             }
-            takeLast(server, BACKLOG);
+            drainBacklog(server, LISTEN_BACKLOG);
         });
     }
 
-    /** Whether connections that the system has accepted have yet to become some here. */
+    /** Returns whether a listener is still being closed or an accepted channel has no connection yet. */
     public boolean hasPendingAccepts() {
-        return unlistening > 0 || !accepting.isEmpty();
+        return closingListeners > 0 || !pendingAccepts.isEmpty();
     }
 
     @Override
     protected void onAccepting(SelectableChannel channel) {
-        accepting.add(channel);
+        pendingAccepts.add(channel);
     }
 
     @Override
     protected void onAccepted(SelectableChannel channel) {
-        accepting.remove(channel);
+        pendingAccepts.remove(channel);
     }
 
     @Override
     protected void onAcceptFailed(SelectableChannel channel, Throwable cause) {
         FatalErrors.rethrowIfError(cause);
-        accepting.remove(channel);
+        pendingAccepts.remove(channel);
     }
 
-    /** Takes what is left in a listener's backlog, at most so many, and closes it. */
-    private void takeLast(ServerSocketChannel server, int most) {
+    /** Accepts at most {@code limit} queued connections over as many iterations as needed, then closes the listener. */
+    private void drainBacklog(ServerSocketChannel server, int limit) {
         try {
-            for (int taken = 0; taken < most; taken++) {
-                if (taken == LAST_IN_A_TURN) {
-                    executor.execute(() -> takeLast(server, most - LAST_IN_A_TURN));
+            for (int count = 0; count < limit; count++) {
+                if (count == DRAINED_PER_ITERATION) {
+                    executor.execute(() -> drainBacklog(server, limit - DRAINED_PER_ITERATION));
                     return;
                 }
-                SocketChannel last = server.accept();
-                if (last == null) {
+                SocketChannel channel = server.accept();
+                if (channel == null) {
                     break;
                 }
-                accepted(last);
+                accepted(channel);
             }
         } catch (IOException e) {
-            notClosed(e);
+            logListenerError(e);
         }
         try {
             server.close();
         } catch (IOException e) {
-            notClosed(e);
+            logListenerError(e);
         }
-        unlistening--;
+        closingListeners--;
     }
 
-    private static void notClosed(IOException e) {
-        System.err.println("petrelstand: loop: a listener would not close: " + e);
+    private static void logListenerError(IOException e) {
+        System.err.println("petrelstand: loop: error while closing a listener: " + e);
     }
 
-    /** Starts a connection out; the connector hears of it in a later turn. */
+    /**
+     * Starts to connect to an address; the connector is called in a later iteration. Closing the returned channel gives
+     * up the attempt.
+     */
     public SocketChannel connect(InetSocketAddress address, Connector connector) throws IOException {
         SocketChannel channel = SocketChannel.open();
         try {
@@ -233,23 +255,24 @@
     }
 
     /**
-     * Runs what must not end the loop: Jetty would take an exception here for a broken selector and close it, and with
-     * it every connection. An error is another matter, see {@link FatalErrors}.
+     * Runs a task and logs an exception that it throws. Jetty would treat the exception as a broken selector and close
+     * it with all connections. For an {@link Error} see {@link FatalErrors}.
      */
-    private static void guarded(Runnable task) {
+    private static void runGuarded(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException e) {
-            fault(e);
+            logUncaught(e);
         } catch (Error e) {
             FatalErrors.report(e);
             throw e;
         }
     }
 
-    static void fault(RuntimeException e) {
+    static void logUncaught(RuntimeException e) {
         StackTraceElement[] trace = e.getStackTrace();
-        System.err.println("petrelstand: loop: fault in a task: " + e + (trace.length == 0 ? "" : " at " + trace[0]));
+        System.err.println("petrelstand: loop: continuing after an uncaught exception: " + e
+                + (trace.length == 0 ? "" : " at " + trace[0]));
     }
 
     @Override
@@ -265,43 +288,43 @@
     @Override
     protected void accepted(SelectableChannel channel) throws IOException {
         try {
-            take(channel);
+            acceptChannel(channel);
         } catch (Error e) {
             FatalErrors.report(e);
             throw e;
         }
     }
 
-    private void take(SelectableChannel channel) throws IOException {
+    private void acceptChannel(SelectableChannel channel) throws IOException {
         SocketChannel socket = (SocketChannel) channel;
-        InetSocketAddress at = (InetSocketAddress) socket.getLocalAddress();
-        Function<EndPoint, Connection> front = fronts.get(at);
-        if (front == null) {
-            // One that listens on all of the machine's addresses is known by none of them.
-            front = fronts.entrySet().stream()
-                    .filter(one -> ((InetSocketAddress) one.getKey()).getPort() == at.getPort())
+        InetSocketAddress localAddress = (InetSocketAddress) socket.getLocalAddress();
+        Function<EndPoint, Connection> connectionFactory = connectionFactories.get(localAddress);
+        if (connectionFactory == null) {
+            // A listener on the wildcard address is not registered under the channel's own address.
+            connectionFactory = connectionFactories.entrySet().stream()
+                    .filter(entry -> ((InetSocketAddress) entry.getKey()).getPort() == localAddress.getPort())
                     .findFirst()
-                    .orElseThrow(() -> new IOException("nobody listens at " + at))
+                    .orElseThrow(() -> new IOException("no listener is registered for " + localAddress))
                     .getValue();
         }
         socket.configureBlocking(false);
         socket.socket().setTcpNoDelay(true);
-        accept(socket, front);
+        accept(socket, connectionFactory);
     }
 
     @Override
     protected EndPoint newEndPoint(SelectableChannel channel, ManagedSelector selector, SelectionKey key) {
-        return new ResetTellingEndPoint((SocketChannel) channel, selector, key, getScheduler());
+        return new ResetReportingEndPoint((SocketChannel) channel, selector, key, getScheduler());
     }
 
     /**
-     * Tells a reset as an exception, each time it is asked. Jetty's own makes an end of it, and an answer that has no
-     * length and is cut by a reset would pass for whole.
+     * Throws an exception on every read after a connection reset. Jetty's end point reports a reset as the end of
+     * input, so that an answer without a Content-Length that was cut off by a reset would seem complete.
      */
-    private static final class ResetTellingEndPoint extends SocketChannelEndPoint {
+    private static final class ResetReportingEndPoint extends SocketChannelEndPoint {
         private IOException reset;
 
-        ResetTellingEndPoint(SocketChannel channel, ManagedSelector selector, SelectionKey key, Scheduler scheduler) {
+        ResetReportingEndPoint(SocketChannel channel, ManagedSelector selector, SelectionKey key, Scheduler scheduler) {
             super(channel, selector, key, scheduler);
         }
 
@@ -346,18 +369,18 @@
             return connector.connected(endPoint);
         }
         @SuppressWarnings("unchecked")
-        Function<EndPoint, Connection> front = (Function<EndPoint, Connection>) attachment;
-        return front.apply(endPoint);
+        Function<EndPoint, Connection> connectionFactory = (Function<EndPoint, Connection>) attachment;
+        return connectionFactory.apply(endPoint);
     }
 
     @Override
     public void connectionOpened(Connection connection, Object context) {
-        guarded(connection::onOpen);
+        runGuarded(connection::onOpen);
     }
 
     @Override
     public void connectionClosed(Connection connection, Throwable cause) {
-        guarded(() -> connection.onClose(cause));
+        runGuarded(() -> connection.onClose(cause));
     }
 
     @Override
@@ -370,11 +393,12 @@
 
     @Override
     protected ManagedSelector newSelector(int id) {
-        return new Turns(id);
+        return new LoopSelector(id);
     }
 
-    private final class Turns extends ManagedSelector {
-        Turns(int id) {
+    /** Runs the tasks and timers between selects. */
+    private final class LoopSelector extends ManagedSelector {
+        LoopSelector(int id) {
             super(EventLoop.this, id);
         }
 
@@ -384,24 +408,24 @@
                 return selector.selectNow();
             }
             try {
-                return turn(selector);
+                return runIteration(selector);
             } catch (Error e) {
                 FatalErrors.report(e);
                 throw e;
             }
         }
 
-        private int turn(Selector selector) throws IOException {
+        private int runIteration(Selector selector) throws IOException {
             iterations++;
             executor.selector = selector;
-            guarded(() -> timers.run(clock.nowUs()));
-            executor.runAll();
+            runGuarded(() -> timers.run(clock.nowUs()));
+            executor.runQueued();
             long waitUs = timers.nextUs() - clock.readUs();
             int selected = waitUs <= 0 || !executor.isEmpty()
                     ? selector.selectNow()
-                    : selector.select(waitUs > 60_000_000 ? 60_000 : (waitUs + 999) / 1000);
-            clock.turn();
-            executor.runAll();
+                    : selector.select(waitUs > MAX_SELECT_MS * 1000 ? MAX_SELECT_MS : (waitUs + 999) / 1000);
+            clock.update();
+            executor.runQueued();
             return selected;
         }
 
@@ -411,20 +435,22 @@
         }
     }
 
-    /** The first task is the selector's own and gets the thread; what comes later waits for a turn on it. */
+    /**
+     * Starts the loop's thread for the first task, which is Jetty's selector, and queues later tasks for that thread.
+     */
     private static final class LoopExecutor implements Executor {
         private final Queue<Runnable> tasks = new ConcurrentLinkedQueue<>();
         private volatile Thread thread;
         private volatile Selector selector;
-        private volatile Thread.UncaughtExceptionHandler whenBroken;
+        private volatile Thread.UncaughtExceptionHandler fatalErrorHandler;
         private volatile boolean stopping;
 
         @Override
         public void execute(Runnable task) {
             if (thread == null) {
-                thread = new Thread(() -> select(task), "loop");
-                if (whenBroken != null) {
-                    thread.setUncaughtExceptionHandler(whenBroken);
+                thread = new Thread(() -> runSelector(task), "loop");
+                if (fatalErrorHandler != null) {
+                    thread.setUncaughtExceptionHandler(fatalErrorHandler);
                 }
                 thread.start();
             } else {
@@ -433,17 +459,17 @@
             }
         }
 
-        private void select(Runnable selecting) {
-            selecting.run();
+        private void runSelector(Runnable selectorTask) {
+            selectorTask.run();
             if (!stopping) {
-                throw new IllegalStateException("the selector was given up");
+                throw new IllegalStateException("the event loop's selector ended without a call to stop()");
             }
         }
 
         void wake() {
-            Selector open = selector;
-            if (open != null && Thread.currentThread() != thread) {
-                open.wakeup();
+            Selector currentSelector = selector;
+            if (currentSelector != null && Thread.currentThread() != thread) {
+                currentSelector.wakeup();
             }
         }
 
@@ -451,16 +477,17 @@
             return tasks.isEmpty();
         }
 
-        void runAll() {
+        /** Runs the tasks queued by now; tasks that these queue wait for the next call. */
+        void runQueued() {
             ArrayDeque<Runnable> due = new ArrayDeque<>();
             for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) {
                 due.add(task);
             }
-            due.forEach(EventLoop::guarded);
+            due.forEach(EventLoop::runGuarded);
         }
     }
 
-    /** Jetty's own timeouts, on the loop's timers. */
+    /** Schedules Jetty's timeouts on the loop's timers. */
     private static final class LoopScheduler extends AbstractLifeCycle implements Scheduler {
         private final LoopClock clock;
         private final Timers timers;
--- a/src/main/java/petrelstand/net/FatalErrors.java
+++ b/src/main/java/petrelstand/net/FatalErrors.java
@@ -1,28 +1,29 @@
 package petrelstand.net;
 
 /**
- * What the loop's thread does with an {@link Error}. Jetty catches and logs errors, or hands them on as the fault of
- * one connection, and goes on; a process out of memory or classes must not. So wherever Jetty calls this program's
- * code, and wherever it hands on a failure, an error is told to the thread's handler of uncaught exceptions, as if it
- * had ended the thread. In a serving process that handler ends the process; without one the error is printed, and goes
- * where it would have gone.
+ * Reports each {@link Error} on the loop's thread to the thread's uncaught exception handler.
+ *
+ * <p>Jetty catches errors and logs them or treats them as the failure of one connection. A process that has run out of
+ * memory or can't load a class must not continue like that, so every place where Jetty calls the gateway's code or
+ * passes it a failure reports errors here. The handler of a serving gateway ends the process. Without a handler the
+ * error is printed and thrown on.
  */
 public final class FatalErrors {
-    /** Causes of causes that are looked at. */
-    private static final int MOST_CAUSES = 8;
+    /** Bounds the search through a chain of causes, which may be a cycle. */
+    private static final int MAX_CAUSE_DEPTH = 8;
 
     private FatalErrors() {}
 
-    /** Tells the thread's handler of uncaught exceptions; allocates nothing. */
+    /** Calls the thread's uncaught exception handler; allocates nothing, since memory may have run out. */
     static void report(Error error) {
         Thread thread = Thread.currentThread();
         thread.getUncaughtExceptionHandler().uncaughtException(thread, error);
     }
 
-    /** Throws the error that a failure is, or was caused by; returns where there is none. */
+    /** Reports and throws the error if the failure is one or was caused by one; otherwise returns. */
     public static void rethrowIfError(Throwable failure) {
         Throwable cause = failure;
-        for (int depth = 0; cause != null && depth < MOST_CAUSES; depth++) {
+        for (int depth = 0; cause != null && depth < MAX_CAUSE_DEPTH; depth++) {
             if (cause instanceof Error error) {
                 report(error);
                 throw error;
--- a/src/main/java/petrelstand/net/HttpMessageParser.java
+++ b/src/main/java/petrelstand/net/HttpMessageParser.java
@@ -3,16 +3,16 @@
 import org.eclipse.jetty.http.HttpException;
 import org.eclipse.jetty.http.HttpParser;
 
-/** Jetty's parser, but for errors: Jetty takes one that comes up while it parses for a message that can't be read. */
+/** Jetty's HTTP parser, except that an {@link Error} thrown while parsing isn't reported as a malformed message. */
 public final class HttpMessageParser extends HttpParser {
-    /** A parser of requests whose heads have so many bytes at most. */
-    public HttpMessageParser(RequestHandler handler, int mostHead) {
-        super(handler, mostHead);
+    /** Creates a parser of requests with at most {@code maxHeadBytes} of request line and headers. */
+    public HttpMessageParser(RequestHandler handler, int maxHeadBytes) {
+        super(handler, maxHeadBytes);
     }
 
-    /** A parser of responses whose heads have so many bytes at most. */
-    public HttpMessageParser(ResponseHandler handler, int mostHead) {
-        super(handler, mostHead);
+    /** Creates a parser of responses with at most {@code maxHeadBytes} of status line and headers. */
+    public HttpMessageParser(ResponseHandler handler, int maxHeadBytes) {
+        super(handler, maxHeadBytes);
     }
 
     @Override
--- a/src/main/java/petrelstand/net/LoopClock.java
+++ b/src/main/java/petrelstand/net/LoopClock.java
@@ -1,10 +1,10 @@
 package petrelstand.net;
 
 /**
- * The loop's time: microseconds that never go back, read once a turn. It starts at the Unix time of the process's
- * start, so that a Unix time from discovery stands for the same moment on it, always the same number, and is greater
- * than 0 even where it lies before the process's start. A clock that began at 0 would make a node that started just
- * before the gateway look as if it had started long ago.
+ * The event loop's monotonic clock, in microseconds, read once per iteration of the loop.
+ *
+ * <p>Its origin is the Unix epoch as the system clock had it when the process started. Unix times from discovery, such
+ * as the start of a node, can therefore be compared with it directly, including times before the gateway started.
  */
 public final class LoopClock {
     private final long offsetUs;
@@ -12,20 +12,21 @@
 
     public LoopClock() {
         offsetUs = System.currentTimeMillis() * 1000 - System.nanoTime() / 1000;
-        turn();
+        update();
     }
 
-    /** The time of this turn. */
+    /** Returns the time read right after the last select; only for the loop's thread. */
     public long nowUs() {
         return nowUs;
     }
 
-    /** The time right now, from any thread. */
+    /** Reads the clock; safe to call from any thread. */
     public long readUs() {
         return System.nanoTime() / 1000 + offsetUs;
     }
 
-    void turn() {
+    /** Sets the time that {@link #nowUs} returns. */
+    void update() {
         nowUs = readUs();
     }
 }
--- a/src/main/java/petrelstand/net/LoopConnection.java
+++ b/src/main/java/petrelstand/net/LoopConnection.java
@@ -1,23 +1,27 @@
 package petrelstand.net;
 
+import java.util.function.Consumer;
 import org.eclipse.jetty.io.AbstractConnection;
 import org.eclipse.jetty.io.EndPoint;
 import org.eclipse.jetty.util.Callback;
 
-/** A connection whose callbacks all run on the loop's thread: Jetty takes them to be non-blocking. */
+/**
+ * Base class of connections whose callbacks run on the event loop's thread. The callbacks are declared non-blocking, so
+ * that Jetty calls them directly.
+ */
 public abstract class LoopConnection extends AbstractConnection {
-    private final Callback fillable = nonBlockingCallback(this::guardedFillable, this::onFillInterestedFailed);
+    private final Callback fillableCallback = nonBlockingCallback(this::handleFillable, this::onFillInterestedFailed);
 
     protected LoopConnection(EndPoint endPoint) {
         super(endPoint, Runnable::run);
     }
 
-    /** A fault on one connection closes it, so that its client hears of the end and nothing waits for it. */
-    private void guardedFillable() {
+    /** Closes the connection on an unexpected exception, so that neither peer nor gateway keeps waiting on it. */
+    private void handleFillable() {
         try {
             onFillable();
         } catch (RuntimeException e) {
-            EventLoop.fault(e);
+            EventLoop.logUncaught(e);
             close();
         } catch (Error e) {
             FatalErrors.report(e);
@@ -27,11 +31,11 @@
 
     @Override
     public void fillInterested() {
-        getEndPoint().fillInterested(fillable);
+        getEndPoint().fillInterested(fillableCallback);
     }
 
-    /** A callback that the loop runs itself. */
-    public static Callback nonBlockingCallback(Runnable succeeded, java.util.function.Consumer<Throwable> failed) {
+    /** Creates a callback that Jetty runs directly on the loop's thread; neither function may block. */
+    public static Callback nonBlockingCallback(Runnable succeeded, Consumer<Throwable> failed) {
         return new Callback() {
             @Override
             public void succeeded() {
--- a/src/main/java/petrelstand/net/MemoryEndPoint.java
+++ b/src/main/java/petrelstand/net/MemoryEndPoint.java
@@ -7,24 +7,29 @@
 import org.eclipse.jetty.io.Connection;
 import org.eclipse.jetty.io.EndPoint;
 
-/** An end point in memory whose callbacks run at once: for the rehearsal before a start, and for tests. */
+/**
+ * An end point without a socket, for the JVM warm-up before the gateway starts and for tests.
+ *
+ * <p>The methods {@code send*} and {@link #takeReceived} act as the remote peer. Callbacks run at once, on the caller's
+ * thread.
+ */
 public class MemoryEndPoint extends ByteArrayEndPoint {
     protected MemoryEndPoint() {
         setGrowOutput(true);
     }
 
-    /** Makes a connection on an end in memory and opens it. */
-    public static MemoryEndPoint open(Function<EndPoint, Connection> maker) {
-        return open(new MemoryEndPoint(), maker);
+    /** Creates an end point, then creates a connection on it with the factory and opens both. */
+    public static MemoryEndPoint open(Function<EndPoint, Connection> connectionFactory) {
+        return open(new MemoryEndPoint(), connectionFactory);
     }
 
-    /** Makes a connection on an end and opens it. */
-    protected static <E extends MemoryEndPoint> E open(E end, Function<EndPoint, Connection> maker) {
-        Connection connection = maker.apply(end);
-        end.setConnection(connection);
-        end.onOpen();
+    /** Creates a connection on the given end point and opens both. */
+    protected static <E extends MemoryEndPoint> E open(E endPoint, Function<EndPoint, Connection> connectionFactory) {
+        Connection connection = connectionFactory.apply(endPoint);
+        endPoint.setConnection(connection);
+        endPoint.onOpen();
         connection.onOpen();
-        return end;
+        return endPoint;
     }
 
     @Override
@@ -32,24 +37,25 @@
         task.run();
     }
 
-    /** The other side sends. */
+    /** Sends text as the remote peer, in UTF-8; ignored if the end point is closed. */
     public void send(String text) {
         sendBytes(text.getBytes(StandardCharsets.UTF_8));
     }
 
+    /** Sends bytes as the remote peer; ignored if the end point is closed. */
     public void sendBytes(byte[] bytes) {
         if (isOpen()) {
             addInputAndExecute(ByteBuffer.wrap(bytes));
         }
     }
 
-    /** The other side ends its sending. */
+    /** Ends the remote peer's output. */
     public void sendEof() {
         addInputEOF();
         getFillInterest().fillable();
     }
 
-    /** What was written since the last call. */
+    /** Returns, as ISO 8859-1 text, what the connection has written since the last call. */
     public String takeReceived() {
         return takeOutputString(StandardCharsets.ISO_8859_1);
     }
--- a/src/test/java/petrelstand/net/EventLoopTest.java
+++ b/src/test/java/petrelstand/net/EventLoopTest.java
@@ -5,6 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.nio.channels.ServerSocketChannel;
@@ -16,6 +17,7 @@
 import java.util.concurrent.TimeUnit;
 import org.eclipse.jetty.io.Connection;
 import org.eclipse.jetty.io.EndPoint;
+import org.eclipse.jetty.io.ManagedSelector;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -24,7 +26,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import petrelstand.core.Timers;
 
-/** The loop on real sockets of its own. */
+/** Runs the event loop on loopback sockets. */
 @Timeout(60)
 class EventLoopTest {
     private final LoopClock clock = new LoopClock();
@@ -41,8 +43,8 @@
         loop.stop();
     }
 
-    private static class Quiet extends LoopConnection {
-        Quiet(EndPoint endPoint) {
+    private static class IgnoringConnection extends LoopConnection {
+        IgnoringConnection(EndPoint endPoint) {
             super(endPoint);
         }
 
@@ -50,14 +52,14 @@
         public void onFillable() {}
     }
 
-    /** Guards against a connect timeout of 0, with which Jetty failed each connection that came up. */
+    /** Guards against a connect timeout of 0, with which Jetty fails every established connection. */
     @Test
-    void connectionsComeUpAndAllRunsOnOneThread() throws Exception {
+    void connectionsAreCreatedOnTheLoopThread() throws Exception {
         CompletableFuture<String> accepted = new CompletableFuture<>();
         CompletableFuture<String> connected = new CompletableFuture<>();
         ServerSocketChannel server = loop.listen(new InetSocketAddress("127.0.0.1", 0), endPoint -> {
             accepted.complete(Thread.currentThread().getName());
-            return new Quiet(endPoint);
+            return new IgnoringConnection(endPoint);
         });
         loop.execute(() -> {
             try {
@@ -65,7 +67,7 @@
                     @Override
                     public Connection connected(EndPoint endPoint) {
                         connected.complete(Thread.currentThread().getName());
-                        return new Quiet(endPoint);
+                        return new IgnoringConnection(endPoint);
                     }
 
                     @Override
@@ -73,7 +75,7 @@
                         connected.completeExceptionally(cause);
                     }
                 });
-            } catch (java.io.IOException e) {
+            } catch (IOException e) {
                 connected.completeExceptionally(e);
             }
         });
@@ -81,173 +83,173 @@
         assertEquals("loop", accepted.get(20, TimeUnit.SECONDS));
     }
 
-    /** Guards against an exception that Jetty would take for a broken selector, closing every connection. */
+    /** Guards against exceptions that make Jetty close the selector and every connection. */
     @Test
-    void aFaultInATaskOrTimerLeavesTheLoopRunning() throws Exception {
-        CompletableFuture<Void> after = new CompletableFuture<>();
+    void loopContinuesAfterExceptionInTaskOrTimer() throws Exception {
+        CompletableFuture<Void> laterTimer = new CompletableFuture<>();
         loop.execute(() -> {
-            throw new IllegalStateException("meant by the test");
+            throw new IllegalStateException("thrown by the test");
         });
         loop.execute(() -> {
             timers.at(clock.nowUs(), () -> {
-                throw new IllegalStateException("meant by the test");
+                throw new IllegalStateException("thrown by the test");
             });
-            timers.at(clock.nowUs() + 1000, () -> after.complete(null));
+            timers.at(clock.nowUs() + 1000, () -> laterTimer.complete(null));
         });
-        after.get(20, TimeUnit.SECONDS);
+        laterTimer.get(20, TimeUnit.SECONDS);
     }
 
-    /** A place where Jetty calls this program's code, and catches what comes out of it. */
-    private enum Place {
+    /** Code of the gateway that Jetty calls, catching what it throws. */
+    private enum ThrowingCode {
         TASK,
         TIMER,
         NEW_CONNECTION,
-        OPEN,
-        FILLABLE
+        ON_OPEN,
+        ON_FILLABLE
     }
 
-    /** Jetty's own handling goes on in this test, where the handler does not end the process. */
+    /** The handler of this test doesn't end the process, so Jetty continues after the error. */
     @ParameterizedTest
-    @EnumSource(Place.class)
-    void anErrorThatJettyWouldSwallowIsTold(Place place) throws Exception {
-        Error meant = new LinkageError("meant by the test");
-        CompletableFuture<Throwable> told = new CompletableFuture<>();
-        EventLoop watched = new EventLoop(clock, new Timers());
-        watched.setFatalErrorHandler((thread, thrown) -> told.complete(thrown));
-        watched.start();
-        ServerSocketChannel server = watched.listen(new InetSocketAddress("127.0.0.1", 0), endPoint -> {
-            throwAt(place == Place.NEW_CONNECTION, meant);
-            return new Quiet(endPoint) {
+    @EnumSource(ThrowingCode.class)
+    void errorCaughtByJettyReachesTheHandler(ThrowingCode throwingCode) throws Exception {
+        Error error = new LinkageError("thrown by the test");
+        CompletableFuture<Throwable> reported = new CompletableFuture<>();
+        EventLoop loopWithHandler = new EventLoop(clock, new Timers());
+        loopWithHandler.setFatalErrorHandler((thread, thrown) -> reported.complete(thrown));
+        loopWithHandler.start();
+        ServerSocketChannel server = loopWithHandler.listen(new InetSocketAddress("127.0.0.1", 0), endPoint -> {
+            throwIf(throwingCode == ThrowingCode.NEW_CONNECTION, error);
+            return new IgnoringConnection(endPoint) {
                 @Override
                 public void onOpen() {
                     super.onOpen();
-                    throwAt(place == Place.OPEN, meant);
+                    throwIf(throwingCode == ThrowingCode.ON_OPEN, error);
                     fillInterested();
                 }
 
                 @Override
                 public void onFillable() {
-                    throwAt(place == Place.FILLABLE, meant);
+                    throwIf(throwingCode == ThrowingCode.ON_FILLABLE, error);
                 }
             };
         });
-        if (place == Place.TASK) {
-            watched.execute(() -> throwAt(true, meant));
-        } else if (place == Place.TIMER) {
-            watched.execute(
-                    () -> watched.getScheduler().schedule(() -> throwAt(true, meant), 1, TimeUnit.MILLISECONDS));
+        if (throwingCode == ThrowingCode.TASK) {
+            loopWithHandler.execute(() -> throwIf(true, error));
+        } else if (throwingCode == ThrowingCode.TIMER) {
+            loopWithHandler.execute(() ->
+                    loopWithHandler.getScheduler().schedule(() -> throwIf(true, error), 1, TimeUnit.MILLISECONDS));
         }
         try (Socket client = new Socket("127.0.0.1", ((InetSocketAddress) server.getLocalAddress()).getPort())) {
             client.getOutputStream().write('x');
-            assertSame(meant, told.get(20, TimeUnit.SECONDS));
+            assertSame(error, reported.get(20, TimeUnit.SECONDS));
         } finally {
-            watched.stop();
+            loopWithHandler.stop();
         }
     }
 
-    private static void throwAt(boolean here, Error meant) {
-        if (here) {
-            throw meant;
+    private static void throwIf(boolean condition, Error error) {
+        if (condition) {
+            throw error;
         }
     }
 
-    /** What Jetty catches and hands on as a failure is an error all the same; other failures are not. */
+    /** Guards against an Error that Jetty catches and passes to a callback as an ordinary failure. */
     @Test
-    void anErrorThatIsHandedOnAsAFailureIsThrown() {
-        Error meant = new LinkageError("meant by the test");
+    void callbackRethrowsFailureCausedByError() {
+        Error error = new LinkageError("thrown by the test");
         List<Throwable> failed = new ArrayList<>();
         var callback = LoopConnection.nonBlockingCallback(() -> {}, failed::add);
-        assertSame(meant, assertThrows(LinkageError.class, () -> callback.failed(new RuntimeException(meant))));
+        assertSame(error, assertThrows(LinkageError.class, () -> callback.failed(new RuntimeException(error))));
         assertEquals(List.of(), failed);
-        java.io.IOException reset = new java.io.IOException("reset");
+        IOException reset = new IOException("reset");
         callback.failed(reset);
         assertEquals(List.of(reset), failed);
     }
 
-    /** Guards against a selector that Jetty has given up: its thread ends as if all were well. */
+    /** Guards against a silent end of the loop's thread after Jetty has abandoned the selector. */
     @Test
-    void anEndOfTheThreadThatNobodyAskedForIsTold() throws Exception {
-        CompletableFuture<Throwable> told = new CompletableFuture<>();
-        EventLoop watched = new EventLoop(clock, new Timers());
-        watched.setFatalErrorHandler((thread, thrown) -> told.complete(thrown));
-        watched.start();
-        watched.execute(() -> {
+    void unexpectedEndOfTheThreadReachesTheHandler() throws Exception {
+        CompletableFuture<Throwable> reported = new CompletableFuture<>();
+        EventLoop loopWithHandler = new EventLoop(clock, new Timers());
+        loopWithHandler.setFatalErrorHandler((thread, thrown) -> reported.complete(thrown));
+        loopWithHandler.start();
+        loopWithHandler.execute(() -> {
             try {
-                watched.getBean(org.eclipse.jetty.io.ManagedSelector.class)
-                        .getSelector()
-                        .close();
-            } catch (java.io.IOException e) {
-                told.completeExceptionally(e);
+                loopWithHandler.getBean(ManagedSelector.class).getSelector().close();
+            } catch (IOException e) {
+                reported.completeExceptionally(e);
             }
         });
-        assertEquals("the selector was given up", told.get(20, TimeUnit.SECONDS).getMessage());
+        assertEquals(
+                "the event loop's selector ended without a call to stop()",
+                reported.get(20, TimeUnit.SECONDS).getMessage());
     }
 
-    /** Guards against a loop that stood still and takes its own stillness for others' silence. */
+    /** Guards against timeouts that expire after a stall although the answers have already arrived. */
     @Test
-    void whatCameWhileTheLoopStoodStillIsReadBeforeTheTimersThatAreDue() throws Exception {
+    void inputThatArrivedDuringAStallIsReadBeforeDueTimers() throws Exception {
         List<String> order = new CopyOnWriteArrayList<>();
-        CountDownLatch open = new CountDownLatch(20);
-        CountDownLatch all = new CountDownLatch(21);
+        CountDownLatch opened = new CountDownLatch(20);
+        CountDownLatch allEvents = new CountDownLatch(21);
         ServerSocketChannel server =
-                loop.listen(new InetSocketAddress("127.0.0.1", 0), endPoint -> new Quiet(endPoint) {
+                loop.listen(new InetSocketAddress("127.0.0.1", 0), endPoint -> new IgnoringConnection(endPoint) {
                     @Override
                     public void onOpen() {
                         super.onOpen();
                         fillInterested();
-                        open.countDown();
+                        opened.countDown();
                     }
 
                     @Override
                     public void onFillable() {
                         order.add("read");
-                        all.countDown();
+                        allEvents.countDown();
                     }
                 });
         List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             clients.add(new Socket("127.0.0.1", ((InetSocketAddress) server.getLocalAddress()).getPort()));
         }
-        assertTrue(open.await(20, TimeUnit.SECONDS));
-        CountDownLatch stands = new CountDownLatch(1);
-        CountDownLatch goesOn = new CountDownLatch(1);
+        assertTrue(opened.await(20, TimeUnit.SECONDS));
+        CountDownLatch stalled = new CountDownLatch(1);
+        CountDownLatch resume = new CountDownLatch(1);
         loop.execute(() -> {
             timers.at(clock.nowUs() + 20_000, () -> {
                 order.add("timer");
-                all.countDown();
+                allEvents.countDown();
             });
-            stands.countDown();
+            stalled.countDown();
             try {
-                goesOn.await(20, TimeUnit.SECONDS);
+                resume.await(20, TimeUnit.SECONDS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         });
-        assertTrue(stands.await(20, TimeUnit.SECONDS));
+        assertTrue(stalled.await(20, TimeUnit.SECONDS));
         for (Socket client : clients) {
             client.getOutputStream().write('x');
         }
-        // The timer's time is to be over when the loop goes on.
+        // The timer has to be due when the loop resumes.
         TimeUnit.MILLISECONDS.sleep(60);
-        goesOn.countDown();
-        assertTrue(all.await(20, TimeUnit.SECONDS));
+        resume.countDown();
+        assertTrue(allEvents.await(20, TimeUnit.SECONDS));
         assertEquals(20, order.indexOf("timer"), order.toString());
         for (Socket client : clients) {
             client.close();
         }
     }
 
-    /** Discovery tells starts in Unix time; on the loop's clock the same number is the same moment. */
+    /** Start times of nodes from discovery are Unix times and are compared with the loop's clock. */
     @Test
-    void theClockStandsAtUnixTimeAndDoesNotGoBack() {
+    void clockShowsUnixTimeAndNeverGoesBack() {
         long before = clock.nowUs();
         assertTrue(Math.abs(before / 1000 - System.currentTimeMillis()) < 60_000);
-        clock.turn();
+        clock.update();
         assertTrue(clock.nowUs() >= before);
     }
 
     @Test
-    void addressesAreNumbersOnly() {
+    void addressParserRefusesHostNamesAndBadPorts() {
         assertEquals(9000, SocketAddresses.parse("10.0.0.4:9000").getPort());
         for (String text : new String[] {"host:1", "10.0.0.4", "10.0.0.4:x", ":1", "10.0.0.4:99999"}) {
             assertThrows(IllegalArgumentException.class, () -> SocketAddresses.parse(text), text);
