--- a/src/main/java/petrelstand/logging/JsonLog.java
+++ b/src/main/java/petrelstand/logging/JsonLog.java
@@ -12,18 +12,21 @@
 import org.slf4j.spi.LoggingEventBuilder;
 
 /**
- * Log lines as JSON on standard output, one object a line, by Logback. The text of a line is the same as in the text
- * form; what stands before its first colon is its {@code component} as well. Lines of the libraries come in the same
- * form. Nothing of this class or of Logback is loaded where lines are text.
+ * Writes log lines to standard output as JSON, one object per line, using Logback. The message is the same as in the
+ * text format; the first word before its first colon is also written as {@code component}. Log events of libraries are
+ * written in the same format.
+ *
+ * <p>In the text format neither this class nor Logback is loaded.
  */
 public final class JsonLog implements Consumer<String> {
-    private static final String PROVIDER = "slf4j.provider";
+    private static final String PROVIDER_PROPERTY = "slf4j.provider";
+
     private final Logger logger;
-    private LongSupplier setViewVersion;
+    private LongSupplier viewVersion;
 
-    /** Must be made before anything has asked SLF4J for a logger: the provider is chosen once. */
+    /** Configures Logback; call it before anything obtains an SLF4J logger, since SLF4J chooses its provider once. */
     public JsonLog() {
-        System.setProperty(PROVIDER, "ch.qos.logback.classic.spi.LogbackServiceProvider");
+        System.setProperty(PROVIDER_PROPERTY, "ch.qos.logback.classic.spi.LogbackServiceProvider");
         LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
         context.reset();
         JsonEncoder encoder = new JsonEncoder();
@@ -43,17 +46,21 @@
         logger = LoggerFactory.getLogger("petrelstand");
     }
 
-    /** Every line from now on carries the version of a view, read on whatever thread the line comes from. */
+    /**
+     * Adds the version of the membership view to every line from now on. The supplier is called on the thread that
+     * logs.
+     */
     public void setViewVersion(LongSupplier version) {
-        setViewVersion = version;
+        viewVersion = version;
     }
 
+    /** Writes a line of the form "component: message". */
     @Override
     public void accept(String line) {
         int colon = line.indexOf(':');
         String component = colon > 0 ? line.substring(0, colon) : "gateway";
         LoggingEventBuilder event =
                 logger.atInfo().addKeyValue("component", component.split(" ")[0]);
-        (setViewVersion == null ? event : event.addKeyValue("view", setViewVersion.getAsLong())).log(line);
+        (viewVersion == null ? event : event.addKeyValue("view", viewVersion.getAsLong())).log(line);
     }
 }
