--- a/src/main/java/petrelstand/core/AdmissionControl.java
+++ b/src/main/java/petrelstand/core/AdmissionControl.java
@@ -1,7 +1,7 @@
 package petrelstand.core;
 
-/** Stands before the decision module where something beyond it rules on requests; it turns away, and sends nothing. */
+/** Decides on requests before the decision module sees them, for example to enforce the fleet's rules. */
 public interface AdmissionControl {
-    /** 0 where a request may go on to the module; else it is refused, and may come back after so many µs. */
+    /** Returns 0 to admit the request, else after how many microseconds the refused client may retry. */
     long retryAfterUs(Demand demand, long nowUs);
 }
--- a/src/main/java/petrelstand/core/Attempt.java
+++ b/src/main/java/petrelstand/core/Attempt.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import petrelstand.decision.Scheduling.Outcome;
 
-/** One attempt of an exchange at a node. */
+/** One attempt to have a node serve the request of an exchange. All times are microseconds of the loop's clock. */
 public final class Attempt {
     private final Broker broker;
     private final Exchange exchange;
@@ -11,20 +11,19 @@
     private final int number;
     private long sentUs;
     private long timeoutAtUs;
-    private Timers.Timer timeout;
-    private boolean end;
+    private Timers.Timer timeoutTimer;
+    private boolean ended;
     private Outcome outcome;
     private VolumeUsage volumeUsage = VolumeUsage.UNKNOWN;
-    /** What the server side keeps with the attempt. */
     private Object attachment;
 
-    Attempt(Broker broker, Exchange exchange, Node node, int number, long sentUs, long untilUs) {
+    Attempt(Broker broker, Exchange exchange, Node node, int number, long sentUs, long timeoutAtUs) {
         this.broker = broker;
         this.exchange = exchange;
         this.node = node;
         this.number = number;
         this.sentUs = sentUs;
-        this.timeoutAtUs = untilUs;
+        this.timeoutAtUs = timeoutAtUs;
     }
 
     public Exchange exchange() {
@@ -35,50 +34,60 @@
         return node;
     }
 
+    /** The position among the attempts of its exchange, from 0. */
     public int number() {
         return number;
     }
 
+    /** When the attempt was sent or, for a streamed body, when the last byte of the body arrived. */
     public long sentUs() {
         return sentUs;
     }
 
-    /** When this gateway stops waiting for it. */
+    /** When the attempt ends as {@link Outcome#TIMED_OUT}, unless it has ended before. */
     public long timeoutAtUs() {
         return timeoutAtUs;
     }
 
     public boolean isEnded() {
-        return end;
+        return ended;
     }
 
-    /** How it ended; null while it is out. */
+    /** How the attempt ended; null while it is active. */
     public Outcome outcome() {
         return outcome;
     }
 
-    /** What the node's answer tells of the volume; before the end is told. */
-    public void setVolumeUsage(VolumeUsage told) {
-        volumeUsage = told;
+    /** Sets the volume usage that the node's answer reports; must be called before {@link #end}. */
+    public void setVolumeUsage(VolumeUsage reported) {
+        volumeUsage = reported;
     }
 
     VolumeUsage volumeUsage() {
         return volumeUsage;
     }
 
+    /** The state that the node transport has attached to this attempt; null where there is none. */
     public Object attachment() {
         return attachment;
     }
 
-    public void attachment(Object kept) {
-        attachment = kept;
+    /** Attaches state of the node transport. */
+    public void attachment(Object attached) {
+        attachment = attached;
     }
 
-    void timeout(Timers.Timer timer) {
-        timeout = timer;
+    void setTimeoutTimer(Timers.Timer timer) {
+        timeoutTimer = timer;
     }
 
-    /** The server side tells the end; what comes after the first end is dropped. */
+    /**
+     * Ends the attempt. Calls after the first one are ignored.
+     *
+     * @param how the outcome
+     * @param answer the node's answer in the form of the wire protocol; may be null unless the outcome is SERVED
+     * @param load the node's load by name as the answer reports it; null or empty where it reports none
+     */
     public void end(Outcome how, Object answer, Map<String, Double> load) {
         if (markEnded(how)) {
             broker.attemptEnded(this, answer, load);
@@ -86,62 +95,66 @@
     }
 
     /**
-     * The server side has a connection, and is about to write the first byte. False where that must not be any more,
-     * and the attempt has ended then: its client has left, its request has its answer, or its node drains, went, moved
-     * or restarted while the connection came up.
+     * Checks, immediately before the first byte is written to a connection, that the attempt is still wanted. Returns
+     * false if the attempt has ended. It is ended here if its exchange has finished, or if its node began to drain, was
+     * removed, moved or restarted while the connection was being opened.
      */
     public boolean beginWrite() {
-        if (!end && exchange.isFinished()) {
+        if (!ended && exchange.isFinished()) {
             end(Outcome.CANCELLED, null, null);
-        } else if (!end && !broker.isStillListed(node)) {
+        } else if (!ended && !broker.isStillListed(node)) {
             end(Outcome.NOT_CONNECTED, null, null);
         }
-        return !end;
+        return !ended;
     }
 
-    /** The server side has written the last byte of the request. */
+    /** Reports that the last byte of the request was written to the node. */
     public void requestWritten() {
-        if (!end) {
+        if (!ended) {
             broker.attemptWritten(this);
         }
     }
 
     /**
-     * The client's body goes to the node in pieces: no other attempt can follow, and its time, which begins with its
-     * last byte, does not run until {@link #bodyComplete}. May be told more than once.
+     * Reports that the request body is streamed to the node as the client sends it. No other attempt can follow. The
+     * timeout and the deadline are suspended until {@link Broker#requestBodyComplete}. May be called more than once.
      */
     public void beginBodyStream() {
-        if (!end && !exchange.isCommitted()) {
+        if (!ended && !exchange.isCommitted()) {
             broker.bodyStreamStarted(this);
         }
     }
 
-    /** The last byte of a body in pieces has come from the client. */
-    void restartTimeout(long nowUs, long until, Timers.Timer timer) {
+    /** Restarts the timeout once the last byte of a streamed body has arrived from the client. */
+    void restartTimeout(long nowUs, long untilUs, Timers.Timer timer) {
         sentUs = nowUs;
-        timeoutAtUs = until;
-        timeout = timer;
+        timeoutAtUs = untilUs;
+        timeoutTimer = timer;
     }
 
     void suspendTimeout() {
-        timeout.cancel();
+        timeoutTimer.cancel();
     }
 
-    /** The answer has begun to reach the client, or the client's bytes the node: no other attempt can follow. */
+    /**
+     * Commits the exchange to this attempt: bytes of the answer have reached the client, or bytes of the client the
+     * node, so no other attempt can follow.
+     */
     public void commit() {
-        if (!end && !exchange.isCommitted()) {
+        if (!ended && !exchange.isCommitted()) {
             broker.attemptCommitted(this);
         }
     }
 
+    /** Sets the outcome and cancels the timeout; false if the attempt had already ended. */
     boolean markEnded(Outcome how) {
-        if (end) {
+        if (ended) {
             return false;
         }
-        end = true;
+        ended = true;
         outcome = how;
-        if (timeout != null) {
-            timeout.cancel();
+        if (timeoutTimer != null) {
+            timeoutTimer.cancel();
         }
         return true;
     }
--- a/src/main/java/petrelstand/core/Broker.java
+++ b/src/main/java/petrelstand/core/Broker.java
@@ -28,80 +28,91 @@
 import petrelstand.decision.Scheduling.Settings;
 
 /**
- * Carries requests between a client side and a server side as the decision module says. It owns the exchanges, the
- * timers set for the module and the counters; it decides nothing that the module can decide.
+ * Passes requests from clients to nodes as the decision module directs. Owns the exchanges, the node list, the timers
+ * that the module sets and the counters; leaves each decision to the module. Times are microseconds of the event loop's
+ * clock unless a name says otherwise.
  */
 public final class Broker {
-    /** The guard on a forgotten request comes after the time-outs at the deadline, and within the rule's grace. */
-    private static final long MOST_GUARD_US = 2_000;
+    /**
+     * The longest delay of the overdue timer after a deadline. The delay lets the attempts' timeouts at the deadline
+     * run first.
+     */
+    private static final long MAX_OVERDUE_DELAY_US = 2_000;
 
-    private static final double GUARD_PART = 0.25;
+    /** The delay of the overdue timer as a part of the settings' grace for an answer after the deadline. */
+    private static final double OVERDUE_DELAY_GRACE_FRACTION = 0.25;
 
     private Settings settings;
     private final LongSupplier clock;
     private final Timers timers;
-    private final NodeTransport server;
+    private final NodeTransport transport;
     private final Counters counters;
     private final RequestCounts requestCounts = new RequestCounts();
     private final Consumer<String> log;
     private final Events module;
     private final Map<Long, Exchange> exchanges = new HashMap<>();
-    private final Map<Long, Node> updateNodes = new HashMap<>();
-    /** Events that came while the module was at work: it is never entered twice. */
-    private final ArrayDeque<Runnable> waiting = new ArrayDeque<>();
+    private final Map<Long, Node> nodes = new HashMap<>();
+    /** Events that arose while the module handled another one; the module is not reentrant. */
+    private final ArrayDeque<Runnable> pendingEvents = new ArrayDeque<>();
 
-    private RequestObserver watcher = RequestObserver.NO_OP;
-    /** Null where nothing rules on requests beyond the module: a start links no code for it. */
-    private AdmissionControl setAdmissionControl;
+    private RequestObserver observer = RequestObserver.NO_OP;
+    /** Null if each request goes to the module, so that starting without admission rules loads no class for them. */
+    private AdmissionControl admissionControl;
 
-    private boolean busy;
-    private LongToDoubleFunction shares = nowUs -> 1;
-    private double setShareFunction = 1;
+    private boolean dispatching;
+    private LongToDoubleFunction shareFunction = nowUs -> 1;
+    private double share = 1;
     private long nextId = 1;
-    /** No answer is given later, µs. */
-    private long lastAnswerUs = Long.MAX_VALUE;
+    private long answerDeadlineUs = Long.MAX_VALUE;
 
-    /** Makes the decision module for a host: settings and actions. */
+    /** Creates the decision module. */
     public interface ModuleFactory {
         Events create(double nowMs, Settings settings, Actions actions);
     }
 
+    /**
+     * Creates a broker with the gateway's decision module.
+     *
+     * @param seed the seed of the module's random numbers
+     * @param clock the time of the current turn of the event loop
+     * @param log receives log lines without the prefix of the process
+     */
     public Broker(
             Settings settings,
             long seed,
             LongSupplier clock,
             Timers timers,
-            NodeTransport server,
+            NodeTransport transport,
             Counters counters,
             Consumer<String> log) {
-        this(settings, (now, s, actions) -> new Policy(now, s, seed, actions), clock, timers, server, counters, log);
+        this(settings, (now, s, actions) -> new Policy(now, s, seed, actions), clock, timers, transport, counters, log);
     }
 
     Broker(
             Settings settings,
-            ModuleFactory maker,
+            ModuleFactory factory,
             LongSupplier clock,
             Timers timers,
-            NodeTransport server,
+            NodeTransport transport,
             Counters counters,
             Consumer<String> log) {
         this.settings = settings;
         this.clock = clock;
         this.timers = timers;
-        this.server = server;
+        this.transport = transport;
         this.counters = counters;
         this.log = log;
-        this.module = maker.create(toMs(clock.getAsLong()), settings, new ModuleActions());
-        settings.classes().forEach(kind -> requestCounts.addClass(kind.name()));
+        this.module = factory.create(toMs(clock.getAsLong()), settings, new ModuleActions());
+        settings.classes().forEach(requestClass -> requestCounts.addClass(requestClass.name()));
     }
 
-    // The one border between the core's microseconds and the module's milliseconds.
+    // The core counts in microseconds and the module in milliseconds.
 
     static double toMs(long us) {
         return us / 1000.0;
     }
 
-    /** Rounded up, so that a timer never rings before the module's time. */
+    /** Rounds up, so that no timer runs before the time that the module asked for. */
     static long toUs(double ms) {
         return (long) Math.ceil(ms * 1000);
     }
@@ -110,17 +121,14 @@
         return settings;
     }
 
-    /**
-     * Other settings from now on. Requests that are open keep the class they came with, and may have no more attempts
-     * than they came with either.
-     */
+    /** Replaces the settings. An open request keeps the class and the limit on attempts that it was accepted under. */
     public void updateSettings(Settings changed) {
         settings = changed;
-        changed.classes().forEach(kind -> requestCounts.addClass(kind.name()));
-        event(() -> module.retune(toMs(clock.getAsLong()), changed), null);
+        changed.classes().forEach(requestClass -> requestCounts.addClass(requestClass.name()));
+        dispatch(() -> module.retune(toMs(clock.getAsLong()), changed), null);
     }
 
-    /** The time of this turn of the loop. */
+    /** The time of the current turn of the event loop. */
     public long nowUs() {
         return clock.getAsLong();
     }
@@ -129,109 +137,110 @@
         return counters;
     }
 
-    /** What became of requests since the process began. */
+    /** The results of requests since the start of the process. */
     public RequestCounts requestCounts() {
         return requestCounts;
     }
 
-    /** Listed nodes that anybody's requests may go to. */
+    /** The number of listed nodes, without the private ones. */
     public int listedNodeCount() {
-        return (int)
-                updateNodes.values().stream().filter(node -> !node.isPrivate()).count();
+        return (int) nodes.values().stream().filter(node -> !node.isPrivate()).count();
     }
 
-    /** Those of them that get nothing new at this moment: they drain, or the module has them for silent. */
+    /** The number of listed, not private nodes that are sent no new request, because they drain or are silent. */
     public int avoidedNodeCount() {
         Set<Long> silent = learnedState().nodes().stream()
                 .filter(node -> node.silentMs() > 0)
                 .map(LearnedNode::node)
                 .collect(Collectors.toSet());
-        return (int) updateNodes.values().stream()
+        return (int) nodes.values().stream()
                 .filter(node -> !node.isPrivate()
                         && (node.entry().state() != NodeState.READY || silent.contains(node.number())))
                 .count();
     }
 
-    /** Tells a watcher of each step from now on; there is one at most. */
-    public void setObserver(RequestObserver by) {
-        watcher = by;
+    /** Sets the observer of all requests; replaces an earlier one. */
+    public void setObserver(RequestObserver newObserver) {
+        observer = newObserver;
     }
 
-    /** Asks a gate about each request from now on, before the module; there is one at most. */
-    public void setAdmissionControl(AdmissionControl by) {
-        setAdmissionControl = by;
+    /** Sets the admission control that is asked about each new request; replaces an earlier one. */
+    public void setAdmissionControl(AdmissionControl newAdmissionControl) {
+        admissionControl = newAdmissionControl;
     }
 
-    /** Takes the right to give the final answer, counts it, and tells the watcher. */
-    private boolean finish(Exchange exchange, RequestResult how) {
+    /** Claims the right to give the final answer; the first claim is counted and reported to the observer. */
+    private boolean finish(Exchange exchange, RequestResult result) {
         boolean first = exchange.finish();
         if (first) {
-            requestCounts.recordResult(exchange.requestClass().name(), how);
-            watcher.requestAnswered(exchange.id(), how == RequestResult.SERVED, clock.getAsLong());
+            requestCounts.recordResult(exchange.requestClass().name(), result);
+            observer.requestAnswered(exchange.id(), result == RequestResult.SERVED, clock.getAsLong());
         }
         return first;
     }
 
-    /** A request that was turned away before it came here; its class by name, which may be none. */
+    /** Counts a request that a front end refused without submitting it; an unknown class is ignored. */
     public void recordRejected(String requestClass) {
         requestCounts.recordResult(requestClass, RequestResult.REFUSED);
     }
 
-    /** Whether a node is listed for new requests as it was when it was chosen. */
+    /** True if the node is ready and has neither moved nor restarted since it was chosen. */
     boolean isStillListed(Node chosen) {
-        Node now = updateNodes.get(chosen.number());
-        return now != null
-                && now.entry().state() == NodeState.READY
-                && now.address().equals(chosen.address())
-                && now.entry().upSinceMs() == chosen.entry().upSinceMs();
+        Node listed = nodes.get(chosen.number());
+        return listed != null
+                && listed.entry().state() == NodeState.READY
+                && listed.address().equals(chosen.address())
+                && listed.entry().upSinceMs() == chosen.entry().upSinceMs();
     }
 
     void attemptWritten(Attempt attempt) {
         requestCounts.recordAttempt();
         long now = clock.getAsLong();
-        watcher.attemptWritten(attempt.exchange().id(), attempt.number(), now);
-        event(() -> module.written(toMs(now), attempt.exchange().id()), attempt.exchange());
+        observer.attemptWritten(attempt.exchange().id(), attempt.number(), now);
+        dispatch(() -> module.written(toMs(now), attempt.exchange().id()), attempt.exchange());
     }
 
-    /** Requests without their final answer. */
+    /** The number of requests without a final answer. */
     public int openRequests() {
         return (int) exchanges.values().stream()
                 .filter(exchange -> !exchange.isFinished())
                 .count();
     }
 
-    /** Those of them that have come whole. */
+    /** The number of requests that were received completely and have no final answer. */
     public int requestsInProgress() {
         return (int) exchanges.values().stream()
                 .filter(exchange -> !exchange.isFinished() && !exchange.client().isReceiving())
                 .count();
     }
 
-    /** Nodes that are kept. */
     int knownNodeCount() {
-        return updateNodes.size();
+        return nodes.size();
     }
 
-    // ---- What comes in ----
+    // ---- Requests and node lists ----
 
     /**
-     * Takes a request; the client side gets one final answer, possibly before this returns, but not before it was given
-     * the exchange.
+     * Accepts a request. Its client handler gets one final answer, possibly before this method returns.
+     *
+     * @param message the request in the form of its wire protocol
+     * @param onAccepted receives the exchange before the client handler is called
      */
-    public Exchange submit(Demand demand, Object message, ClientHandler client, Consumer<Exchange> taken) {
+    public Exchange submit(Demand demand, Object message, ClientHandler client, Consumer<Exchange> onAccepted) {
         long now = clock.getAsLong();
-        RequestClass kind = settings.classes().get(demand.classIndex());
-        Exchange exchange = new Exchange(nextId++, demand, kind, message, client, now);
-        counters.increment("taken." + kind.name());
+        RequestClass requestClass = settings.classes().get(demand.classIndex());
+        Exchange exchange = new Exchange(nextId++, demand, requestClass, message, client, now);
+        counters.increment("taken." + requestClass.name());
         exchanges.put(exchange.id(), exchange);
-        watcher.requestAccepted(exchange.id(), demand, now);
-        taken.accept(exchange);
-        exchange.setOverdueTimer(timers.schedule(exchange.deadlineUs() + guardUs(), () -> overdue(exchange)));
-        long waitUs = setAdmissionControl == null ? 0 : setAdmissionControl.retryAfterUs(demand, now);
-        if (waitUs > 0) {
+        observer.requestAccepted(exchange.id(), demand, now);
+        onAccepted.accept(exchange);
+        exchange.setOverdueTimer(
+                timers.schedule(exchange.deadlineUs() + overdueDelayUs(), () -> failOverdue(exchange)));
+        long retryAfterUs = admissionControl == null ? 0 : admissionControl.retryAfterUs(demand, now);
+        if (retryAfterUs > 0) {
             counters.increment("refused.rules");
-            refuse(exchange, waitUs);
-            forgetIfDone(exchange);
+            refuse(exchange, retryAfterUs);
+            closeIfDone(exchange);
             return exchange;
         }
         Request request = new Request(
@@ -246,14 +255,13 @@
                 demand.gatewaySetSize(),
                 demand.clientRepeat(),
                 demand.write());
-        event(() -> module.request(toMs(now), request), exchange);
+        dispatch(() -> module.request(toMs(now), request), exchange);
         return exchange;
     }
 
-    /** How long after a request's deadline it is failed here, µs: a part of what the settings leave for the answer. */
-    private long guardUs() {
-        return Math.min(
-                MOST_GUARD_US, (long) (GUARD_PART * 1000 * settings.rules().answerGraceMs()));
+    private long overdueDelayUs() {
+        return Math.min(MAX_OVERDUE_DELAY_US, (long)
+                (OVERDUE_DELAY_GRACE_FRACTION * 1000 * settings.rules().answerGraceMs()));
     }
 
     private void refuse(Exchange exchange, long retryAfterUs) {
@@ -263,56 +271,56 @@
         }
     }
 
-    /** Guards against a request that the module forgot: its client must hear of the end at its deadline. */
-    private void overdue(Exchange exchange) {
+    /** Fails a request that the module has not answered by its deadline. */
+    private void failOverdue(Exchange exchange) {
         if (finish(exchange, RequestResult.FAILED)) {
             counters.increment("answered.overdue");
-            log.accept("core: request " + exchange.id() + " had no final answer in time; failed");
+            log.accept("core: request " + exchange.id() + " had no final answer by its deadline; answered as failed");
             exchange.client().failed(exchange.lastAttempt());
-            tellGone(exchange);
+            notifyClientGone(exchange);
         }
     }
 
-    /** No answer is given later than this: what would wait longer is failed then. */
+    /** Fails, at a time, the open requests whose deadlines are later than that. */
     public void setAnswerDeadline(long us) {
-        lastAnswerUs = us;
+        answerDeadlineUs = us;
         exchanges.values().stream()
                 .filter(exchange -> !exchange.isFinished() && exchange.deadlineUs() > us)
-                .forEach(exchange -> timers.schedule(us, () -> overdue(exchange)));
+                .forEach(exchange -> timers.schedule(us, () -> failOverdue(exchange)));
     }
 
-    /** The client left: nothing more is owed. */
+    /** Cancels the request of a client that has left; no answer is given. */
     public void clientGone(Exchange exchange) {
         if (finish(exchange, RequestResult.GONE)) {
             counters.increment("client_gone");
-            tellGone(exchange);
+            notifyClientGone(exchange);
         }
     }
 
-    private void tellGone(Exchange exchange) {
-        event(() -> module.clientGone(toMs(clock.getAsLong()), exchange.id()), exchange);
+    private void notifyClientGone(Exchange exchange) {
+        dispatch(() -> module.clientGone(toMs(clock.getAsLong()), exchange.id()), exchange);
         if (exchange.isCommitted()) {
-            exchange.attempts().forEach(attempt -> stop(attempt, Outcome.CANCELLED));
+            exchange.attempts().forEach(attempt -> abandon(attempt, Outcome.CANCELLED));
         }
-        forgetIfDone(exchange);
+        closeIfDone(exchange);
     }
 
-    /** The node list, or changes to it. */
+    /** Applies the node list or changes to it, as {@code kind} says, and passes them to the module. */
     public void updateNodes(ListKind kind, Collection<Node> listed) {
         List<NodeEntry> entries = new ArrayList<>();
         for (Node node : listed) {
-            // What is gone is not kept: attempts still out hold their node themselves, and nodes come and go all day.
-            Node before = node.isGone() ? updateNodes.remove(node.number()) : updateNodes.put(node.number(), node);
-            boolean moved = before != null
-                    && (!before.address().equals(node.address())
-                            || before.entry().upSinceMs() != node.entry().upSinceMs());
+            // Removed nodes are not kept: an active attempt holds its own reference, and replacements are frequent.
+            Node previous = node.isGone() ? nodes.remove(node.number()) : nodes.put(node.number(), node);
+            boolean moved = previous != null
+                    && (!previous.address().equals(node.address())
+                            || previous.entry().upSinceMs() != node.entry().upSinceMs());
             if (moved) {
-                server.discardConnections(before);
+                transport.discardConnections(previous);
             }
             if (node.isGone()) {
-                server.discardConnections(node);
+                transport.discardConnections(node);
             }
-            if (before == null || before.entry().state() != node.entry().state() || moved) {
+            if (previous == null || previous.entry().state() != node.entry().state() || moved) {
                 log.accept("node " + node.name() + ": "
                         + node.entry().state().name().toLowerCase(Locale.ROOT) + (moved ? ", restarted or moved" : "")
                         + ", " + node.address());
@@ -320,50 +328,51 @@
             entries.add(node.entry());
         }
         if (kind != ListKind.CHANGES && kind != ListKind.FAILED) {
-            dropUnlisted(entries);
+            removeUnlisted(entries);
         }
-        event(() -> module.nodes(toMs(clock.getAsLong()), kind, entries), null);
+        dispatch(() -> module.nodes(toMs(clock.getAsLong()), kind, entries), null);
     }
 
-    private void dropUnlisted(List<NodeEntry> entries) {
+    private void removeUnlisted(List<NodeEntry> entries) {
         Set<Long> listed = entries.stream().map(NodeEntry::node).collect(Collectors.toSet());
-        for (Node node : List.copyOf(updateNodes.values())) {
+        for (Node node : List.copyOf(nodes.values())) {
             if (!listed.contains(node.number())) {
-                updateNodes.remove(node.number());
-                server.discardConnections(node);
+                nodes.remove(node.number());
+                transport.discardConnections(node);
                 log.accept("node " + node.name() + ": no longer listed");
             }
         }
     }
 
-    /** What the decision module has learned, at this turn's time; never while the module is at work. */
+    /** What the decision module has learned up to now. Must not be called from within the module. */
     public Learned learnedState() {
         return module.learned(toMs(clock.getAsLong()));
     }
 
     /**
-     * Decides the part of this gateway's due at cold nodes and of volumes' limits that is this process's own. Asked
-     * before each event, so that a part that has lapsed is never spent, however long the loop stood still.
+     * Sets the function that returns this process's share of the gateway's allowances, which are its load on cold nodes
+     * and its part of the volumes' limits. The function is called before each event, so that an expired share is never
+     * used, even after the event loop was blocked.
      *
-     * @param by from 0 to 1, at a time in µs
+     * @param function from a time in microseconds to a share from 0 to 1
      */
-    public void setShareFunction(LongToDoubleFunction by) {
-        shares = by;
-        event(() -> {}, null);
+    public void setShareFunction(LongToDoubleFunction function) {
+        shareFunction = function;
+        dispatch(() -> {}, null);
     }
 
-    /** Tells the module of another part, ahead of the event that is about to be handled. */
-    private void checkShare() {
-        double part = shares.applyAsDouble(clock.getAsLong());
-        if (part != setShareFunction) {
-            setShareFunction = part;
-            module.share(toMs(clock.getAsLong()), part);
+    /** Tells the module of a changed share before it handles the next event. */
+    private void updateShare() {
+        double current = shareFunction.applyAsDouble(clock.getAsLong());
+        if (current != share) {
+            share = current;
+            module.share(toMs(clock.getAsLong()), current);
         }
     }
 
-    /** Gives the module what an earlier run learned, weighed and bounded; only before the first node list. */
+    /** Gives the module what an earlier process learned, validated; only before the first node list. */
     public void restoreLearnedState(Learned learned) {
-        event(() -> module.recall(toMs(clock.getAsLong()), learned), null);
+        dispatch(() -> module.recall(toMs(clock.getAsLong()), learned), null);
     }
 
     // ---- Attempts ----
@@ -371,7 +380,7 @@
     void attemptCommitted(Attempt attempt) {
         Exchange exchange = attempt.exchange();
         exchange.commit();
-        event(() -> module.streamStarted(toMs(clock.getAsLong()), exchange.id(), attempt.number()), exchange);
+        dispatch(() -> module.streamStarted(toMs(clock.getAsLong()), exchange.id(), attempt.number()), exchange);
     }
 
     void bodyStreamStarted(Attempt attempt) {
@@ -380,29 +389,31 @@
         attemptCommitted(attempt);
     }
 
-    /** A body in pieces is whole; its last byte came at a time, µs, from which on the client waits for its answer. */
-    public void requestBodyComplete(Exchange exchange, long cameUs) {
+    /** Reports that a streamed request body is complete; the client's waiting time counts from {@code receivedUs}. */
+    public void requestBodyComplete(Exchange exchange, long receivedUs) {
         Attempt attempt = exchange.activeAttempt();
         if (exchange.isFinished() || attempt == null) {
             return;
         }
         long now = clock.getAsLong();
-        exchange.restartDeadline(cameUs);
-        exchange.setOverdueTimer(
-                timers.schedule(Math.min(lastAnswerUs, exchange.deadlineUs() + guardUs()), () -> overdue(exchange)));
+        exchange.restartDeadline(receivedUs);
+        exchange.setOverdueTimer(timers.schedule(
+                Math.min(answerDeadlineUs, exchange.deadlineUs() + overdueDelayUs()), () -> failOverdue(exchange)));
         attempt.restartTimeout(
                 now,
                 exchange.deadlineUs(),
-                timers.schedule(exchange.deadlineUs(), () -> stop(attempt, Outcome.TIMED_OUT)));
+                timers.schedule(exchange.deadlineUs(), () -> abandon(attempt, Outcome.TIMED_OUT)));
     }
 
-    /** An answer that passed in pieces after it was taken for served is over; it counts as what it came to be. */
-    public void streamedAnswerEnded(Exchange exchange, RequestResult how) {
-        requestCounts.recordResult(exchange.requestClass().name(), how);
+    /**
+     * Counts the result of an answer for which {@link ClientHandler#served} returned false, at the end of its stream.
+     */
+    public void streamedAnswerEnded(Exchange exchange, RequestResult result) {
+        requestCounts.recordResult(exchange.requestClass().name(), result);
         counters.increment(
-                how == RequestResult.SERVED
+                result == RequestResult.SERVED
                         ? "passed.whole"
-                        : how == RequestResult.GONE ? "passed.left" : "passed.cut");
+                        : result == RequestResult.GONE ? "passed.left" : "passed.cut");
     }
 
     void attemptEnded(Attempt attempt, Object answer, Map<String, Double> load) {
@@ -410,12 +421,12 @@
         Outcome outcome = attempt.outcome();
         counters.increment("outcome." + outcome.name().toLowerCase(Locale.ROOT));
         if (outcome != Outcome.NOT_SENT) {
-            watcher.attemptEnded(exchange.id(), attempt.number(), outcome, clock.getAsLong());
+            observer.attemptEnded(exchange.id(), attempt.number(), outcome, clock.getAsLong());
         }
         if (outcome == Outcome.SERVED) {
             if (exchange.finish()) {
                 counters.increment("answered.served");
-                watcher.requestAnswered(exchange.id(), true, clock.getAsLong());
+                observer.requestAnswered(exchange.id(), true, clock.getAsLong());
                 if (exchange.client().served(answer)) {
                     requestCounts.recordResult(exchange.requestClass().name(), RequestResult.SERVED);
                 }
@@ -438,11 +449,12 @@
                 1 + attempt.volumeUsage().percent(),
                 attempt.volumeUsage().otherGatewayUnits(),
                 exchange.isFinished(),
-                ordered(load));
-        event(() -> module.attemptEnded(toMs(now), end), exchange);
+                orderedLoad(load));
+        dispatch(() -> module.attemptEnded(toMs(now), end), exchange);
     }
 
-    private List<Double> ordered(Map<String, Double> load) {
+    /** The load values in the order of the settings' names, -1 for a missing one; empty if no load was reported. */
+    private List<Double> orderedLoad(Map<String, Double> load) {
         return load == null || load.isEmpty()
                 ? List.of()
                 : settings.loadNames().stream()
@@ -450,81 +462,84 @@
                         .toList();
     }
 
-    private void stop(Attempt attempt, Outcome how) {
-        if (attempt.markEnded(how)) {
-            server.abandon(attempt);
+    private void abandon(Attempt attempt, Outcome outcome) {
+        if (attempt.markEnded(outcome)) {
+            transport.abandon(attempt);
             attemptEnded(attempt, null, null);
         }
     }
 
-    // ---- Entering the module ----
+    // ---- Events of the decision module ----
 
     /**
-     * Hands the module one event at a time, in order. An exception in it must not take the gateway down: the request
-     * that it was about fails, and the rest goes on.
+     * Passes an event to the module, after those that are pending. An exception in the module fails only the request
+     * that the event concerns.
+     *
+     * @param exchange the exchange that the event concerns; null if none
      */
-    private void event(Runnable event, Exchange about) {
-        waiting.add(() -> {
+    private void dispatch(Runnable event, Exchange exchange) {
+        pendingEvents.add(() -> {
             try {
-                checkShare();
+                updateShare();
                 event.run();
             } catch (RuntimeException e) {
                 counters.increment("module_faults");
                 StackTraceElement[] trace = e.getStackTrace();
-                log.accept("core: fault in the decision module: " + e + (trace.length == 0 ? "" : " at " + trace[0]));
-                if (about != null && finish(about, RequestResult.FAILED)) {
+                log.accept("core: the decision module threw an exception; the event is dropped: " + e
+                        + (trace.length == 0 ? "" : " at " + trace[0]));
+                if (exchange != null && finish(exchange, RequestResult.FAILED)) {
                     counters.increment("answered.failed");
-                    about.client().failed(about.lastAttempt());
+                    exchange.client().failed(exchange.lastAttempt());
                 }
             }
-            if (about != null) {
-                forgetIfDone(about);
+            if (exchange != null) {
+                closeIfDone(exchange);
             }
         });
-        if (!busy) {
-            busy = true;
+        if (!dispatching) {
+            dispatching = true;
             try {
-                for (Runnable next = waiting.poll(); next != null; next = waiting.poll()) {
+                for (Runnable next = pendingEvents.poll(); next != null; next = pendingEvents.poll()) {
                     next.run();
                 }
             } finally {
-                busy = false;
+                dispatching = false;
             }
         }
     }
 
-    private void forgetIfDone(Exchange exchange) {
+    private void closeIfDone(Exchange exchange) {
         if (exchange.isFinished() && !exchange.hasActiveAttempt() && exchanges.remove(exchange.id()) != null) {
-            watcher.requestClosed(exchange.id(), clock.getAsLong());
+            observer.requestClosed(exchange.id(), clock.getAsLong());
             exchange.client().exchangeClosed(exchange);
         }
     }
 
-    /** Carries out what the module asks. */
+    /** Carries out the actions of the decision module. */
     private final class ModuleActions implements Actions {
         @Override
-        public void send(long request, long node, double timeoutMs) {
+        public void send(long request, long nodeNumber, double timeoutMs) {
             Exchange exchange = exchanges.get(request);
             if (exchange == null) {
-                log.accept("core: the module sent request " + request + ", which is not open");
+                log.accept("core: the decision module sent request " + request + ", which is not open; ignored");
                 return;
             }
             long now = clock.getAsLong();
-            long until =
+            long timeoutAtUs =
                     timeoutMs == 0 ? exchange.deadlineUs() : Math.min(exchange.deadlineUs(), now + toUs(timeoutMs));
-            Node to = updateNodes.get(node);
+            Node node = nodes.get(nodeNumber);
             Attempt attempt =
-                    new Attempt(Broker.this, exchange, to, exchange.attempts().size(), now, until);
-            boolean alone = settings.may().secondCopies() || !exchange.hasActiveAttempt();
+                    new Attempt(Broker.this, exchange, node, exchange.attempts().size(), now, timeoutAtUs);
+            boolean concurrencyAllowed = settings.may().secondCopies() || !exchange.hasActiveAttempt();
             exchange.attempts().add(attempt);
-            int wanted = exchange.demand().shard();
-            boolean holds =
-                    to != null && (wanted < 0 ? !to.isPrivate() : to.entry().shard() == wanted);
+            int shard = exchange.demand().shard();
+            boolean holdsShard = node != null
+                    && (shard < 0 ? !node.isPrivate() : node.entry().shard() == shard);
             if (exchange.isFinished()
                     || exchange.isCommitted()
-                    || now >= until
-                    || !holds
-                    || !alone
+                    || now >= timeoutAtUs
+                    || !holdsShard
+                    || !concurrencyAllowed
                     || attempt.number() >= settings.may().maxAttempts()) {
                 attempt.end(Outcome.NOT_SENT, null, null);
                 return;
@@ -533,9 +548,9 @@
             if (attempt.number() > 0) {
                 counters.increment("sent.again");
             }
-            watcher.attemptStarted(request, attempt.number(), to, to.isPrivate(), now);
-            attempt.timeout(timers.schedule(until, () -> stop(attempt, Outcome.TIMED_OUT)));
-            server.start(attempt);
+            observer.attemptStarted(request, attempt.number(), node, node.isPrivate(), now);
+            attempt.setTimeoutTimer(timers.schedule(timeoutAtUs, () -> abandon(attempt, Outcome.TIMED_OUT)));
+            transport.start(attempt);
         }
 
         @Override
@@ -558,23 +573,24 @@
             if (exchange != null
                     && attempt >= 0
                     && attempt < exchange.attempts().size()) {
-                stop(exchange.attempts().get(attempt), Outcome.CANCELLED);
+                abandon(exchange.attempts().get(attempt), Outcome.CANCELLED);
             }
         }
 
         @Override
-        public void probe(long node) {
-            Node to = updateNodes.get(node);
-            if (to != null && settings.may().probes()) {
-                long sent = clock.getAsLong();
+        public void probe(long nodeNumber) {
+            Node node = nodes.get(nodeNumber);
+            if (node != null && settings.may().probes()) {
+                long sentUs = clock.getAsLong();
                 counters.increment("probes");
-                server.probe(
-                        to,
+                transport.probe(
+                        node,
                         toUs(settings.may().connectTimeoutMs()),
-                        (outcome, load) -> event(
+                        (outcome, load) -> dispatch(
                                 () -> {
                                     long now = clock.getAsLong();
-                                    module.probed(toMs(now), node, toMs(now - sent), outcome, ordered(load));
+                                    module.probed(
+                                            toMs(now), nodeNumber, toMs(now - sentUs), outcome, orderedLoad(load));
                                 },
                                 null));
             }
@@ -583,12 +599,13 @@
         @Override
         public void timer(double atMs, long token) {
             timers.schedule(
-                    toUs(atMs), () -> event(() -> module.timer(toMs(clock.getAsLong()), token), exchanges.get(token)));
+                    toUs(atMs),
+                    () -> dispatch(() -> module.timer(toMs(clock.getAsLong()), token), exchanges.get(token)));
         }
 
         @Override
         public void follow() {
-            // The watch loop follows the list from the start.
+            // The gateway follows the node list from its start.
         }
 
         @Override
--- a/src/main/java/petrelstand/core/ClientHandler.java
+++ b/src/main/java/petrelstand/core/ClientHandler.java
@@ -1,24 +1,28 @@
 package petrelstand.core;
 
-/** The front's half of an exchange: it is told the one final answer. */
+/**
+ * The client's side of an exchange, implemented by protocol front ends. Exactly one of {@link #served},
+ * {@link #refused} and {@link #failed} is called for an exchange, unless its client leaves first.
+ */
 public interface ClientHandler {
     /**
-     * Served; the answer is whatever the server side of the same wire made of the node's. False where it passes in
-     * pieces from here on: {@link Broker#streamedAnswerEnded} is told what came of it.
+     * Answers with the node's answer, which has the form that the node transport of the same wire protocol gave it.
+     * Returns false if the answer is streamed from here on; its end is then reported to
+     * {@link Broker#streamedAnswerEnded}.
      */
     boolean served(Object answer);
 
-    /** Refused: trying again is harmless, after a while (0: no advice). */
+    /** Answers that the request had no effect and may be retried after a delay (0: no delay is advised). */
     void refused(long retryAfterUs);
 
-    /** Failed: nothing is promised about the request's effect. */
+    /** Answers that the request failed and may have had an effect; {@code last} is null if no attempt was made. */
     void failed(Attempt last);
 
-    /** True while the request's last bytes are still to come. */
+    /** True until the last byte of the request has arrived. */
     default boolean isReceiving() {
         return false;
     }
 
-    /** Nothing of the exchange is out any more: it was answered or given up, and so was its last attempt. */
+    /** Called when the exchange is finished and its last attempt has ended; nothing refers to it any more. */
     default void exchangeClosed(Exchange exchange) {}
 }
--- a/src/main/java/petrelstand/core/Counters.java
+++ b/src/main/java/petrelstand/core/Counters.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Counts by name of what is taken, sent and answered, and of what went wrong. */
+/** Named event counters, from 0 at the start of the process. */
 public final class Counters {
     private final Map<String, long[]> counts = new TreeMap<>();
 
@@ -11,12 +11,13 @@
         counts.computeIfAbsent(name, n -> new long[1])[0]++;
     }
 
+    /** The count under a name; 0 for a name that was never counted. */
     public long get(String name) {
         long[] count = counts.get(name);
         return count == null ? 0 : count[0];
     }
 
-    /** All counts, one "name value" a line, in order of name. */
+    /** All counters as lines "name value", sorted by name. */
     public String toLines() {
         StringBuilder text = new StringBuilder();
         counts.forEach(
@@ -24,7 +25,7 @@
         return text.toString();
     }
 
-    /** All counts on one line. */
+    /** All counters as one line "name=value name=value", sorted by name. */
     public String toLine() {
         return toLines().strip().replace(' ', '=').replace('\n', ' ');
     }
--- a/src/main/java/petrelstand/core/Exchange.java
+++ b/src/main/java/petrelstand/core/Exchange.java
@@ -5,8 +5,8 @@
 import petrelstand.decision.Scheduling.RequestClass;
 
 /**
- * One request from its taking to its one final answer. The client side and the server side meet only here: the message
- * that the client sent, in its own wire's form, and the client side that gets the answer.
+ * A request from its acceptance to its one final answer. Holds the message that the client sent, in the form of its
+ * wire protocol, and the handler that answers the client.
  */
 public final class Exchange {
     private final long id;
@@ -16,18 +16,18 @@
     private final ClientHandler client;
     private long acceptedUs;
     private final List<Attempt> attempts = new ArrayList<>(1);
-    private boolean isFinished;
-    private boolean isCommitted;
-    private boolean streaming;
-    private Timers.Timer setOverdueTimer;
+    private boolean finished;
+    private boolean committed;
+    private boolean bodyStreamed;
+    private Timers.Timer overdueTimer;
 
-    Exchange(long id, Demand demand, RequestClass kind, Object message, ClientHandler client, long takenUs) {
+    Exchange(long id, Demand demand, RequestClass requestClass, Object message, ClientHandler client, long acceptedUs) {
         this.id = id;
         this.demand = demand;
-        this.requestClass = kind;
+        this.requestClass = requestClass;
         this.message = message;
         this.client = client;
-        this.acceptedUs = takenUs;
+        this.acceptedUs = acceptedUs;
     }
 
     public long id() {
@@ -38,11 +38,12 @@
         return demand;
     }
 
-    /** Its class as the settings had it when it was taken. */
+    /** The class as the settings defined it when the request was accepted. */
     public RequestClass requestClass() {
         return requestClass;
     }
 
+    /** The request in the form of its wire protocol. */
     public Object message() {
         return message;
     }
@@ -51,28 +52,31 @@
         return client;
     }
 
+    /** When the client stops waiting, in microseconds of the loop's clock. */
     public long deadlineUs() {
         return acceptedUs + demand.timeLeftUs();
     }
 
-    /** True once the final answer was given, or the client left. */
+    /** True once the final answer was given or the client has left. */
     public boolean isFinished() {
-        return isFinished;
+        return finished;
     }
 
+    /** True once bytes were passed on, so that no other attempt can follow; see {@link Attempt#commit}. */
     public boolean isCommitted() {
-        return isCommitted;
+        return committed;
     }
 
     List<Attempt> attempts() {
         return attempts;
     }
 
+    /** The most recent attempt; null if there is none. */
     Attempt lastAttempt() {
         return attempts.isEmpty() ? null : attempts.get(attempts.size() - 1);
     }
 
-    /** The attempt that is out; null where there is none. */
+    /** The most recent attempt if it has not ended, else null. */
     public Attempt activeAttempt() {
         Attempt last = lastAttempt();
         return last == null || last.isEnded() ? null : last;
@@ -83,35 +87,35 @@
     }
 
     void commit() {
-        isCommitted = true;
+        committed = true;
     }
 
-    /** True from the first piece of a body that passes in pieces. */
+    /** True from the first piece of a streamed request body on. */
     boolean isBodyStreamed() {
-        return streaming;
+        return bodyStreamed;
     }
 
-    /** Its time does not run while its body comes. */
+    /** Suspends the deadline while the client sends a streamed body. */
     void beginBodyStream() {
-        streaming = true;
-        setOverdueTimer.cancel();
+        bodyStreamed = true;
+        overdueTimer.cancel();
     }
 
-    /** Its time begins. */
+    /** Counts the client's waiting time from {@code nowUs} on. */
     void restartDeadline(long nowUs) {
         acceptedUs = nowUs;
     }
 
     void setOverdueTimer(Timers.Timer timer) {
-        setOverdueTimer = timer;
+        overdueTimer = timer;
     }
 
-    /** Takes the right to give the final answer; only the first caller gets it. */
+    /** Claims the right to give the final answer; true for the first caller only. */
     boolean finish() {
-        boolean first = !isFinished;
-        isFinished = true;
-        if (setOverdueTimer != null) {
-            setOverdueTimer.cancel();
+        boolean first = !finished;
+        finished = true;
+        if (overdueTimer != null) {
+            overdueTimer.cancel();
         }
         return first;
     }
--- a/src/main/java/petrelstand/core/Node.java
+++ b/src/main/java/petrelstand/core/Node.java
@@ -3,8 +3,15 @@
 import petrelstand.decision.Scheduling.NodeEntry;
 import petrelstand.decision.Scheduling.NodeState;
 
-/** A storage node as listed, with the address at which this gateway reaches it. */
+/**
+ * A storage node as listed.
+ *
+ * @param name the node's name
+ * @param address the address at which this gateway reaches the node
+ * @param entry the node as the decision module sees it
+ */
 public record Node(String name, String address, NodeEntry entry) {
+    /** The number by which the decision module identifies the node; see {@link #numberOf}. */
     public long number() {
         return entry.node();
     }
@@ -13,17 +20,17 @@
         return entry.state() == NodeState.GONE;
     }
 
-    /** Only requests that name its shard may go there: it does not speak the platform's protocol. */
+    /** True if the node serves only requests that name its shard, because it does not speak the platform's protocol. */
     public boolean isPrivate() {
         return entry.shard() >= NodeEntry.PRIVATE;
     }
 
-    /** The same node, no longer listed. */
+    /** This node, no longer listed. */
     public Node asGone() {
         return withState(NodeState.GONE);
     }
 
-    /** The same node in a state. */
+    /** This node in another state. */
     public Node withState(NodeState state) {
         return new Node(
                 name,
@@ -32,8 +39,8 @@
     }
 
     /**
-     * The number by which the decision module knows a node. It is made of the name alone, so that it outlives a restart
-     * in learned state: the hex digits of an "s-" name, else a hash.
+     * Derives a node's number from its name alone, so that state learned before a restart still applies: the
+     * hexadecimal digits of a name "s-DIGITS" with up to eight digits, else the name's 32-bit FNV-1a hash.
      */
     public static long numberOf(String name) {
         String digits = name.startsWith("s-") ? name.substring(2) : "";
--- a/src/main/java/petrelstand/core/NodeTransport.java
+++ b/src/main/java/petrelstand/core/NodeTransport.java
@@ -1,21 +1,25 @@
 package petrelstand.core;
 
-/** The half of an exchange that faces the nodes. */
+import java.util.Map;
+import petrelstand.decision.Scheduling.Outcome;
+
+/** Sends attempts and probes to nodes over a wire protocol. */
 public interface NodeTransport {
-    /** Starts an attempt; its end is told once by {@link Attempt#end}, possibly before this returns. */
+    /** Starts an attempt and reports its end by {@link Attempt#end}, possibly before this method returns. */
     void start(Attempt attempt);
 
-    /** Stops waiting for an attempt: its connection closes, and nothing more is told of it. */
+    /** Closes the connection of an attempt that has ended; nothing more is reported of the attempt. */
     void abandon(Attempt attempt);
 
-    /** Asks a node for its load; the result is told once. */
-    void probe(Node node, long timeoutUs, ProbeCallback result);
+    /** Asks a node for its load; the callback is called once. */
+    void probe(Node node, long timeoutUs, ProbeCallback callback);
 
-    /** Told of the end of a probe. */
+    /** Receives the result of a probe. */
     interface ProbeCallback {
-        void probeEnded(petrelstand.decision.Scheduling.Outcome outcome, java.util.Map<String, Double> load);
+        /** Reports the outcome and, where the node answered, its load by name. */
+        void probeEnded(Outcome outcome, Map<String, Double> load);
     }
 
-    /** A node went, restarted or moved: connections to what it was before must not be used again. */
+    /** Makes sure that no open connection to a node that was removed, restarted or moved is used again. */
     void discardConnections(Node node);
 }
--- a/src/main/java/petrelstand/core/RequestCounts.java
+++ b/src/main/java/petrelstand/core/RequestCounts.java
@@ -4,11 +4,11 @@
 import java.util.Map;
 
 /**
- * What became of requests, by class, and attempts written whole to nodes, since the process began: each counted once,
- * where it happens. Classes come from the settings, which bound them; one that is dropped keeps its counts.
+ * Counts, since the start of the process, the final results of requests by class, and the attempts that were written
+ * completely to a node. The settings define the classes; a class that they drop keeps its counts.
  */
 public final class RequestCounts {
-    /** How a request ended. */
+    /** The final result of a request; GONE: the client left before an answer. */
     public enum RequestResult {
         SERVED,
         REFUSED,
@@ -16,23 +16,23 @@
         GONE
     }
 
-    /** One class's counts. */
-    private static final class Row {
-        private final long[] ends = new long[RequestResult.values().length];
+    private static final class ClassCounts {
+        private final long[] byResult = new long[RequestResult.values().length];
     }
 
-    private final Map<String, Row> rows = new LinkedHashMap<>();
+    private final Map<String, ClassCounts> classes = new LinkedHashMap<>();
     private long attempts;
 
-    /** A class that requests can have from here on. */
+    /** Adds a class with counts of 0, if it is new. */
     void addClass(String requestClass) {
-        rows.computeIfAbsent(requestClass, name -> new Row());
+        classes.computeIfAbsent(requestClass, name -> new ClassCounts());
     }
 
-    void recordResult(String requestClass, RequestResult how) {
-        Row row = rows.get(requestClass);
-        if (row != null) {
-            row.ends[how.ordinal()]++;
+    /** Counts a result; ignored for a class that was never added. */
+    void recordResult(String requestClass, RequestResult result) {
+        ClassCounts counts = classes.get(requestClass);
+        if (counts != null) {
+            counts.byResult[result.ordinal()]++;
         }
     }
 
@@ -40,18 +40,18 @@
         attempts++;
     }
 
-    /** Requests of a class that ended so; 0 for a class that was never known. */
-    public long count(String requestClass, RequestResult how) {
-        Row row = rows.get(requestClass);
-        return row == null ? 0 : row.ends[how.ordinal()];
+    /** The number of requests of a class with a result; 0 for a class that was never added. */
+    public long count(String requestClass, RequestResult result) {
+        ClassCounts counts = classes.get(requestClass);
+        return counts == null ? 0 : counts.byResult[result.ordinal()];
     }
 
-    /** The classes, in the order in which they came to be known. */
+    /** The classes in the order in which they were added. */
     public Iterable<String> classNames() {
-        return rows.keySet();
+        return classes.keySet();
     }
 
-    /** Attempts whose last byte was written to a node. */
+    /** The number of attempts whose last byte was written to a node. */
     public long attempts() {
         return attempts;
     }
--- a/src/main/java/petrelstand/core/Timers.java
+++ b/src/main/java/petrelstand/core/Timers.java
@@ -2,9 +2,12 @@
 
 import java.util.PriorityQueue;
 
-/** Timers on the loop's clock, in microseconds; those due at one time run in the order they were set. */
+/**
+ * One-shot timers on the event loop's clock, in microseconds. Timers that are due at the same time run in the order in
+ * which they were scheduled.
+ */
 public final class Timers {
-    /** A timer as set; cancelling it twice, or after it ran, does nothing. */
+    /** A scheduled timer. */
     public final class Timer implements Comparable<Timer> {
         private final long atUs;
         private final long order;
@@ -16,6 +19,7 @@
             this.action = action;
         }
 
+        /** Cancels the timer; false, without effect, if it has run or was cancelled before. */
         public boolean cancel() {
             boolean waiting = action != null;
             action = null;
@@ -29,20 +33,21 @@
         }
     }
 
-    private static final int FEW = 256;
+    /** With no more cancelled timers than this the queue is not purged. */
+    private static final int PURGE_THRESHOLD = 256;
 
     private final PriorityQueue<Timer> queue = new PriorityQueue<>();
     private long order;
     private int cancelled;
 
-    /** Timers kept, those cancelled and not yet dropped among them. */
+    /** The number of timers in the queue, including cancelled ones that were not removed yet. */
     int size() {
         return queue.size();
     }
 
-    /** Sets a timer. Where half of those kept were cancelled, these are dropped: they would wait for their time. */
+    /** Schedules an action. Purges the cancelled timers first if they make up more than half of a large queue. */
     public Timer schedule(long atUs, Runnable action) {
-        if (cancelled > FEW && cancelled > queue.size() / 2) {
+        if (cancelled > PURGE_THRESHOLD && cancelled > queue.size() / 2) {
             queue.removeIf(timer -> timer.action == null);
             cancelled = 0;
         }
@@ -51,7 +56,7 @@
         return timer;
     }
 
-    /** When the next timer is due; Long.MAX_VALUE where none is set. */
+    /** When the next timer is due; Long.MAX_VALUE if none is scheduled. */
     public long nextDueUs() {
         while (!queue.isEmpty() && queue.peek().action == null) {
             queue.poll();
@@ -61,8 +66,8 @@
     }
 
     /**
-     * Runs what is due. A timer set meanwhile waits for the next call even where it is due already: guards against a
-     * turn of the loop that never ends because each timer sets one for now.
+     * Runs the timers that are due. A timer that is scheduled meanwhile waits for the next call, even if it is due
+     * already: timers that reschedule themselves for the current time must not block the event loop.
      */
     public void runDue(long nowUs) {
         long limit = order;
--- a/src/main/java/petrelstand/core/VolumeUsage.java
+++ b/src/main/java/petrelstand/core/VolumeUsage.java
@@ -1,25 +1,28 @@
 package petrelstand.core;
 
 /**
- * What a node's answer tells of its request's volume.
+ * The usage of a request's volume as a node's answer reports it.
  *
- * @param percent the volume's use through all gateways and nodes in a finished period, in percent of its plan's rate;
- *     {@link #UNKNOWN_PERCENT} where the answer does not say
- * @param fromOthers units that the node served the volume through other gateways since its last answer to this one
+ * @param percent the volume's usage through all gateways and nodes in the last complete period, in percent of its
+ *     plan's rate; {@link #UNKNOWN_PERCENT} if the answer does not report it
+ * @param otherGatewayUnits the units that the node served the volume through other gateways since its previous answer
+ *     to this one
  */
 public record VolumeUsage(int percent, int otherGatewayUnits) {
     public static final int UNKNOWN_PERCENT = -1;
-    /** Nothing is told. */
+    /** The usage if an answer reports nothing. */
     public static final VolumeUsage UNKNOWN = new VolumeUsage(UNKNOWN_PERCENT, 0);
-    /** No figure is larger. */
+    /** The largest value of either component. */
     public static final int MAX_VALUE = 65_534;
 
+    /** Throws IllegalArgumentException if a value is out of range. */
     public VolumeUsage {
         if (percent < UNKNOWN_PERCENT
                 || percent > MAX_VALUE
                 || otherGatewayUnits < 0
                 || otherGatewayUnits > MAX_VALUE) {
-            throw new IllegalArgumentException("use of a volume out of bounds: " + percent + ", " + otherGatewayUnits);
+            throw new IllegalArgumentException("volume usage out of range: percent " + percent
+                    + ", units through other gateways " + otherGatewayUnits);
         }
     }
 }
--- a/src/test/java/petrelstand/core/LimitBoundTest.java
+++ b/src/test/java/petrelstand/core/LimitBoundTest.java
@@ -19,9 +19,9 @@
 import petrelstand.testing.SilentClient;
 
 /**
- * The rule on limits in virtual time (docs/design/limits.md): gateways whose processes are replaced, stopped and killed
- * send a volume's requests over slow connections and in slow bodies; by the moments at which these reach a node, the
- * limit is never exceeded. Real decision module, real broker, real share between processes.
+ * Simulates gateways whose processes are replaced, paused and killed, with slow connections and slow request bodies,
+ * and checks by the arrival times at the nodes that a volume's limit (docs/design/limits.md) is never exceeded. Uses
+ * the real decision module, broker and process share.
  */
 class LimitBoundTest {
     private static final int SEEDS = 24;
@@ -30,42 +30,42 @@
     private static final double RATE = 40;
     private static final double BURST = 96;
     private static final long STEP_US = 1_000;
-    private static final long DAY_US = 20_000_000;
-    /** From the last byte's writing to its arrival. */
-    private static final long WIRE_US = 2_000;
+    private static final long LENGTH_US = 20_000_000;
+    /** From the write of the last byte to its arrival. */
+    private static final long NETWORK_DELAY_US = 2_000;
 
     private static final String SETTINGS = (Harness.SETTINGS + "plans.0.limit=" + RATE + "\nplans.0.burst=" + BURST
                     + "\n")
             .replace("balancers=1", "balancers=" + GATEWAYS);
 
-    /** The volume's store as the rule counts it: full at first, units taken by the moment of their arrival. */
-    private static final class Meter {
+    /** The volume's token bucket as the limit defines it: full at first, charged when units arrive. */
+    private static final class Bucket {
         private double level = BURST;
         private double lowest = BURST;
-        private double arrived;
+        private double arrivedUnits;
         private long atUs;
 
-        void arrive(long nowUs, double units) {
+        void charge(long nowUs, double units) {
             level = Math.min(BURST, level + RATE * (nowUs - atUs) / 1e6) - units;
             atUs = nowUs;
-            arrived += units;
+            arrivedUnits += units;
             lowest = Math.min(lowest, level);
         }
     }
 
-    /** All that one seed draws. */
-    private static final class World {
+    /** One simulation, determined by its seed. */
+    private static final class Simulation {
         private final Random random;
-        /** How many requests come in slow bodies, of ten. */
+        /** How many requests of ten have slow bodies. */
         private final int slowBodies;
 
-        private final Meter meter = new Meter();
+        private final Bucket bucket = new Bucket();
         private final Timers timers = new Timers();
         private final List<List<Process>> gateways = new ArrayList<>();
         private final Set<Exchange> counted = new HashSet<>();
         private long nowUs = 1_000_000_000L;
 
-        World(long seed) {
+        Simulation(long seed) {
             random = new Random(seed);
             slowBodies = random.nextInt(10);
         }
@@ -74,94 +74,94 @@
             for (int gateway = 0; gateway < GATEWAYS; gateway++) {
                 gateways.add(new ArrayList<>());
                 gateways.get(gateway).add(new Process(this, gateway));
-                replaceLater(gateway);
+                scheduleReplacement(gateway);
             }
-            for (long end = nowUs + DAY_US; nowUs < end; nowUs += STEP_US) {
+            for (long end = nowUs + LENGTH_US; nowUs < end; nowUs += STEP_US) {
                 timers.runDue(nowUs);
                 for (List<Process> processes : gateways) {
-                    ask(processes);
+                    sendRequests(processes);
                     processes.forEach(Process::turn);
                 }
             }
         }
 
-        /** Clients ask for far more than the limit, now and then for nothing, so that stores fill. */
-        private void ask(List<Process> processes) {
-            boolean surge = nowUs / 2_500_000 % 2 == 0;
+        /** Clients request far more than the limit, and periodically nothing, so that the bucket refills. */
+        private void sendRequests(List<Process> processes) {
+            boolean overload = nowUs / 2_500_000 % 2 == 0;
             List<Process> listening =
-                    processes.stream().filter(process -> process.listens).toList();
-            if (surge && !listening.isEmpty() && random.nextInt(6) == 0) {
-                Process taker = listening.get(random.nextInt(listening.size()));
+                    processes.stream().filter(process -> process.listening).toList();
+            if (overload && !listening.isEmpty() && random.nextInt(6) == 0) {
+                Process receiver = listening.get(random.nextInt(listening.size()));
                 for (int i = random.nextInt(4); i >= 0; i--) {
-                    taker.inbox.add(1 + random.nextInt(8));
+                    receiver.inbox.add(1 + random.nextInt(8));
                 }
             }
         }
 
-        private void replaceLater(int gateway) {
+        private void scheduleReplacement(int gateway) {
             timers.schedule(nowUs + 2_000_000 + random.nextInt(4_000_000), () -> replace(gateway));
         }
 
-        /** A second process starts; one of the two goes; either may be stopped for a while at any step. */
+        /** A second process starts and one of the two dies; either may be paused meanwhile. */
         private void replace(int gateway) {
             List<Process> processes = gateways.get(gateway);
             Process older = processes.get(0);
             Process newer = new Process(this, gateway);
             processes.add(newer);
             switch (random.nextInt(5)) {
-                case 0 -> stopForAWhile(older);
-                case 1 -> stopForAWhile(newer);
-                case 2 -> older.losesItsMark();
-                case 3 -> older.looks = false;
+                case 0 -> pauseLater(older);
+                case 1 -> pauseLater(newer);
+                case 2 -> older.loseMark();
+                case 3 -> older.scanning = false;
                 default -> {}
             }
             timers.schedule(nowUs + 500_000 + random.nextInt(5_000_000), () -> {
-                Process gone = random.nextInt(3) == 0 ? newer : older;
-                gone.die();
-                processes.remove(gone);
-                replaceLater(gateway);
+                Process dying = random.nextInt(3) == 0 ? newer : older;
+                dying.die();
+                processes.remove(dying);
+                scheduleReplacement(gateway);
             });
         }
 
-        private void stopForAWhile(Process process) {
-            timers.schedule(nowUs + random.nextInt(2_000_000), () -> process.stopped = process.marked);
-            timers.schedule(nowUs + 2_000_000 + random.nextInt(2_000_000), () -> process.stopped = false);
+        private void pauseLater(Process process) {
+            timers.schedule(nowUs + random.nextInt(2_000_000), () -> process.paused = process.marked);
+            timers.schedule(nowUs + 2_000_000 + random.nextInt(2_000_000), () -> process.paused = false);
         }
 
         void arrive(Exchange exchange, long delayUs) {
             timers.schedule(nowUs + delayUs, () -> {
                 if (counted.add(exchange)) {
-                    meter.arrive(nowUs, exchange.demand().units());
+                    bucket.charge(nowUs, exchange.demand().units());
                 }
             });
         }
     }
 
-    /** One process of a gateway: a loop that turns each millisecond unless it is stopped, and a thread that looks. */
+    /** A gateway process: an event loop that turns once per millisecond unless paused, and a scanning thread. */
     private static final class Process extends InertNodes {
-        private final World world;
-        private final List<Process> ofGateway;
+        private final Simulation simulation;
+        private final List<Process> gatewayProcesses;
         private final Timers timers = new Timers();
         private final ProcessShare share = new ProcessShare();
         private final List<Integer> inbox = new ArrayList<>();
         private final Broker broker;
         private final long startedUs;
         private long nowUs;
-        private long lookAtUs;
-        private boolean listens;
+        private long nextScanUs;
+        private boolean listening;
         private boolean marked = true;
-        private boolean looks = true;
-        private boolean stopped;
+        private boolean scanning = true;
+        private boolean paused;
         private boolean dead;
 
-        Process(World world, int gateway) {
-            this.world = world;
-            this.ofGateway = world.gateways.get(gateway);
-            this.nowUs = world.nowUs;
+        Process(Simulation simulation, int gateway) {
+            this.simulation = simulation;
+            this.gatewayProcesses = simulation.gateways.get(gateway);
+            this.nowUs = simulation.nowUs;
             this.startedUs = nowUs;
             Settings settings = SettingsReader.ofText(SETTINGS);
             this.broker = new Broker(
-                    settings, world.random.nextLong(), () -> nowUs, timers, this, new Counters(), line -> {});
+                    settings, simulation.random.nextLong(), () -> nowUs, timers, this, new Counters(), line -> {});
             share.recordMark(nowUs, others());
             broker.setShareFunction(share::share);
             List<Node> nodes = new ArrayList<>();
@@ -173,18 +173,18 @@
         }
 
         private int others() {
-            return (int) ofGateway.stream()
+            return (int) gatewayProcesses.stream()
                     .filter(other -> other != this && other.marked)
                     .count();
         }
 
-        void losesItsMark() {
-            // One that is stopped, or no longer looks, could not leave its mark again: two faults at once.
-            later(1 + world.random.nextInt(3_000_000), () -> marked = stopped || !looks);
+        void loseMark() {
+            // A process that is paused or not scanning could not renew its mark, which would be a second fault.
+            runLater(1 + simulation.random.nextInt(3_000_000), () -> marked = paused || !scanning);
         }
 
-        private void later(long us, Runnable action) {
-            world.timers.schedule(world.nowUs + us, () -> {
+        private void runLater(long us, Runnable action) {
+            simulation.timers.schedule(simulation.nowUs + us, () -> {
                 if (!dead) {
                     action.run();
                 }
@@ -196,30 +196,30 @@
             marked = false;
         }
 
-        /** One turn: the time is read, what has come is taken, then timers run. */
+        /** One turn of the loop: reads the time, accepts the new requests, then runs the due timers. */
         void turn() {
-            if (stopped || dead) {
+            if (paused || dead) {
                 return;
             }
-            nowUs = world.nowUs;
-            listens |= nowUs >= startedUs + 600_000;
-            look();
-            List<Integer> come = List.copyOf(inbox);
+            nowUs = simulation.nowUs;
+            listening |= nowUs >= startedUs + 600_000;
+            scan();
+            List<Integer> arrived = List.copyOf(inbox);
             inbox.clear();
-            come.forEach(this::take);
+            arrived.forEach(this::submit);
             timers.runDue(nowUs);
         }
 
-        private void look() {
-            if (!looks || nowUs < lookAtUs) {
+        private void scan() {
+            if (!scanning || nowUs < nextScanUs) {
                 return;
             }
-            lookAtUs = nowUs + 100_000;
+            nextScanUs = nowUs + 100_000;
             long beganUs = nowUs;
             boolean wasMarked = marked;
             marked = true;
             int found = others();
-            timers.schedule(nowUs + world.random.nextInt(100_000), () -> {
+            timers.schedule(nowUs + simulation.random.nextInt(100_000), () -> {
                 if (wasMarked) {
                     share.recordScan(beganUs, found);
                 } else {
@@ -228,45 +228,46 @@
             });
         }
 
-        private void take(int units) {
-            int requestClass = world.random.nextInt(3);
+        private void submit(int units) {
+            int classIndex = simulation.random.nextInt(3);
             Demand demand = new Demand(
-                    requestClass,
+                    classIndex,
                     0,
-                    world.random.nextLong(),
+                    simulation.random.nextLong(),
                     9,
                     units,
-                    world.random.nextInt(NODES),
+                    simulation.random.nextInt(NODES),
                     GATEWAYS,
                     false,
-                    requestClass == 1,
-                    1_500_000 + world.random.nextInt(1_000_000));
+                    classIndex == 1,
+                    1_500_000 + simulation.random.nextInt(1_000_000));
             broker.submit(demand, "ask", new SilentClient(), exchange -> {});
         }
 
-        // ---- Server side ----
+        // ---- Node transport ----
 
         @Override
         public void start(Attempt attempt) {
-            boolean slowConnection = world.random.nextInt(4) == 0;
-            timers.schedule(nowUs + (slowConnection ? world.random.nextInt(250_000) : 0), () -> connected(attempt));
+            boolean slowConnection = simulation.random.nextInt(4) == 0;
+            timers.schedule(
+                    nowUs + (slowConnection ? simulation.random.nextInt(250_000) : 0), () -> connected(attempt));
         }
 
         private void connected(Attempt attempt) {
-            if (world.random.nextInt(20) == 0) {
+            if (simulation.random.nextInt(20) == 0) {
                 attempt.end(Outcome.NOT_CONNECTED, null, null);
             } else if (attempt.beginWrite()) {
-                if (world.random.nextInt(10) < world.slowBodies) {
+                if (simulation.random.nextInt(10) < simulation.slowBodies) {
                     stream(attempt);
                 } else {
                     attempt.requestWritten();
-                    world.arrive(attempt.exchange(), WIRE_US);
-                    answer(attempt, 20_000 + world.random.nextInt(200_000));
+                    simulation.arrive(attempt.exchange(), NETWORK_DELAY_US);
+                    answer(attempt, 20_000 + simulation.random.nextInt(200_000));
                 }
             }
         }
 
-        /** Bodies that began at any time end in the same moments. */
+        /** Streams a body; bodies that began at different times end at the same time. */
         private void stream(Attempt attempt) {
             attempt.beginBodyStream();
             long endUs = (nowUs / 3_000_000 + 1) * 3_000_000;
@@ -274,9 +275,9 @@
                 if (!attempt.isEnded()) {
                     broker.requestBodyComplete(attempt.exchange(), nowUs);
                     attempt.requestWritten();
-                    long inBuffersUs = world.random.nextInt(1_000_000);
-                    world.arrive(attempt.exchange(), inBuffersUs);
-                    answer(attempt, inBuffersUs + 20_000);
+                    long bufferingUs = simulation.random.nextInt(1_000_000);
+                    simulation.arrive(attempt.exchange(), bufferingUs);
+                    answer(attempt, bufferingUs + 20_000);
                 }
             });
         }
@@ -287,19 +288,23 @@
     }
 
     @Test
-    void noCourseOfEventsExceedsALimit() {
+    void limitIsNeverExceeded() {
         for (int seed = 1; seed <= SEEDS; seed++) {
             play(seed);
         }
     }
 
     private static void play(long seed) {
-        World world = new World(seed);
-        world.play();
-        double allowed = RATE * WIRE_US / 1e6 + 1e-6;
-        assertTrue(world.meter.lowest >= -allowed, "seed " + seed + ": over by " + -world.meter.lowest);
-        // The bound may not be kept by sending nothing.
-        double possible = BURST + RATE * DAY_US / 1e6;
-        assertTrue(world.meter.arrived > 0.25 * possible, "seed " + seed + ": only " + world.meter.arrived + " units");
+        Simulation simulation = new Simulation(seed);
+        simulation.play();
+        double allowed = RATE * NETWORK_DELAY_US / 1e6 + 1e-6;
+        assertTrue(
+                simulation.bucket.lowest >= -allowed,
+                "seed " + seed + ": limit exceeded by " + -simulation.bucket.lowest);
+        // The limit must not be kept by sending nothing.
+        double possible = BURST + RATE * LENGTH_US / 1e6;
+        assertTrue(
+                simulation.bucket.arrivedUnits > 0.25 * possible,
+                "seed " + seed + ": only " + simulation.bucket.arrivedUnits + " units");
     }
 }
--- a/src/test/java/petrelstand/core/ModuleMemoryTest.java
+++ b/src/test/java/petrelstand/core/ModuleMemoryTest.java
@@ -14,14 +14,14 @@
 import petrelstand.testing.InertNodes;
 import petrelstand.testing.SilentClient;
 
-/** What volumes, nodes and pairs of the two keep on the heap: no more than the plan sets aside for them. */
+/** Checks that volumes and nodes use no more heap than the memory limits reserve for them. */
 class ModuleMemoryTest {
     private static final int NODES = 100;
     private static final int[] FACTORS = {1, 2, 10};
     private static final long STEP_US = 500;
 
-    private final Harness world = new Harness();
-    private final Broker broker = world.broker(new InertNodes() {
+    private final Harness harness = new Harness();
+    private final Broker broker = harness.broker(new InertNodes() {
         @Override
         public void start(Attempt attempt) {
             attempt.end(Outcome.SERVED, "answer", null);
@@ -36,45 +36,46 @@
         }
     };
 
-    /** Bytes in use once what nobody holds has been collected. */
-    private static long used() {
+    /** Bytes in use after garbage collection. */
+    private static long usedBytes() {
         Runtime runtime = Runtime.getRuntime();
-        long least = Long.MAX_VALUE;
+        long min = Long.MAX_VALUE;
         for (int i = 0; i < 3; i++) {
             System.gc();
-            least = Math.min(least, runtime.totalMemory() - runtime.freeMemory());
+            min = Math.min(min, runtime.totalMemory() - runtime.freeMemory());
         }
-        return least;
+        return min;
     }
 
-    private void list() {
+    private void listNodes() {
         List<Node> nodes = new ArrayList<>();
         for (int i = 0; i < NODES; i++) {
             nodes.add(Harness.node("s-" + String.format("%08x", i + 1), i, NodeState.READY, 0));
         }
-        world.list(nodes.toArray(new Node[0]));
-        world.log.clear();
+        harness.list(nodes.toArray(new Node[0]));
+        harness.log.clear();
     }
 
-    /** Each volume asks once, of one node after another. */
-    private void ask(int volumes) {
+    /** Sends one request per volume, to the nodes in turn. */
+    private void requestOncePerVolume(int volumes) {
         for (int i = 0; i < volumes; i++) {
-            broker.submit(new Demand(0, 0, i, i, 1, i % NODES, 1, false, false, 1_000_000), "ask", client, taken -> {});
-            world.run(STEP_US);
+            broker.submit(
+                    new Demand(0, 0, i, i, 1, i % NODES, 1, false, false, 1_000_000), "ask", client, exchange -> {});
+            harness.run(STEP_US);
         }
-        world.run(5_000_000);
+        harness.run(5_000_000);
         assertEquals(0, broker.openRequests());
     }
 
     @Test
-    void volumesAndNodesKeepNoMoreThanIsSetAsideHoweverManyAsk() {
-        long before = used();
-        list();
-        long most = NODES * MemoryLimits.NODE_BYTES + Policy.MOST_VOLUMES * MemoryLimits.VOLUME_BYTES;
+    void volumesAndNodesStayWithinTheirReservedMemory() {
+        long before = usedBytes();
+        listNodes();
+        long reserved = NODES * MemoryLimits.NODE_BYTES + Policy.MOST_VOLUMES * MemoryLimits.VOLUME_BYTES;
         for (int factor : FACTORS) {
-            ask(factor * Policy.MOST_VOLUMES);
-            long held = used() - before;
-            assertTrue(held <= most, held + " bytes at " + factor + " times the volumes, of " + most);
+            requestOncePerVolume(factor * Policy.MOST_VOLUMES);
+            long held = usedBytes() - before;
+            assertTrue(held <= reserved, held + " bytes at " + factor + " times the volumes, of " + reserved);
         }
         assertTrue(served > Policy.MOST_VOLUMES, served + " were served");
     }
--- a/src/test/java/petrelstand/core/RequestCountsTest.java
+++ b/src/test/java/petrelstand/core/RequestCountsTest.java
@@ -15,21 +15,21 @@
 import petrelstand.decision.Scheduling.Outcome;
 import petrelstand.testing.Harness;
 
-/** The figures against a count by the clients and nodes themselves, over random histories. */
+/** Compares the broker's request counts with those that simulated clients and nodes make. */
 class RequestCountsTest {
-    /** Clients and nodes that count what they see. */
-    private static final class World implements NodeTransport {
+    /** Clients and nodes that count results and attempts. */
+    private static final class CountingPeers implements NodeTransport {
         private final Harness harness = new Harness();
         private final Random random;
-        private final List<Attempt> out = new ArrayList<>();
+        private final List<Attempt> active = new ArrayList<>();
         private final List<Exchange> waiting = new ArrayList<>();
-        private final List<Map<RequestResult, Integer>> seen = new ArrayList<>();
-        private int written;
+        private final List<Map<RequestResult, Integer>> results = new ArrayList<>();
+        private int writtenAttempts;
 
-        World(long seed) {
+        CountingPeers(long seed) {
             random = new Random(seed);
             for (int i = 0; i < 3; i++) {
-                seen.add(new EnumMap<>(RequestResult.class));
+                results.add(new EnumMap<>(RequestResult.class));
             }
             harness.broker(this);
             harness.list(
@@ -37,48 +37,48 @@
                     Harness.node("s-00000002", 1, NodeState.READY, 0));
         }
 
-        private void note(int kind, RequestResult end) {
-            seen.get(kind).merge(end, 1, Integer::sum);
+        private void countResult(int classIndex, RequestResult result) {
+            results.get(classIndex).merge(result, 1, Integer::sum);
         }
 
         private final class Client implements ClientHandler {
-            private final int kind;
+            private final int classIndex;
             private Exchange exchange;
 
-            Client(int kind) {
-                this.kind = kind;
+            Client(int classIndex) {
+                this.classIndex = classIndex;
             }
 
-            private void heard(RequestResult end) {
+            private void answered(RequestResult result) {
                 waiting.remove(exchange);
-                note(kind, end);
+                countResult(classIndex, result);
             }
 
             @Override
             public boolean served(Object answer) {
-                heard(RequestResult.SERVED);
+                answered(RequestResult.SERVED);
                 return true;
             }
 
             @Override
             public void refused(long retryAfterUs) {
-                heard(RequestResult.REFUSED);
+                answered(RequestResult.REFUSED);
             }
 
             @Override
             public void failed(Attempt last) {
-                heard(RequestResult.FAILED);
+                answered(RequestResult.FAILED);
             }
         }
 
         @Override
         public void start(Attempt attempt) {
-            out.add(attempt);
+            active.add(attempt);
         }
 
         @Override
         public void abandon(Attempt attempt) {
-            out.remove(attempt);
+            active.remove(attempt);
         }
 
         @Override
@@ -88,12 +88,12 @@
         public void discardConnections(Node node) {}
 
         void step() {
-            int kind = random.nextInt(3);
+            int classIndex = random.nextInt(3);
             switch (random.nextInt(6)) {
                 case 0, 1 -> {
-                    Client client = new Client(kind);
+                    Client client = new Client(classIndex);
                     Demand demand = new Demand(
-                            kind,
+                            classIndex,
                             0,
                             random.nextInt(9),
                             random.nextInt(5),
@@ -101,7 +101,7 @@
                             random.nextInt(3),
                             1,
                             random.nextInt(5) == 0,
-                            kind == 1,
+                            classIndex == 1,
                             50_000 + random.nextInt(1_000_000));
                     harness.broker.submit(demand, "ask", client, exchange -> {
                         client.exchange = exchange;
@@ -111,13 +111,13 @@
                 case 2 -> {
                     if (!waiting.isEmpty()) {
                         Exchange left = waiting.remove(random.nextInt(waiting.size()));
-                        note(left.demand().classIndex(), RequestResult.GONE);
+                        countResult(left.demand().classIndex(), RequestResult.GONE);
                         harness.broker.clientGone(left);
                     }
                 }
                 case 3, 4 -> {
-                    if (!out.isEmpty()) {
-                        Attempt attempt = out.remove(random.nextInt(out.size()));
+                    if (!active.isEmpty()) {
+                        Attempt attempt = active.remove(random.nextInt(active.size()));
                         Outcome[] ends = {
                             Outcome.SERVED,
                             Outcome.ERROR,
@@ -129,7 +129,7 @@
                         Outcome end = ends[random.nextInt(ends.length)];
                         if (end != Outcome.NOT_CONNECTED) {
                             attempt.requestWritten();
-                            written++;
+                            writtenAttempts++;
                         }
                         attempt.end(end, "answer", Map.of());
                     }
@@ -140,41 +140,43 @@
     }
 
     @Test
-    void whatIsAvoidedIsWhatDrainsAndWhatTheModuleHasForSilent() {
-        World world = new World(1);
-        Broker broker = world.harness.broker;
+    void avoidedNodesAreTheDrainingAndSilentOnes() {
+        CountingPeers peers = new CountingPeers(1);
+        Broker broker = peers.harness.broker;
         assertEquals(2, broker.listedNodeCount());
         assertEquals(0, broker.avoidedNodeCount());
-        World.Client client = world.new Client(0);
+        CountingPeers.Client client = peers.new Client(0);
         broker.submit(
                 new Demand(0, 0, 1, 1, 1, 0, 1, false, false, 1_400_000), "ask", client, e -> client.exchange = e);
-        world.harness.run(1_000_000);
+        peers.harness.run(1_000_000);
         assertEquals(1, broker.avoidedNodeCount());
-        world.harness.list(
+        peers.harness.list(
                 Harness.node("s-00000001", 0, NodeState.READY, 0),
                 Harness.node("s-00000002", 1, NodeState.DRAINING, 0));
         assertEquals(2, broker.avoidedNodeCount());
-        world.out.get(0).end(Outcome.SERVED, "answer", Map.of());
+        peers.active.get(0).end(Outcome.SERVED, "answer", Map.of());
         assertEquals(1, broker.avoidedNodeCount());
         assertEquals(2, broker.listedNodeCount());
     }
 
     @Property(tries = 200)
-    void figuresAreWhatClientsAndNodesSaw(@ForAll long seed) {
-        World world = new World(seed);
+    void countsMatchClientsAndNodes(@ForAll long seed) {
+        CountingPeers peers = new CountingPeers(seed);
         for (int i = 0; i < 300; i++) {
-            world.step();
-            assertEquals(world.waiting.size(), world.harness.broker.openRequests());
+            peers.step();
+            assertEquals(peers.waiting.size(), peers.harness.broker.openRequests());
         }
-        world.harness.run(10_000_000);
-        RequestCounts figures = world.harness.broker.requestCounts();
-        for (int kind = 0; kind < 3; kind++) {
-            String name = world.harness.settings.classes().get(kind).name();
-            for (RequestResult end : RequestResult.values()) {
+        peers.harness.run(10_000_000);
+        RequestCounts counts = peers.harness.broker.requestCounts();
+        for (int classIndex = 0; classIndex < 3; classIndex++) {
+            String name = peers.harness.settings.classes().get(classIndex).name();
+            for (RequestResult result : RequestResult.values()) {
                 assertEquals(
-                        world.seen.get(kind).getOrDefault(end, 0).longValue(), figures.count(name, end), name + end);
+                        peers.results.get(classIndex).getOrDefault(result, 0).longValue(),
+                        counts.count(name, result),
+                        name + result);
             }
         }
-        assertEquals(world.written, figures.attempts());
+        assertEquals(peers.writtenAttempts, counts.attempts());
     }
 }
