--- a/src/main/java/petrelstand/retuning/SettingsTransition.java
+++ b/src/main/java/petrelstand/retuning/SettingsTransition.java
@@ -13,187 +13,203 @@
 import petrelstand.decision.Scheduling.Settings;
 
 /**
- * Decides what settings hold while those of one file give way to those of another. From the reload on until clients go
- * by the new file, a request may come by either, so what both allow is allowed: the stricter effect, the fewer
- * attempts, the shorter deadline. Then the new file holds. A class keeps its place for good, so that a place means one
- * class in every request and count; one that is dropped is still taken while repeats of its open requests may come, and
- * then refused as unknown.
+ * Plans the transition from the settings in use to those of a reloaded file. For a while after the reload clients may
+ * follow either file, so that the stricter of the two holds: the more restrictive effect, the fewer attempts, the
+ * shorter deadline. Then the new settings hold.
  *
- * <p>Classes and capabilities change so; what else the settings hold needs a restart.
+ * <p>A class keeps its index for the life of the process, because requests and counts refer to it. A class that the new
+ * file drops is accepted until its open requests can no longer be repeated, and then refused as unknown.
+ *
+ * <p>Only classes and capabilities change; other differences need a restart, see {@link #restartOnlyChanges}.
  */
 public final class SettingsTransition {
-    /** Clients name a new class so long after the reload, ms, and its rules bind from then. */
+    /** Delay from the reload until clients know the new classes and the new settings hold alone, ms. */
     static final double NEW_RULES_DELAY_MS = 1_200;
-    /** Classes that a process can have known: each takes a place for good. */
+    /** The number of classes that a process can know, dropped ones included. */
     static final int MAX_CLASSES = 256;
 
-    private static final double US = 1000;
+    private static final double US_PER_MS = 1000;
 
-    /** Settings in use from a time on, µs, and the names of classes that are no longer taken then. */
+    /** Settings that hold from {@code atUs} on, and the names of the classes that are refused from then on. */
     public record Step(long atUs, Settings settings, Set<String> closedClasses) {}
 
     private SettingsTransition() {}
 
     /**
-     * What holds after a reload, in order of time; the first step holds from now on.
+     * Returns the steps of the transition in order of time; the first one holds from {@code nowUs} on.
      *
-     * @param inUse the settings that hold now, whichever step they are of
-     * @param changed the new file's
-     * @param closed names of classes that are no longer taken now
-     * @throws IllegalArgumentException where more classes would be known than a process can
+     * @param inUse the current settings, which may be those of an earlier transition's step
+     * @param changed the settings of the new file
+     * @param closedClasses the names of the classes that are refused now
+     * @throws IllegalArgumentException if more than {@link #MAX_CLASSES} classes would be known
      */
-    public static List<Step> steps(Settings inUse, Settings changed, Set<String> closed, long nowUs) {
-        Set<String> named = names(changed);
-        Set<String> reopened = new HashSet<>(closed);
-        reopened.removeAll(named);
-        Settings between = with(inUse, classes(inUse, changed, true), fewer(inUse.may(), changed.may()));
-        Settings after = with(inUse, classes(inUse, changed, false), changed.may());
-        double longestMs = inUse.classes().stream()
+    public static List<Step> steps(Settings inUse, Settings changed, Set<String> closedClasses, long nowUs) {
+        Set<String> changedNames = classNames(changed);
+        Set<String> stillClosed = new HashSet<>(closedClasses);
+        stillClosed.removeAll(changedNames);
+        Settings interim =
+                with(inUse, mergedClasses(inUse, changed, true), stricterCapabilities(inUse.may(), changed.may()));
+        Settings last = with(inUse, mergedClasses(inUse, changed, false), changed.may());
+        double longestDeadlineMs = inUse.classes().stream()
                 .mapToDouble(RequestClass::deadlineMs)
                 .max()
                 .orElseThrow();
-        Set<String> dropped = new HashSet<>(names(between));
-        dropped.removeAll(named);
-        long bindsUs = nowUs + (long) (US * NEW_RULES_DELAY_MS);
-        List<Step> steps =
-                new ArrayList<>(List.of(new Step(nowUs, between, reopened), new Step(bindsUs, after, reopened)));
-        if (!dropped.equals(reopened)) {
-            steps.add(new Step(bindsUs + (long) (US * longestMs), after, dropped));
+        Set<String> droppedNames = new HashSet<>(classNames(interim));
+        droppedNames.removeAll(changedNames);
+        long newRulesUs = nowUs + (long) (US_PER_MS * NEW_RULES_DELAY_MS);
+        List<Step> steps = new ArrayList<>(
+                List.of(new Step(nowUs, interim, stillClosed), new Step(newRulesUs, last, stillClosed)));
+        if (!droppedNames.equals(stillClosed)) {
+            steps.add(new Step(newRulesUs + (long) (US_PER_MS * longestDeadlineMs), last, droppedNames));
         }
         return steps;
     }
 
-    /** What differs that only a restart can take, by the names that the file has for it. */
+    /** The keys, as the settings file names them, of differences that take effect only at a restart. */
     public static List<String> restartOnlyChanges(Settings inUse, Settings changed) {
-        List<String> names = new ArrayList<>();
-        note(names, "plans", inUse.plans().equals(changed.plans()));
-        note(names, "rules", inUse.rules().equals(changed.rules()));
-        Settings rest = with(inUse, changed.classes(), changed.plans(), changed.may(), changed.rules());
-        note(
-                names,
+        List<String> keys = new ArrayList<>();
+        addUnlessSame(keys, "plans", inUse.plans().equals(changed.plans()));
+        addUnlessSame(keys, "rules", inUse.rules().equals(changed.rules()));
+        Settings otherwiseChanged = with(inUse, changed.classes(), changed.plans(), changed.may(), changed.rules());
+        addUnlessSame(
+                keys,
                 "balancers, index, zone, period_ms, discovery, extra, report or failure_domains",
-                rest.equals(changed));
-        return names;
+                otherwiseChanged.equals(changed));
+        return keys;
     }
 
-    private static void note(List<String> names, String name, boolean same) {
+    private static void addUnlessSame(List<String> keys, String key, boolean same) {
         if (!same) {
-            names.add(name);
+            keys.add(key);
         }
     }
 
-    private static Set<String> names(Settings settings) {
+    private static Set<String> classNames(Settings settings) {
         Set<String> names = new HashSet<>();
-        settings.classes().forEach(kind -> names.add(kind.name()));
+        settings.classes().forEach(requestClass -> names.add(requestClass.name()));
         return names;
     }
 
-    private static List<RequestClass> classes(Settings inUse, Settings changed, boolean both) {
+    /**
+     * The classes in use at their indexes, followed by the new ones.
+     *
+     * @param interim whether clients may still follow the previous file, so that the stricter of both holds
+     */
+    private static List<RequestClass> mergedClasses(Settings inUse, Settings changed, boolean interim) {
         List<RequestClass> classes = new ArrayList<>();
-        for (RequestClass old : inUse.classes()) {
-            RequestClass now = find(changed.classes(), old.name());
-            classes.add(now == null ? dropped(old, both) : both ? stricterOf(old, now) : now);
+        for (RequestClass oldClass : inUse.classes()) {
+            RequestClass newClass = findClass(changed.classes(), oldClass.name());
+            classes.add(
+                    newClass == null
+                            ? droppedClass(oldClass, interim)
+                            : interim ? stricterOf(oldClass, newClass) : newClass);
         }
         changed.classes().stream()
-                .filter(now -> find(inUse.classes(), now.name()) == null)
+                .filter(newClass -> findClass(inUse.classes(), newClass.name()) == null)
                 .forEach(classes::add);
         if (classes.size() > MAX_CLASSES) {
-            throw new IllegalArgumentException("settings: classes: " + classes.size() + " since the start, where "
-                    + MAX_CLASSES + " can be known; a restart forgets those that were dropped");
+            throw new IllegalArgumentException("settings: classes: " + classes.size()
+                    + " classes since the start of the process, at most " + MAX_CLASSES
+                    + " are possible; restart to discard dropped classes");
         }
         return classes;
     }
 
-    private static RequestClass find(List<RequestClass> classes, String name) {
+    /** The class of that name; null if there is none. */
+    private static RequestClass findClass(List<RequestClass> classes, String name) {
         return classes.stream()
-                .filter(kind -> kind.name().equals(name))
+                .filter(requestClass -> requestClass.name().equals(name))
                 .findFirst()
                 .orElse(null);
     }
 
-    /** Once dropped, its aim must not be the tightest, from which the slot of the emulation is made. */
-    private static RequestClass dropped(RequestClass old, boolean inUse) {
-        return inUse
-                ? old
+    /**
+     * A class that the new file drops. After the interim its aim is its deadline, so that it can't be the shortest aim,
+     * which determines the slot of the deadline emulation.
+     */
+    private static RequestClass droppedClass(RequestClass oldClass, boolean interim) {
+        return interim
+                ? oldClass
                 : new RequestClass(
-                        old.name(),
-                        old.deadlineMs(),
-                        old.aimStretch(),
-                        old.deadlineMs(),
-                        old.worth(),
-                        old.lateWorth(),
-                        old.effect(),
-                        old.group(),
-                        old.repeatWindowMs(),
-                        old.ordered(),
-                        old.streamed(),
-                        old.writes());
+                        oldClass.name(),
+                        oldClass.deadlineMs(),
+                        oldClass.aimStretch(),
+                        oldClass.deadlineMs(),
+                        oldClass.worth(),
+                        oldClass.lateWorth(),
+                        oldClass.effect(),
+                        oldClass.group(),
+                        oldClass.repeatWindowMs(),
+                        oldClass.ordered(),
+                        oldClass.streamed(),
+                        oldClass.writes());
     }
 
-    /** What both allow of a class; for the rest, which breaks no rule, the new figures. */
-    static RequestClass stricterOf(RequestClass old, RequestClass now) {
-        Effect effect =
-                Effect.values()[Math.max(old.effect().ordinal(), now.effect().ordinal())];
-        boolean bothKeyed = old.effect() == Effect.KEYED && now.effect() == Effect.KEYED;
-        RequestClass keyed = old.effect() == Effect.KEYED ? old : now;
-        DedupGroup group = bothKeyed ? narrower(old.group(), now.group()) : keyed.group();
-        double window = bothKeyed ? Math.min(old.repeatWindowMs(), now.repeatWindowMs()) : keyed.repeatWindowMs();
+    /** A class that allows only what both versions allow; the values that forbid nothing are those of the new one. */
+    static RequestClass stricterOf(RequestClass oldClass, RequestClass newClass) {
+        Effect effect = Effect.values()[
+                Math.max(oldClass.effect().ordinal(), newClass.effect().ordinal())];
+        boolean bothKeyed = oldClass.effect() == Effect.KEYED && newClass.effect() == Effect.KEYED;
+        RequestClass keyed = oldClass.effect() == Effect.KEYED ? oldClass : newClass;
+        DedupGroup group = bothKeyed ? narrowerOf(oldClass.group(), newClass.group()) : keyed.group();
+        double repeatWindowMs =
+                bothKeyed ? Math.min(oldClass.repeatWindowMs(), newClass.repeatWindowMs()) : keyed.repeatWindowMs();
         return new RequestClass(
-                now.name(),
-                now.aimMs(),
-                now.aimStretch(),
-                Math.min(old.deadlineMs(), now.deadlineMs()),
-                now.worth(),
-                now.lateWorth(),
+                newClass.name(),
+                newClass.aimMs(),
+                newClass.aimStretch(),
+                Math.min(oldClass.deadlineMs(), newClass.deadlineMs()),
+                newClass.worth(),
+                newClass.lateWorth(),
                 effect,
                 group,
-                window,
-                old.ordered() || now.ordered(),
-                now.streamed(),
-                now.writes());
+                repeatWindowMs,
+                oldClass.ordered() || newClass.ordered(),
+                newClass.streamed(),
+                newClass.writes());
     }
 
-    private static DedupGroup narrower(DedupGroup one, DedupGroup other) {
-        return DedupGroup.values()[Math.max(one.ordinal(), other.ordinal())];
+    private static DedupGroup narrowerOf(DedupGroup first, DedupGroup second) {
+        return DedupGroup.values()[Math.max(first.ordinal(), second.ordinal())];
     }
 
-    private static Capabilities fewer(Capabilities old, Capabilities now) {
+    private static Capabilities stricterCapabilities(Capabilities first, Capabilities second) {
         return new Capabilities(
-                Math.min(old.maxAttempts(), now.maxAttempts()),
-                old.cancel() && now.cancel(),
-                old.probes() && now.probes(),
-                old.peerMessages() && now.peerMessages(),
-                old.secondCopies() && now.secondCopies(),
-                old.retryAfter() && now.retryAfter(),
-                Math.min(old.maxRetryAfterMs(), now.maxRetryAfterMs()),
-                Math.min(old.connectTimeoutMs(), now.connectTimeoutMs()),
-                Math.min(old.idleCloseMs(), now.idleCloseMs()));
+                Math.min(first.maxAttempts(), second.maxAttempts()),
+                first.cancel() && second.cancel(),
+                first.probes() && second.probes(),
+                first.peerMessages() && second.peerMessages(),
+                first.secondCopies() && second.secondCopies(),
+                first.retryAfter() && second.retryAfter(),
+                Math.min(first.maxRetryAfterMs(), second.maxRetryAfterMs()),
+                Math.min(first.connectTimeoutMs(), second.connectTimeoutMs()),
+                Math.min(first.idleCloseMs(), second.idleCloseMs()));
     }
 
-    private static Settings with(Settings of, List<RequestClass> classes, Capabilities may) {
-        return with(of, classes, of.plans(), may, of.rules());
+    private static Settings with(Settings base, List<RequestClass> classes, Capabilities may) {
+        return with(base, classes, base.plans(), may, base.rules());
     }
 
     private static Settings with(
-            Settings of, List<RequestClass> classes, List<Plan> plans, Capabilities may, Rules rules) {
+            Settings base, List<RequestClass> classes, List<Plan> plans, Capabilities may, Rules rules) {
         return new Settings(
-                of.hosts(),
-                of.index(),
-                of.zone(),
-                of.tickMs(),
+                base.hosts(),
+                base.index(),
+                base.zone(),
+                base.tickMs(),
                 classes,
                 plans,
-                of.discovery(),
+                base.discovery(),
                 may,
                 rules,
-                of.coldUnits(),
-                of.meanUnits(),
-                of.mostUnits(),
-                of.shareWorth(),
-                of.spareWorth(),
-                of.meterMs(),
-                of.tellsOthers(),
-                of.loadNames(),
-                of.zones());
+                base.coldUnits(),
+                base.meanUnits(),
+                base.mostUnits(),
+                base.shareWorth(),
+                base.spareWorth(),
+                base.meterMs(),
+                base.tellsOthers(),
+                base.loadNames(),
+                base.zones());
     }
 }
--- a/src/test/java/petrelstand/retuning/SettingsTransitionTest.java
+++ b/src/test/java/petrelstand/retuning/SettingsTransitionTest.java
@@ -18,9 +18,9 @@
 import petrelstand.retuning.SettingsTransition.Step;
 import petrelstand.testing.Harness;
 
-/** Which settings hold while one file gives way to another. */
+/** Tests which settings hold in each step after a reload. */
 class SettingsTransitionTest {
-    private static final Settings FORMER = SettingsReader.ofText(Harness.SETTINGS);
+    private static final Settings PREVIOUS = SettingsReader.ofText(Harness.SETTINGS);
 
     private static Settings read(String... changes) {
         String text = Harness.SETTINGS;
@@ -31,7 +31,7 @@
         return SettingsReader.ofText(text);
     }
 
-    private static RequestClass named(Settings settings, String name) {
+    private static RequestClass classNamed(Settings settings, String name) {
         return settings.classes().stream()
                 .filter(kind -> kind.name().equals(name))
                 .findFirst()
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void untilClientsGoByTheNewFileTheStricterHolds() {
+    void stricterSettingsHoldUntilClientsKnowTheNewFile() {
         Settings changed = read(
                 "classes.0.semantics=repeatable",
                 "classes.0.semantics=once",
@@ -49,22 +49,22 @@
                 "classes.2.hard_limit_ms=4000.0",
                 "most_tries=3",
                 "most_tries=4");
-        List<Step> steps = SettingsTransition.steps(FORMER, changed, Set.of(), 7_000_000);
-        Settings between = steps.get(0).settings();
-        assertEquals(Effect.UNSAFE, named(between, "tile-read").effect());
-        assertEquals(Effect.KEYED, named(between, "survey-write").effect());
-        assertEquals(2500, named(between, "survey-write").repeatWindowMs());
-        assertEquals(4000, named(between, "bulk-export").deadlineMs());
-        assertEquals(3, between.may().maxAttempts());
+        List<Step> steps = SettingsTransition.steps(PREVIOUS, changed, Set.of(), 7_000_000);
+        Settings interim = steps.get(0).settings();
+        assertEquals(Effect.UNSAFE, classNamed(interim, "tile-read").effect());
+        assertEquals(Effect.KEYED, classNamed(interim, "survey-write").effect());
+        assertEquals(2500, classNamed(interim, "survey-write").repeatWindowMs());
+        assertEquals(4000, classNamed(interim, "bulk-export").deadlineMs());
+        assertEquals(3, interim.may().maxAttempts());
         assertEquals(8_200_000, steps.get(1).atUs());
         assertEquals(changed, steps.get(1).settings());
         assertEquals(2, steps.size());
     }
 
     @Test
-    void aDroppedClassIsTakenForItsRepeatsAndThenClosedInItsPlace() {
+    void droppedClassKeepsItsIndexAndIsClosedAfterItsRepeats() {
         Settings changed = read("classes.0.name=tile-read", "classes.0.name=sounding-read");
-        List<Step> steps = SettingsTransition.steps(FORMER, changed, Set.of(), 0);
+        List<Step> steps = SettingsTransition.steps(PREVIOUS, changed, Set.of(), 0);
         for (Step step : steps) {
             assertEquals(
                     List.of("tile-read", "survey-write", "bulk-export", "sounding-read"),
@@ -73,16 +73,16 @@
         assertEquals(Set.of(), steps.get(1).closedClasses());
         assertEquals(Set.of("tile-read"), steps.get(2).closedClasses());
         assertEquals(1_200_000 + 5_000_000, steps.get(2).atUs());
-        // Its aim no longer makes the slot of the emulation.
-        assertEquals(1500, named(steps.get(2).settings(), "tile-read").aimMs());
-        List<Step> back = SettingsTransition.steps(
-                steps.get(2).settings(), FORMER, steps.get(2).closedClasses(), 9);
-        assertEquals(Set.of(), back.get(0).closedClasses());
-        assertEquals(250, named(back.get(1).settings(), "tile-read").aimMs());
+        // The aim of a dropped class must not determine the slot of the deadline emulation.
+        assertEquals(1500, classNamed(steps.get(2).settings(), "tile-read").aimMs());
+        List<Step> reverted = SettingsTransition.steps(
+                steps.get(2).settings(), PREVIOUS, steps.get(2).closedClasses(), 9);
+        assertEquals(Set.of(), reverted.get(0).closedClasses());
+        assertEquals(250, classNamed(reverted.get(1).settings(), "tile-read").aimMs());
     }
 
     @Test
-    void whatOnlyARestartTakesIsNamedAndStays() {
+    void restartOnlyChangesAreNamedAndNotApplied() {
         Settings changed = read(
                 "plans.0.rate=40",
                 "plans.0.rate=50",
@@ -92,19 +92,19 @@
                 "balancers=2",
                 "most_tries=3",
                 "most_tries=2");
-        assertEquals(3, SettingsTransition.restartOnlyChanges(FORMER, changed).size());
-        assertEquals(List.of(), SettingsTransition.restartOnlyChanges(FORMER, read("most_tries=3", "most_tries=2")));
-        Settings after =
-                SettingsTransition.steps(FORMER, changed, Set.of(), 0).get(1).settings();
-        assertEquals(FORMER.plans(), after.plans());
-        assertEquals(FORMER.rules(), after.rules());
-        assertEquals(1, after.hosts());
-        assertEquals(2, after.may().maxAttempts());
+        assertEquals(3, SettingsTransition.restartOnlyChanges(PREVIOUS, changed).size());
+        assertEquals(List.of(), SettingsTransition.restartOnlyChanges(PREVIOUS, read("most_tries=3", "most_tries=2")));
+        Settings last =
+                SettingsTransition.steps(PREVIOUS, changed, Set.of(), 0).get(1).settings();
+        assertEquals(PREVIOUS.plans(), last.plans());
+        assertEquals(PREVIOUS.rules(), last.rules());
+        assertEquals(1, last.hosts());
+        assertEquals(2, last.may().maxAttempts());
     }
 
     @Test
-    void placesAreBounded() {
-        Settings inUse = FORMER;
+    void numberOfClassesIsBounded() {
+        Settings inUse = PREVIOUS;
         for (int i = 0; i < SettingsTransition.MAX_CLASSES - 3; i++) {
             inUse = SettingsTransition.steps(
                             inUse, read("classes.0.name=tile-read", "classes.0.name=c" + i), Set.of(), 0)
@@ -112,15 +112,15 @@
                     .settings();
         }
         Settings full = inUse;
-        Settings more = read("classes.0.name=tile-read", "classes.0.name=more");
-        assertThrows(IllegalArgumentException.class, () -> SettingsTransition.steps(full, more, Set.of(), 0));
+        Settings withOneMore = read("classes.0.name=tile-read", "classes.0.name=more");
+        assertThrows(IllegalArgumentException.class, () -> SettingsTransition.steps(full, withOneMore, Set.of(), 0));
     }
 
-    /** Whatever comes after what: a place is one class for good, and what both files forbid is never allowed. */
+    /** After any sequence of reloads a class keeps its index, and what either file forbids is not allowed. */
     @Property(tries = 300)
-    void reloadsInAnyOrderKeepPlacesAndForbidWhatEitherForbids(@ForAll long seed) {
+    void randomReloadsKeepIndexesAndApplyTheStricterSettings(@ForAll long seed) {
         Random random = new Random(seed);
-        Settings inUse = FORMER;
+        Settings inUse = PREVIOUS;
         Set<String> closed = Set.of();
         for (int i = 0; i < 8; i++) {
             Settings changed = read(
@@ -133,26 +133,26 @@
                     "most_tries=" + (1 + random.nextInt(4)));
             List<Step> steps = SettingsTransition.steps(inUse, changed, closed, i);
             for (Step step : steps) {
-                for (int place = 0; place < inUse.classes().size(); place++) {
+                for (int index = 0; index < inUse.classes().size(); index++) {
                     assertEquals(
-                            inUse.classes().get(place).name(),
-                            step.settings().classes().get(place).name());
+                            inUse.classes().get(index).name(),
+                            step.settings().classes().get(index).name());
                 }
             }
-            Settings between = steps.get(0).settings();
+            Settings interim = steps.get(0).settings();
             assertEquals(
                     Math.min(inUse.may().maxAttempts(), changed.may().maxAttempts()),
-                    between.may().maxAttempts());
-            for (RequestClass kind : changed.classes()) {
-                RequestClass held = named(between, kind.name());
-                RequestClass before = named(inUse, kind.name());
-                assertTrue(held.effect().compareTo(kind.effect()) >= 0);
-                assertTrue(before == null || held.effect().compareTo(before.effect()) >= 0);
-                assertTrue(steps.stream().noneMatch(step -> step.closedClasses().contains(kind.name())));
+                    interim.may().maxAttempts());
+            for (RequestClass changedClass : changed.classes()) {
+                RequestClass interimClass = classNamed(interim, changedClass.name());
+                RequestClass previousClass = classNamed(inUse, changedClass.name());
+                assertTrue(interimClass.effect().compareTo(changedClass.effect()) >= 0);
+                assertTrue(previousClass == null || interimClass.effect().compareTo(previousClass.effect()) >= 0);
+                assertTrue(steps.stream().noneMatch(step -> step.closedClasses().contains(changedClass.name())));
             }
-            Step last = steps.get(random.nextInt(steps.size()));
-            inUse = last.settings();
-            closed = new HashSet<>(last.closedClasses());
+            Step current = steps.get(random.nextInt(steps.size()));
+            inUse = current.settings();
+            closed = new HashSet<>(current.closedClasses());
         }
     }
 }
