--- a/src/main/java/petrelstand/lifecycle/ExitStatus.java
+++ b/src/main/java/petrelstand/lifecycle/ExitStatus.java
@@ -1,16 +1,16 @@
 package petrelstand.lifecycle;
 
-/** The statuses with which a serving process ends by itself; docs/ONCALL.md says what an operator does with each. */
+/** Exit statuses of the serving process; docs/ONCALL.md describes the operator's response to each. */
 public final class ExitStatus {
-    /** All that was taken is answered. */
+    /** All accepted requests were answered. */
     public static final int ENDED = 0;
-    /** It could not start: a wrong file, or an address that is taken. */
+    /** The start failed, for example on an invalid file or an address in use. */
     public static final int START_FAILED = 1;
-    /** A thread that it can't do without has ended, or thrown an Error. */
+    /** A required thread has ended or thrown an Error. */
     public static final int FATAL_ERROR = 70;
-    /** Its event loop has stood still for {@link StallDetector#LIMIT_NS}. */
+    /** The event loop was stalled for {@link StallDetector#LIMIT_NS}. */
     public static final int LOOP_STALLED = 71;
-    /** After SIGTERM or SIGINT it had not ended by itself in {@link Lifecycle.Delays#forcedEndUs()}. */
+    /** The shutdown after SIGTERM or SIGINT took longer than {@link Lifecycle.Delays#forcedEndUs()}. */
     public static final int SHUTDOWN_OVERDUE = 72;
 
     private ExitStatus() {}
--- a/src/main/java/petrelstand/lifecycle/Lifecycle.java
+++ b/src/main/java/petrelstand/lifecycle/Lifecycle.java
@@ -4,62 +4,64 @@
 import petrelstand.decision.Scheduling.Settings;
 
 /**
- * What a gateway's process does with connections and requests in each part of its life, from the start to the end: a
- * function of what was asked of it, and when, and of the time. No timer belongs to it, so nothing of a former phase is
- * left behind where phases cross: whoever carries it out asks at the turn's time, and again at {@link #nextChangeUs}.
+ * What a gateway process does with connections and requests in each phase of its life. All answers are functions of the
+ * operator's and the system's requests, their times, and the current time. No timers are used, so that none is left
+ * over from an earlier phase; the caller asks again at {@link #nextChangeUs}.
  *
- * <p>Times are microseconds of the loop's clock. Not for several threads, but for {@link #forcedEndUs}.
+ * <p>Times are microseconds of the event loop's clock. Not thread-safe, except {@link #forcedEndUs}.
  */
 public final class Lifecycle {
-    /** The parts of a process's life; {@link #DRAINED} alone can be left for an earlier one. */
+    /** The phases of a process. Only {@link #DRAINED} can be left for an earlier one, by {@link #rejoin}. */
     public enum Phase {
-        /** Its listeners are not open. */
+        /** The listeners are not open. */
         STARTING,
-        /** It takes all that comes. */
+        /** Connections and requests are accepted. */
         SERVING,
-        /** An operator emptied it: it says no, its kept connections end, the process goes on. */
+        /** Evacuated by an operator: not ready, connections are closed, but the process stays. */
         DRAINED,
-        /** SIGTERM came: what was taken is answered, and then the process ends. */
+        /** SIGTERM was received: accepted requests are answered, then the process ends. */
         ENDING
     }
 
     /**
-     * The figures that it follows, µs.
+     * The delays after which the process changes its behaviour within a phase, in microseconds.
      *
-     * @param notedUs from a first no at {@code /ready} until nobody opens a connection here any more
-     * @param drainedUs from the start of a drain until nothing new may be taken on any connection
-     * @param lastOpenUs from SIGTERM until no connection is opened here any more, where no other process takes them
+     * @param readinessLagUs from the first "not ready" at {@code /ready} until no client opens a new connection
+     * @param drainAcceptUs from the start of a drain until no request is accepted on any connection
+     * @param shutdownAcceptUs from SIGTERM until no connection is accepted, unless another process accepts them
      * @param killUs from SIGTERM until the process may be killed
      */
     public record Delays(long readinessLagUs, long drainAcceptUs, long shutdownAcceptUs, long killUs) {
-        /** The front asks ten times a second, and stops 0.2 s after a no; a tenth of a second is margin. */
+        /** The platform polls ten times a second and stops connecting 0.2 s after "not ready"; 0.1 s is margin. */
         static final long READINESS_LAG_US = 400_000;
-        /** A connection may not have a request of the last 2 s 4 s after the call; a tenth of a second is margin. */
+        /** 4 s after the call no connection may have had a request in the last 2 s; 0.1 s is margin. */
         static final long DRAIN_ACCEPT_US = 1_900_000;
-        /** Connections come for up to 0.4 s after SIGTERM; the rest is margin. */
+        /** Connections arrive for up to 0.4 s after SIGTERM; the rest is margin. */
         static final long SHUTDOWN_ACCEPT_US = 550_000;
 
         static final long MIN_DEADLINE_US = 3_000_000;
-        static final long KILL_AFTER_US = 700_000;
-        /** Before the kill: what has not ended by itself is ended then, so that it says so. */
-        static final long FORCED_BEFORE_KILL_US = 50_000;
+        static final long KILL_AFTER_DEADLINE_US = 700_000;
+        /** The process ends itself this long before it may be killed, so that it logs why. */
+        static final long FORCED_END_BEFORE_KILL_US = 50_000;
 
+        /** Throws IllegalArgumentException if the delays are negative or out of order. */
         public Delays {
             if (readinessLagUs < 0
                     || drainAcceptUs < readinessLagUs
                     || shutdownAcceptUs < 0
                     || killUs < shutdownAcceptUs) {
-                throw new IllegalArgumentException("times out of order: " + readinessLagUs + ", " + drainAcceptUs + ", "
-                        + shutdownAcceptUs + ", " + killUs);
+                throw new IllegalArgumentException("lifecycle delays in us are negative or out of order: readiness lag "
+                        + readinessLagUs + ", drain accept " + drainAcceptUs + ", shutdown accept "
+                        + shutdownAcceptUs + ", kill " + killUs);
             }
         }
 
-        /** From SIGTERM until the process ends in any case: the longest deadline (3 s at least) and 0.65 s. */
+        /** From SIGTERM until the process ends in any case: the longest deadline, at least 3 s, plus 0.65 s. */
         public long forcedEndUs() {
-            return killUs - FORCED_BEFORE_KILL_US;
+            return killUs - FORCED_END_BEFORE_KILL_US;
         }
 
-        /** The platform's, under settings. */
+        /** The platform's delays under settings. */
         public static Delays of(Settings settings) {
             return of((long) (1000
                     * settings.classes().stream()
@@ -68,56 +70,55 @@
                             .orElseThrow()));
         }
 
-        /** The platform's, where the longest deadline is so long. */
+        /** The platform's delays for the longest deadline of any class, in microseconds. */
         public static Delays of(long longestDeadlineUs) {
             return new Delays(
                     READINESS_LAG_US,
                     DRAIN_ACCEPT_US,
                     SHUTDOWN_ACCEPT_US,
-                    Math.max(MIN_DEADLINE_US, longestDeadlineUs) + KILL_AFTER_US);
+                    Math.max(MIN_DEADLINE_US, longestDeadlineUs) + KILL_AFTER_DEADLINE_US);
         }
     }
 
     private static final long NEVER = Long.MAX_VALUE;
-    /** Before the kill: an answer that is given by then is written whole. */
-    static final long LAST_ANSWER_US = 200_000;
-    /** With less time than this left a request is not begun. */
+    /** Time before the kill by which an answer must be given to be written completely. */
+    static final long LAST_ANSWER_BEFORE_KILL_US = 200_000;
+    /** A request that can be given less time than this is refused. */
     static final long MIN_ALLOWED_TIME_US = 100_000;
 
-    private static final long AGAIN_US = 500_000;
+    private static final long MIN_RETRY_AFTER_US = 500_000;
 
-    /** Replaced on the loop's thread alone. */
-    private volatile Delays setDelays;
+    /** Written only by the event loop's thread. */
+    private volatile Delays delays;
 
     private Phase phase = Phase.STARTING;
-    /** When the phase began. */
-    private long sinceUs;
-    /** A second process of this gateway listens at the same address. */
-    private boolean setSuccessorListening;
+    private long phaseStartUs;
+    /** A second process of this gateway listens at the same address, in a hot restart. */
+    private boolean successorListening;
 
-    public Lifecycle(Delays times) {
-        this.setDelays = times;
+    public Lifecycle(Delays delays) {
+        this.delays = delays;
     }
 
     public Phase phase() {
         return phase;
     }
 
-    /** Other settings: a process that is being ended keeps the times by which it was told to end. */
+    /** Replaces the delays; ignored after SIGTERM, when the time of the kill is fixed. */
     public void setDelays(Delays changed) {
         if (phase != Phase.ENDING) {
-            setDelays = changed;
+            delays = changed;
         }
     }
 
-    /** From SIGTERM until the process ends whatever its loop does, under the settings in use; from any thread. */
+    /** From SIGTERM until the process ends even if its event loop does not; callable from any thread. */
     public long forcedEndUs() {
-        return setDelays.forcedEndUs();
+        return delays.forcedEndUs();
     }
 
-    // ---- What happens to it ----
+    // ---- Changes ----
 
-    /** Its listeners are open. */
+    /** Records that the listeners are open. */
     public void startServing(long nowUs) {
         if (phase == Phase.STARTING) {
             enter(Phase.SERVING, nowUs);
@@ -125,8 +126,8 @@
     }
 
     /**
-     * An operator empties it. Asked again, the drain goes on from when it began; a process that is ending empties
-     * itself anyway. False where it has not begun to serve.
+     * Starts draining at an operator's request. Repeated calls don't restart the drain, and a process that is ending
+     * ignores it. Returns false if the process has not begun to serve.
      */
     public boolean evacuate(long nowUs) {
         if (phase == Phase.SERVING) {
@@ -135,7 +136,7 @@
         return phase != Phase.STARTING;
     }
 
-    /** The end of the drain, at any moment of it. False where it ends, or has not begun to serve. */
+    /** Ends a drain; returns false if the process is ending or has not begun to serve. */
     public boolean rejoin(long nowUs) {
         if (phase == Phase.DRAINED) {
             enter(Phase.SERVING, nowUs);
@@ -143,7 +144,7 @@
         return phase == Phase.SERVING;
     }
 
-    /** SIGTERM; false where it had come before. */
+    /** Handles SIGTERM; returns false for a repeated one. */
     public boolean terminate(long nowUs) {
         if (phase == Phase.ENDING) {
             return false;
@@ -152,92 +153,94 @@
         return true;
     }
 
-    /** Whether a second process of this gateway listens at the clients' address. */
-    public void setSuccessorListening(boolean listens) {
-        setSuccessorListening = listens;
+    /** Sets whether a second process of this gateway listens at the clients' address. */
+    public void setSuccessorListening(boolean listening) {
+        successorListening = listening;
     }
 
     private void enter(Phase next, long nowUs) {
         phase = next;
-        sinceUs = nowUs;
+        phaseStartUs = nowUs;
     }
 
-    // ---- What it means ----
+    // ---- Consequences ----
 
-    /** What {@code /ready} says at the clients' address. */
+    /** Whether {@code /ready} at the clients' address reports that the process is ready. */
     public boolean isReady() {
         return phase == Phase.SERVING;
     }
 
-    /** What {@code /api/ready} says at the operators' address: that this process can serve. */
+    /** Whether {@code /api/ready} at the operators' address reports that the process is able to serve. */
     public boolean canServe() {
         return phase == Phase.SERVING || phase == Phase.DRAINED;
     }
 
-    /** Whether an answer given now ends its connection. */
+    /** Whether the connection of an answer given now is closed after it. */
     public boolean closesAfterAnswer(long nowUs) {
-        return phase == Phase.ENDING || phase == Phase.DRAINED && nowUs >= sinceUs + setDelays.readinessLagUs();
+        return phase == Phase.ENDING || phase == Phase.DRAINED && nowUs >= phaseStartUs + delays.readinessLagUs();
     }
 
-    /** Whether connections close that are between requests. */
+    /** Whether connections between two requests are closed. */
     public boolean closesIdleConnections(long nowUs) {
         return phase == Phase.ENDING ? !acceptsConnections(nowUs) : closesAfterAnswer(nowUs);
     }
 
     /**
-     * Whether idle connections close some at a time: their clients come back at once, to a process that has just begun
-     * or to other gateways. Where nobody takes them yet, the sooner this process is gone the better.
+     * Whether idle connections are closed a few at a time, because their clients reconnect at once to another process
+     * or gateway. Without another process that takes them they are closed together, which ends this one sooner.
      */
     public boolean closesIdleGradually() {
-        return phase == Phase.DRAINED || setSuccessorListening;
+        return phase == Phase.DRAINED || successorListening;
     }
 
-    /** Whether new connections are taken: to the end of them after SIGTERM, unless the other process takes them. */
+    /** Whether new connections are accepted; after SIGTERM for a while, unless a second process accepts them. */
     public boolean acceptsConnections(long nowUs) {
         return phase == Phase.ENDING
-                ? !setSuccessorListening && nowUs < sinceUs + setDelays.shutdownAcceptUs()
+                ? !successorListening && nowUs < phaseStartUs + delays.shutdownAcceptUs()
                 : phase != Phase.STARTING;
     }
 
     /**
-     * How long a request that has come whole may be waited for, µs, where its client waits so long; 0: it is refused at
-     * once. Late in a drain nothing is taken, and after SIGTERM what is taken is given up in time for its answer to be
+     * How long the client of a completely received request is kept waiting at most, in microseconds; 0 refuses the
+     * request. Late in a drain every request is refused. After SIGTERM the time is shortened so that the answer can be
      * written before the process may be killed.
+     *
+     * @param leftUs how long the client is willing to wait
      */
     public long allowedTimeUs(long nowUs, long leftUs) {
-        long lastUs = lastAnswerUs() - nowUs;
+        long untilLastAnswerUs = lastAnswerUs() - nowUs;
         return switch (phase) {
             case STARTING -> 0;
             case SERVING -> leftUs;
-            case DRAINED -> nowUs < sinceUs + setDelays.drainAcceptUs() ? leftUs : 0;
-            case ENDING -> leftUs <= lastUs ? leftUs : lastUs >= MIN_ALLOWED_TIME_US ? lastUs : 0;
+            case DRAINED -> nowUs < phaseStartUs + delays.drainAcceptUs() ? leftUs : 0;
+            case ENDING ->
+                leftUs <= untilLastAnswerUs ? leftUs : untilLastAnswerUs >= MIN_ALLOWED_TIME_US ? untilLastAnswerUs : 0;
         };
     }
 
-    /**
-     * When the last answer has to be given, once the process ends: what was taken before under longer deadlines too.
-     */
+    /** By when the last answer must be given after SIGTERM, whatever its deadline; Long.MAX_VALUE before. */
     public long lastAnswerUs() {
-        return phase == Phase.ENDING ? sinceUs + setDelays.killUs() - LAST_ANSWER_US : NEVER;
+        return phase == Phase.ENDING ? phaseStartUs + delays.killUs() - LAST_ANSWER_BEFORE_KILL_US : NEVER;
     }
 
     /**
-     * When a request that is not taken may come again, µs: another gateway is told by then, or the next process serves.
+     * After how many microseconds a refused client should retry: by then it is routed to another gateway, or the next
+     * process of this one serves.
      */
     public long retryAfterUs(long nowUs) {
-        return phase == Phase.ENDING && !setSuccessorListening
-                ? Math.max(AGAIN_US, sinceUs + setDelays.killUs() - nowUs)
-                : AGAIN_US;
+        return phase == Phase.ENDING && !successorListening
+                ? Math.max(MIN_RETRY_AFTER_US, phaseStartUs + delays.killUs() - nowUs)
+                : MIN_RETRY_AFTER_US;
     }
 
-    /** The next moment at which one of the answers above changes by time alone; Long.MAX_VALUE: none does. */
+    /** When one of the answers above next changes by time alone; Long.MAX_VALUE if none does. */
     public long nextChangeUs(long nowUs) {
         long next = NEVER;
-        long[] moments = phase == Phase.DRAINED
-                ? new long[] {setDelays.readinessLagUs(), setDelays.drainAcceptUs()}
-                : phase == Phase.ENDING ? new long[] {setDelays.shutdownAcceptUs()} : new long[0];
-        for (long moment : moments) {
-            next = sinceUs + moment > nowUs ? Math.min(next, sinceUs + moment) : next;
+        long[] changesUs = phase == Phase.DRAINED
+                ? new long[] {delays.readinessLagUs(), delays.drainAcceptUs()}
+                : phase == Phase.ENDING ? new long[] {delays.shutdownAcceptUs()} : new long[0];
+        for (long changeUs : changesUs) {
+            next = phaseStartUs + changeUs > nowUs ? Math.min(next, phaseStartUs + changeUs) : next;
         }
         return next;
     }
--- a/src/main/java/petrelstand/lifecycle/MemoryLimits.java
+++ b/src/main/java/petrelstand/lifecycle/MemoryLimits.java
@@ -1,17 +1,16 @@
 package petrelstand.lifecycle;
 
 /**
- * What a gateway may hold at once, derived at its start from its heap and its descriptors. Each kind of thing has a
- * size, measured or estimated; what is of a bounded number (connections, volumes, nodes) is set aside whole, and the
- * bytes of bodies share what is left. Bodies of all kinds together never hold more than {@link #bodyBytes}, and no kind
- * that is read or written more than half of it.
+ * The numbers of connections and bytes of bodies that a gateway may hold at once, derived at its start from its heap
+ * and its file descriptors. Memory for connections, volumes and nodes is reserved in full; bodies share the rest. A
+ * body is the content of a request or an answer.
  *
- * @param clients connections of clients
- * @param nodes connections to storage nodes
- * @param bodyBytes all bodies together, with those of requests that are in work
- * @param requestBytes bodies of requests that are being read
- * @param answerBytes answers that are being read
- * @param writtenBytes answers that are being written
+ * @param clientConnections the maximum number of client connections
+ * @param nodeConnections the maximum number of connections to storage nodes
+ * @param bodyBytes the limit for all bodies together, those of requests in progress included
+ * @param requestReadBytes the limit for bodies of requests that are being read, at most half of {@code bodyBytes}
+ * @param answerReadBytes the limit for answers that are being read, at most half of {@code bodyBytes}
+ * @param answerWriteBytes the limit for answers that are being written, at most half of {@code bodyBytes}
  */
 public record MemoryLimits(
         int clientConnections,
@@ -21,43 +20,43 @@
         long answerReadBytes,
         long answerWriteBytes) {
     private static final long MIB = 1 << 20;
-    /** Live after a start and its first requests (4.4 MB were measured), and as much again for what is garbage soon. */
+    /** Live objects after the start and the first requests, with as much again for garbage. */
     static final long BASE_BYTES = 9 * MIB;
-    /** A client's connection with a request whose head is near its bound. */
+    /** A client connection with a request whose head has nearly the maximum size. */
     static final long CLIENT_BYTES = 18 * 1024;
-    /** A node's connection with a call of its own: the room of the head that is sent, and of the one that comes. */
+    /** A node connection with its buffers for a request head and an answer head. */
     static final long NODE_CONNECTION_BYTES = 15 * 1024;
     /** What the decision module keeps of a volume. */
     public static final long VOLUME_BYTES = 640;
-    /** What it keeps of a node, its entry in the list with it. */
+    /** What the decision module keeps of a node, with the node's entry in the list. */
     public static final long NODE_BYTES = 2 * 1024;
 
-    /** Bounds that more memory does not raise: what waits beyond them only waits longer. */
-    private static final long MOST_REQUESTS = 8 * MIB;
+    /** The limits for bodies with ample memory; beyond them more memory would only lengthen queues. */
+    private static final long MAX_REQUEST_READ_BYTES = 8 * MIB;
 
-    private static final long MOST_ANSWERS = 12 * MIB;
-    private static final long MOST_WRITTEN = 16 * MIB;
-    private static final long MOST_BODIES = MOST_REQUESTS + MOST_ANSWERS + MOST_WRITTEN;
+    private static final long MAX_ANSWER_READ_BYTES = 12 * MIB;
+    private static final long MAX_ANSWER_WRITE_BYTES = 16 * MIB;
+    private static final long MAX_BODY_BYTES = MAX_REQUEST_READ_BYTES + MAX_ANSWER_READ_BYTES + MAX_ANSWER_WRITE_BYTES;
 
-    /** Below these a gateway serves nobody. */
+    /** With less than these a gateway can't serve. */
     static final int MIN_CONNECTIONS = 8;
 
     static final long MIN_BODY_BYTES = MIB;
 
-    /** The bounds where memory is not short. */
-    public static final MemoryLimits MAXIMUM = bodies(Integer.MAX_VALUE, Integer.MAX_VALUE, MOST_BODIES);
+    /** The limits with ample memory. */
+    public static final MemoryLimits MAXIMUM = withBodyBytes(Integer.MAX_VALUE, Integer.MAX_VALUE, MAX_BODY_BYTES);
 
     /**
-     * The bounds for a gateway. Connections have half at most of what the fixed parts leave.
+     * Derives the limits. Connections get at most half of the memory that is left after the fixed parts.
      *
-     * @param heapBytes the most that the heap may grow to
-     * @param memoryBytes what the file's {@code limits.memory_mb} says; 0: nothing
-     * @param sockets what the file's {@code limits.sockets} says
-     * @param clients the clients' part of those
-     * @param nodes the storage nodes' part of them
-     * @param listedNodes nodes on the list
-     * @param volumes volumes that are remembered at most
-     * @throws IllegalArgumentException where not even the least fits; its text names the field
+     * @param heapBytes the maximum heap size
+     * @param memoryBytes the configured {@code limits.memory_mb}, in bytes; 0 if not set
+     * @param sockets the configured {@code limits.sockets}
+     * @param clients how many of these sockets are for clients
+     * @param nodes how many of these sockets are for storage nodes
+     * @param listedNodes the number of nodes on the list
+     * @param volumes the maximum number of volumes that the decision module remembers
+     * @throws IllegalArgumentException if there is too little memory or too few sockets; names the setting
      */
     public static MemoryLimits of(
             long heapBytes, long memoryBytes, int sockets, int clients, int nodes, int listedNodes, int volumes) {
@@ -66,41 +65,40 @@
                     + " connections for clients and " + Math.max(0, nodes) + " for nodes; " + MIN_CONNECTIONS
                     + " of each are needed");
         }
-        boolean told = memoryBytes > 0 && memoryBytes < heapBytes;
-        long memory = told ? memoryBytes : heapBytes;
+        boolean configured = memoryBytes > 0 && memoryBytes < heapBytes;
+        long memory = configured ? memoryBytes : heapBytes;
         long free = memory - BASE_BYTES - volumes * VOLUME_BYTES - listedNodes * NODE_BYTES;
-        double part = Math.min(1, free / 2.0 / (clients * CLIENT_BYTES + nodes * NODE_CONNECTION_BYTES));
-        int clientsHeld = (int) (clients * part);
-        int nodesHeld = (int) (nodes * part);
-        long bodies = free - clientsHeld * CLIENT_BYTES - nodesHeld * NODE_CONNECTION_BYTES;
-        if (Math.min(clientsHeld, nodesHeld) < MIN_CONNECTIONS || bodies < MIN_BODY_BYTES) {
-            throw new IllegalArgumentException((told ? "limits.memory_mb: " : "the heap (-Xmx): ") + memory / MIB
+        double fraction = Math.min(1, free / 2.0 / (clients * CLIENT_BYTES + nodes * NODE_CONNECTION_BYTES));
+        int clientConnections = (int) (clients * fraction);
+        int nodeConnections = (int) (nodes * fraction);
+        long bodyBytes = free - clientConnections * CLIENT_BYTES - nodeConnections * NODE_CONNECTION_BYTES;
+        if (Math.min(clientConnections, nodeConnections) < MIN_CONNECTIONS || bodyBytes < MIN_BODY_BYTES) {
+            throw new IllegalArgumentException((configured ? "limits.memory_mb: " : "the heap (-Xmx): ") + memory / MIB
                     + " MiB leave " + Math.max(0, free) / MIB + " MiB beside " + volumes + " volumes and " + listedNodes
                     + " nodes, too little for connections and bodies");
         }
-        return bodies(clientsHeld, nodesHeld, Math.min(MOST_BODIES, bodies));
+        return withBodyBytes(clientConnections, nodeConnections, Math.min(MAX_BODY_BYTES, bodyBytes));
     }
 
-    private static MemoryLimits bodies(int clients, int nodes, long bytes) {
+    private static MemoryLimits withBodyBytes(int clientConnections, int nodeConnections, long bodyBytes) {
         return new MemoryLimits(
-                clients,
-                nodes,
-                bytes,
-                Math.min(MOST_REQUESTS, bytes / 2),
-                Math.min(MOST_ANSWERS, bytes / 2),
-                Math.min(MOST_WRITTEN, bytes / 2));
+                clientConnections,
+                nodeConnections,
+                bodyBytes,
+                Math.min(MAX_REQUEST_READ_BYTES, bodyBytes / 2),
+                Math.min(MAX_ANSWER_READ_BYTES, bodyBytes / 2),
+                Math.min(MAX_ANSWER_WRITE_BYTES, bodyBytes / 2));
     }
 
-    /** The bounds as one line of the log. */
+    /** The limits as a log line. */
     public String toLogLine() {
         return "memory: at most " + clientConnections + " connections of clients and " + nodeConnections
-                + " to nodes; bodies "
-                + kib(bodyBytes) + " KiB in all, of requests being read " + kib(requestReadBytes)
-                + ", of answers being read " + kib(answerReadBytes) + ", of answers being written "
-                + kib(answerWriteBytes);
+                + " to nodes; bodies " + toKib(bodyBytes) + " KiB in all, of requests being read "
+                + toKib(requestReadBytes) + ", of answers being read " + toKib(answerReadBytes)
+                + ", of answers being written " + toKib(answerWriteBytes);
     }
 
-    private static long kib(long bytes) {
+    private static long toKib(long bytes) {
         return bytes / 1024;
     }
 }
--- a/src/main/java/petrelstand/lifecycle/ProcessShare.java
+++ b/src/main/java/petrelstand/lifecycle/ProcessShare.java
@@ -1,59 +1,60 @@
 package petrelstand.lifecycle;
 
 /**
- * The part of what a gateway may spend (at cold nodes, of volumes' limits) that belongs to this process, where a second
- * process of the same gateway may live beside it. The parts of all processes never add up to more than the whole:
+ * The share of a gateway's allowances (load on cold nodes, volumes' limits) that this process may use, while a second
+ * process of the same gateway may run during a hot restart. Each process leaves a mark and periodically scans for the
+ * marks of others. The shares of all processes never add up to more than 1:
  *
  * <ul>
- *   <li>What a process knows of others is a lease. It ends {@link #LEASE_US} after the look that it rests on began;
- *       from then on the process shares with one more than it saw.
- *   <li>A process that finds another at its start spends nothing until each lease that was taken before its own mark
- *       could be seen has ended.
+ *   <li>The result of a scan is a lease of {@link #LEASE_US} from the start of the scan. After that the process assumes
+ *       one more process than it found.
+ *   <li>A process that finds another one at its start uses nothing until all leases that may have missed its mark have
+ *       expired.
  * </ul>
  *
- * <p>Nothing passes from one process to the other for this, so nothing can be lost on the way. Times are µs of this
- * process's clock. Not for several threads.
+ * <p>The processes exchange no messages for this, so that none can be lost. Times are microseconds of this process's
+ * clock. Not thread-safe.
  */
 public final class ProcessShare {
-    /** How long the findings of a look may be relied on. Looks come ten times as often. */
+    /** How long the result of a scan is valid; scans run ten times as often. */
     public static final long LEASE_US = 1_000_000;
-    /** Beyond the lease, for a turn of the other process's loop that goes by the time at which it began. */
+    /** Added to the lease, for a turn of the other process's loop that still uses the time at which it began. */
     public static final long MAX_TURN_US = 500_000;
 
-    private boolean recordMark;
-    private long spendsFromUs;
-    private long lookedUs;
+    private boolean marked;
+    private long usableFromUs;
+    private long scannedUs;
     private int others;
 
     /**
-     * This process left its mark, at the latest at a time, and then looked and found so many others. Called anew where
-     * its mark had vanished and was left again.
+     * Records that this process left its mark, not later than {@code atUs}, and then found {@code found} other
+     * processes. Call again if the mark had disappeared and was renewed.
      */
     public void recordMark(long atUs, int found) {
-        boolean first = !recordMark;
-        recordMark = true;
-        spendsFromUs = first && found == 0 ? Long.MIN_VALUE : atUs + LEASE_US + MAX_TURN_US;
+        boolean first = !marked;
+        marked = true;
+        usableFromUs = first && found == 0 ? Long.MIN_VALUE : atUs + LEASE_US + MAX_TURN_US;
         recordScan(atUs, found);
     }
 
-    /** A look that began at a time found so many other processes. */
+    /** Records that a scan that began at {@code beganUs} found {@code found} other processes. */
     public void recordScan(long beganUs, int found) {
-        lookedUs = beganUs;
+        scannedUs = beganUs;
         others = found;
     }
 
     /**
-     * From 0 to 1. A process that could not leave a mark can't be seen either: it has half, as the other one has whose
-     * mark failed in the same folder.
+     * This process's share, from 0 to 1. Without a mark it is 1/2, because the other process can't see this one and
+     * presumably failed to leave a mark in the same folder too.
      */
     public double share(long nowUs) {
-        if (!recordMark) {
+        if (!marked) {
             return 0.5;
         }
-        if (nowUs < spendsFromUs) {
+        if (nowUs < usableFromUs) {
             return 0;
         }
-        int unseen = nowUs < lookedUs + LEASE_US ? 0 : 1;
+        int unseen = nowUs < scannedUs + LEASE_US ? 0 : 1;
         return 1.0 / (1 + others + unseen);
     }
 }
--- a/src/main/java/petrelstand/lifecycle/StallDetector.java
+++ b/src/main/java/petrelstand/lifecycle/StallDetector.java
@@ -1,45 +1,39 @@
 package petrelstand.lifecycle;
 
 /**
- * Tells whether an event loop stands still, from what a watchdog sees of it once a period. Only time in which the
- * watchdog itself ran counts, a period at most for each time that it wakes: a process that was stopped and goes on, or
- * a clock that leaps, is no loop that stands still.
+ * Detects a stalled event loop from the observations of a watchdog thread, made once per period. Only time in which the
+ * watchdog itself ran is counted, at most one period per observation, so that neither a stopped process nor a clock
+ * that jumps is taken for a stalled loop.
  *
- * <p>Times are nanoseconds of a clock whose origin means nothing. Not for several threads.
+ * <p>Times are nanoseconds of a clock with an arbitrary origin. Not thread-safe.
  */
 public final class StallDetector {
-    /** How often the watchdog looks. */
+    /** The time between two observations. */
     public static final long PERIOD_NS = 1_000_000_000L;
-    /**
-     * For so long, as counted here, a loop may stand still. The longest turn that is meant, the start's rehearsal,
-     * takes 1.8 s and one round more; on a machine that gives this process a quarter of a core that round takes a
-     * second or two. The rest is margin: ending a process that would have gone on costs all of its connections.
-     */
+    /** Longer than the longest intended turn, the warm-up at the start, on a machine short of CPU. */
     public static final long LIMIT_NS = 15 * PERIOD_NS;
 
     private long lastNs;
     private long lastTurns;
-    private long standingNs;
+    private long stalledNs;
 
-    /** Begins to look: {@code turns} is how often the loop has turned so far. */
+    /** Starts observing a loop that has made {@code turns} turns so far. */
     public StallDetector(long nowNs, long turns) {
         lastNs = nowNs;
         lastTurns = turns;
     }
 
-    /** The watchdog woke up and sees the loop's count of turns. True where the loop has stood still for too long. */
+    /** Records the loop's turn count; true if the loop has been stalled for {@link #LIMIT_NS}. */
     public boolean observe(long nowNs, long turns) {
         long ranNs = Math.min(PERIOD_NS, Math.max(0, nowNs - lastNs));
-        standingNs = turns == lastTurns ? standingNs + ranNs : 0;
+        stalledNs = turns == lastTurns ? stalledNs + ranNs : 0;
         lastNs = nowNs;
         lastTurns = turns;
-        return standingNs >= LIMIT_NS;
+        return stalledNs >= LIMIT_NS;
     }
 
-    /**
-     * Whether the loop had not turned between the last two looks: it stands still, or waits because nothing happens.
-     */
+    /** True if the loop made no turn between the last two observations: it is stalled, or idle. */
     public boolean mayBeIdle() {
-        return standingNs > 0;
+        return stalledNs > 0;
     }
 }
--- a/src/test/java/petrelstand/lifecycle/LifecycleTest.java
+++ b/src/test/java/petrelstand/lifecycle/LifecycleTest.java
@@ -11,114 +11,115 @@
 import petrelstand.lifecycle.Lifecycle.Delays;
 
 /**
- * Every order of five of twelve things that happen to a process, replayed against a small gateway that does with its
- * connections what the life says, at steps of 50 ms. What has to hold is told in the platform's terms and by figures of
- * its own, not by the life's.
+ * Simulates a gateway that handles its connections as {@link Lifecycle} says, for every sequence of five of twelve
+ * events, in steps of 50 ms. The checks use the platform's figures, not those of the class under test.
  */
 class LifecycleTest {
-    private enum Act {
+    private enum Event {
         EVACUATE,
         REJOIN,
         TERMINATE,
-        HANG_UP,
+        RELOAD,
         HOT_RESTART,
         OPEN,
-        BEGIN,
-        ASK_LONG,
-        ASK_SHORT,
+        BEGIN_REQUEST,
+        REQUEST_LONG,
+        REQUEST_SHORT,
         ANSWER,
-        WAIT_SOME,
+        WAIT_SHORT,
         WAIT_LONG
     }
 
     private static final long STEP_US = 50_000;
-    private static final long LONGEST_US = 5_000_000;
-    private static final int DEPTH = 5;
+    private static final long LONGEST_DEADLINE_US = 5_000_000;
+    private static final int EVENTS = 5;
 
     private static final class Connection {
-        /** Part of a request has come. */
-        private boolean begun;
-
-        private boolean asked;
-        private long askedUs;
-        private long untilUs;
+        private boolean partlyReceived;
+        private boolean requested;
+        private long requestedUs;
+        private long answerByUs;
     }
 
-    /** A gateway with its connections; a broken promise is told as a word. */
-    private static final class Play {
-        private final Lifecycle life;
+    /** A gateway with its connections; keeps the first violation of the platform's requirements. */
+    private static final class Simulation {
+        private final Lifecycle lifecycle;
         private final List<Connection> open = new ArrayList<>();
         private long nowUs = 1_000_000;
-        private long drainedUs = -1;
-        private long endedUs = -1;
-        private long longestUs = LONGEST_US;
-        private long killedUs = -1;
-        private String broken;
-
-        Play(Delays times) {
-            life = new Lifecycle(times);
-            life.startServing(nowUs);
+        private long drainStartUs = -1;
+        private long terminatedUs = -1;
+        private long longestDeadlineUs = LONGEST_DEADLINE_US;
+        private long killUs = -1;
+        private String violation;
+
+        Simulation(Delays delays) {
+            lifecycle = new Lifecycle(delays);
+            lifecycle.startServing(nowUs);
         }
 
-        private void breaks(String what) {
-            broken = broken == null ? what : broken;
+        private void violate(String requirement) {
+            violation = violation == null ? requirement : violation;
         }
 
-        void act(Act act) {
-            switch (act) {
+        void play(Event event) {
+            switch (event) {
                 case EVACUATE -> {
-                    assertTrue(life.evacuate(nowUs));
-                    drainedUs = drainedUs < 0 ? nowUs : drainedUs;
+                    assertTrue(lifecycle.evacuate(nowUs));
+                    drainStartUs = drainStartUs < 0 ? nowUs : drainStartUs;
                 }
                 case REJOIN -> {
-                    assertEquals(endedUs < 0, life.rejoin(nowUs));
-                    drainedUs = -1;
+                    assertEquals(terminatedUs < 0, lifecycle.rejoin(nowUs));
+                    drainStartUs = -1;
                 }
                 case TERMINATE -> {
-                    assertEquals(endedUs < 0, life.terminate(nowUs));
-                    // The settings at SIGTERM say when the kill may come; later ones don't move it.
-                    killedUs = endedUs < 0 ? nowUs + longestUs + 700_000 : killedUs;
-                    endedUs = endedUs < 0 ? nowUs : endedUs;
-                    open.forEach(c -> c.untilUs = Math.min(c.untilUs, life.lastAnswerUs()));
+                    assertEquals(terminatedUs < 0, lifecycle.terminate(nowUs));
+                    // The settings at SIGTERM determine the time of the kill; a later reload does not change it.
+                    killUs = terminatedUs < 0 ? nowUs + longestDeadlineUs + 700_000 : killUs;
+                    terminatedUs = terminatedUs < 0 ? nowUs : terminatedUs;
+                    open.forEach(c -> c.answerByUs = Math.min(c.answerByUs, lifecycle.lastAnswerUs()));
                 }
-                case HANG_UP -> {
-                    longestUs = longestUs == LONGEST_US ? LONGEST_US - 1_500_000 : LONGEST_US;
-                    life.setDelays(Delays.of(longestUs));
+                case RELOAD -> {
+                    longestDeadlineUs = longestDeadlineUs == LONGEST_DEADLINE_US
+                            ? LONGEST_DEADLINE_US - 1_500_000
+                            : LONGEST_DEADLINE_US;
+                    lifecycle.setDelays(Delays.of(longestDeadlineUs));
                 }
-                case HOT_RESTART -> life.setSuccessorListening(true);
+                case HOT_RESTART -> lifecycle.setSuccessorListening(true);
                 case OPEN -> {
-                    // The front opens none where it was told no, or where the process is about to end.
+                    // Clients open no connection once they were told "not ready", or while none is accepted.
                     if (open.size() < 2
-                            && life.acceptsConnections(nowUs)
-                            && (drainedUs < 0 || nowUs < drainedUs + 300_000)) {
+                            && lifecycle.acceptsConnections(nowUs)
+                            && (drainStartUs < 0 || nowUs < drainStartUs + 300_000)) {
                         open.add(new Connection());
                     }
                 }
-                case BEGIN -> open.stream().filter(c -> !c.asked).findFirst().ifPresent(c -> c.begun = true);
-                case ASK_LONG -> ask(LONGEST_US);
-                case ASK_SHORT -> ask(1_500_000);
-                case ANSWER -> open.stream().filter(c -> c.asked).findFirst().ifPresent(this::answer);
-                case WAIT_SOME -> pass(250_000);
-                case WAIT_LONG -> pass(2_000_000);
+                case BEGIN_REQUEST ->
+                    open.stream().filter(c -> !c.requested).findFirst().ifPresent(c -> c.partlyReceived = true);
+                case REQUEST_LONG -> request(LONGEST_DEADLINE_US);
+                case REQUEST_SHORT -> request(1_500_000);
+                case ANSWER ->
+                    open.stream().filter(c -> c.requested).findFirst().ifPresent(this::answer);
+                case WAIT_SHORT -> advance(250_000);
+                case WAIT_LONG -> advance(2_000_000);
             }
-            live();
+            applyLifecycle();
         }
 
-        private void ask(long leftUs) {
+        private void request(long timeLeftUs) {
             for (Connection connection : open) {
-                if (!connection.asked) {
-                    long granted = life.allowedTimeUs(nowUs, leftUs);
-                    if (granted > leftUs) {
-                        breaks("a client is waited for longer than it waits");
+                if (!connection.requested) {
+                    long allowedUs = lifecycle.allowedTimeUs(nowUs, timeLeftUs);
+                    if (allowedUs > timeLeftUs) {
+                        violate("a request is given more time than its client waits");
                     }
-                    if (drainedUs < 0 && endedUs < 0 && granted != leftUs) {
-                        breaks("a request is turned away in service");
+                    if (drainStartUs < 0 && terminatedUs < 0 && allowedUs != timeLeftUs) {
+                        violate("a request is refused or shortened while serving");
                     }
-                    connection.begun = false;
-                    connection.asked = true;
-                    connection.askedUs = nowUs;
-                    connection.untilUs = nowUs + granted;
-                    if (granted == 0) {
+                    connection.partlyReceived = false;
+                    connection.requested = true;
+                    connection.requestedUs = nowUs;
+                    connection.answerByUs = nowUs + allowedUs;
+                    if (allowedUs == 0) {
                         answer(connection);
                     }
                     return;
@@ -127,116 +128,118 @@
         }
 
         private void answer(Connection connection) {
-            connection.asked = false;
-            if (life.closesAfterAnswer(nowUs)) {
+            connection.requested = false;
+            if (lifecycle.closesAfterAnswer(nowUs)) {
                 open.remove(connection);
             }
         }
 
-        private void pass(long us) {
-            for (long until = nowUs + us; nowUs < until; ) {
+        private void advance(long us) {
+            for (long untilUs = nowUs + us; nowUs < untilUs; ) {
                 nowUs += STEP_US;
-                live();
+                applyLifecycle();
             }
         }
 
-        private void live() {
+        private void applyLifecycle() {
             List.copyOf(open).stream()
-                    .filter(c -> c.asked && nowUs >= c.untilUs)
+                    .filter(c -> c.requested && nowUs >= c.answerByUs)
                     .forEach(this::answer);
-            if (life.closesIdleConnections(nowUs)) {
-                open.removeIf(c -> !c.asked && !c.begun);
+            if (lifecycle.closesIdleConnections(nowUs)) {
+                open.removeIf(c -> !c.requested && !c.partlyReceived);
             }
-            if (life.isReady() != (drainedUs < 0 && endedUs < 0)) {
-                breaks("/ready is wrong");
+            if (lifecycle.isReady() != (drainStartUs < 0 && terminatedUs < 0)) {
+                violate("/ready reports the wrong state");
             }
-            if (drainedUs >= 0 && endedUs < 0 && nowUs >= drainedUs + 4_000_000) {
-                if (open.stream().anyMatch(c -> !c.asked && !c.begun || c.asked && c.askedUs >= nowUs - 2_000_000)) {
-                    breaks("drained, and a connection is idle or asked of late");
+            if (drainStartUs >= 0 && terminatedUs < 0 && nowUs >= drainStartUs + 4_000_000) {
+                if (open.stream()
+                        .anyMatch(c -> !c.requested && !c.partlyReceived
+                                || c.requested && c.requestedUs >= nowUs - 2_000_000)) {
+                    violate("a connection is idle or has a recent request 4 s after the drain began");
                 }
             }
-            if (endedUs >= 0 && nowUs >= killedUs && open.stream().anyMatch(c -> c.asked)) {
-                breaks("killed with a request unanswered");
+            if (terminatedUs >= 0 && nowUs >= killUs && open.stream().anyMatch(c -> c.requested)) {
+                violate("a request is unanswered at the kill");
             }
-            if (endedUs >= 0 && nowUs >= killedUs && life.acceptsConnections(nowUs)) {
-                breaks("listens to the kill");
+            if (terminatedUs >= 0 && nowUs >= killUs && lifecycle.acceptsConnections(nowUs)) {
+                violate("connections are accepted at the kill");
             }
         }
     }
 
-    /** The first order that breaks something, and what; null where none does. */
-    private static String search(Delays times) {
-        Act[] acts = Act.values();
-        long courses = 1;
-        for (int i = 0; i < DEPTH; i++) {
-            courses *= acts.length;
+    /** Plays all sequences; returns the first violation with its events, or null. */
+    private static String findViolation(Delays delays) {
+        Event[] events = Event.values();
+        long sequences = 1;
+        for (int i = 0; i < EVENTS; i++) {
+            sequences *= events.length;
         }
-        for (long course = 0; course < courses; course++) {
-            Play play = new Play(times);
-            play.act(Act.OPEN);
-            List<Act> done = new ArrayList<>();
-            long rest = course;
-            for (int i = 0; i < DEPTH && play.broken == null; i++) {
-                done.add(acts[(int) (rest % acts.length)]);
-                play.act(done.get(i));
-                rest /= acts.length;
+        for (long sequence = 0; sequence < sequences; sequence++) {
+            Simulation simulation = new Simulation(delays);
+            simulation.play(Event.OPEN);
+            List<Event> played = new ArrayList<>();
+            long remaining = sequence;
+            for (int i = 0; i < EVENTS && simulation.violation == null; i++) {
+                played.add(events[(int) (remaining % events.length)]);
+                simulation.play(played.get(i));
+                remaining /= events.length;
             }
-            // To the end of what was begun: a drain's four seconds, or the kill.
-            play.pass(6_000_000);
-            if (play.broken != null) {
-                return play.broken + " after " + done;
+            // Long enough for a drain to finish or the kill to come.
+            simulation.advance(6_000_000);
+            if (simulation.violation != null) {
+                return simulation.violation + " after " + played;
             }
         }
         return null;
     }
 
     @Test
-    void noOrderOfWhatHappensBreaksAPromise() {
-        assertEquals(null, search(Delays.of(LONGEST_US)));
+    void noSequenceOfEventsViolatesTheRequirements() {
+        assertEquals(null, findViolation(Delays.of(LONGEST_DEADLINE_US)));
     }
 
     @Test
-    void plantedMistakesAreFound() {
-        Delays right = Delays.of(LONGEST_US);
+    void wrongDelaysAreDetected() {
+        Delays correct = Delays.of(LONGEST_DEADLINE_US);
         Delays[] wrong = {
-            new Delays(4_100_000, 4_200_000, right.shutdownAcceptUs(), right.killUs()),
+            new Delays(4_100_000, 4_200_000, correct.shutdownAcceptUs(), correct.killUs()),
             new Delays(
-                    right.readinessLagUs(),
-                    right.drainAcceptUs(),
-                    right.shutdownAcceptUs(),
-                    right.killUs() + 1_000_000),
-            new Delays(right.readinessLagUs(), right.drainAcceptUs(), 7_000_000, 7_000_000),
+                    correct.readinessLagUs(),
+                    correct.drainAcceptUs(),
+                    correct.shutdownAcceptUs(),
+                    correct.killUs() + 1_000_000),
+            new Delays(correct.readinessLagUs(), correct.drainAcceptUs(), 7_000_000, 7_000_000),
         };
-        for (Delays times : wrong) {
-            assertNotEquals(null, search(times), times.toString());
+        for (Delays delays : wrong) {
+            assertNotEquals(null, findViolation(delays), delays.toString());
         }
     }
 
     @Test
-    void aHotRestartTakesTheConnectionsAtOnceAfterSigterm() {
-        Lifecycle life = new Lifecycle(Delays.of(LONGEST_US));
-        assertFalse(life.evacuate(1));
-        assertFalse(life.rejoin(1));
-        life.startServing(1);
-        life.setSuccessorListening(true);
-        assertTrue(life.acceptsConnections(2));
-        life.terminate(2);
-        assertFalse(life.acceptsConnections(2));
-        assertTrue(life.closesIdleConnections(2));
+    void noConnectionIsAcceptedAfterSigtermWithASuccessor() {
+        Lifecycle lifecycle = new Lifecycle(Delays.of(LONGEST_DEADLINE_US));
+        assertFalse(lifecycle.evacuate(1));
+        assertFalse(lifecycle.rejoin(1));
+        lifecycle.startServing(1);
+        lifecycle.setSuccessorListening(true);
+        assertTrue(lifecycle.acceptsConnections(2));
+        lifecycle.terminate(2);
+        assertFalse(lifecycle.acceptsConnections(2));
+        assertTrue(lifecycle.closesIdleConnections(2));
     }
 
-    /** Where nothing changes by time alone, nobody has to look again; else the next look is at the change. */
+    /** Guards against a missed change: the caller asks again only at the next change. */
     @Test
-    void theNextLookIsAtTheNextChange() {
-        Lifecycle life = new Lifecycle(Delays.of(LONGEST_US));
-        life.startServing(0);
-        assertEquals(Long.MAX_VALUE, life.nextChangeUs(0));
-        life.evacuate(0);
-        long noted = life.nextChangeUs(0);
-        assertFalse(life.closesIdleConnections(noted - 1));
-        assertTrue(life.closesIdleConnections(noted));
-        assertEquals(1, life.allowedTimeUs(life.nextChangeUs(noted) - 1, 1));
-        assertEquals(0, life.allowedTimeUs(life.nextChangeUs(noted), 1));
-        assertEquals(Long.MAX_VALUE, life.nextChangeUs(life.nextChangeUs(noted)));
+    void nextChangeIsWhenAnAnswerChanges() {
+        Lifecycle lifecycle = new Lifecycle(Delays.of(LONGEST_DEADLINE_US));
+        lifecycle.startServing(0);
+        assertEquals(Long.MAX_VALUE, lifecycle.nextChangeUs(0));
+        lifecycle.evacuate(0);
+        long readinessLagUs = lifecycle.nextChangeUs(0);
+        assertFalse(lifecycle.closesIdleConnections(readinessLagUs - 1));
+        assertTrue(lifecycle.closesIdleConnections(readinessLagUs));
+        assertEquals(1, lifecycle.allowedTimeUs(lifecycle.nextChangeUs(readinessLagUs) - 1, 1));
+        assertEquals(0, lifecycle.allowedTimeUs(lifecycle.nextChangeUs(readinessLagUs), 1));
+        assertEquals(Long.MAX_VALUE, lifecycle.nextChangeUs(lifecycle.nextChangeUs(readinessLagUs)));
     }
 }
--- a/src/test/java/petrelstand/lifecycle/ProcessShareTest.java
+++ b/src/test/java/petrelstand/lifecycle/ProcessShareTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Who of a gateway's processes may spend what, at each step of a change from one to the next. */
+/** Tests a process's share of the allowances in each step of a hot restart. */
 class ProcessShareTest {
     private static final long START_US = 5_000_000;
     private static final long WAIT_US = ProcessShare.LEASE_US + ProcessShare.MAX_TURN_US;
@@ -12,7 +12,7 @@
     private final ProcessShare share = new ProcessShare();
 
     @Test
-    void aloneItHasAllAtOnceForAsLongAsItLooks() {
+    void singleProcessHasEverythingWhileItScans() {
         share.recordMark(START_US, 0);
         assertEquals(1, share.share(START_US));
         share.recordScan(START_US + 900_000, 0);
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void aLookThatIsTooOldLeavesRoomForOneMore() {
+    void expiredScanAssumesOneMoreProcess() {
         share.recordMark(START_US, 0);
         assertEquals(1, share.share(START_US + ProcessShare.LEASE_US - 1));
         assertEquals(0.5, share.share(START_US + ProcessShare.LEASE_US));
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void besideAnotherItWaitsUntilThatOneMustKnowAndThenHasHalf() {
+    void newProcessWaitsForTheOldLeaseAndThenHasHalf() {
         share.recordMark(START_US, 1);
         assertEquals(0, share.share(START_US + WAIT_US - 1));
         share.recordScan(START_US + WAIT_US - 100_000, 1);
@@ -37,14 +37,14 @@
     }
 
     @Test
-    void theLastOneHasAllAgain() {
+    void remainingProcessHasEverythingAgain() {
         share.recordMark(START_US, 1);
         share.recordScan(START_US + WAIT_US, 0);
         assertEquals(1, share.share(START_US + WAIT_US));
     }
 
     @Test
-    void aMarkThatVanishedCountsAsANewOne() {
+    void renewedMarkIsTreatedAsNew() {
         share.recordMark(START_US, 0);
         share.recordMark(START_US + 2_000_000, 0);
         assertEquals(0, share.share(START_US + 2_000_000));
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void withoutAMarkItHasHalf() {
+    void processWithoutAMarkHasHalf() {
         assertEquals(0.5, share.share(START_US));
     }
 }
