--- a/src/test/java/petrelstand/consensus/RulesMessagesCompatibilityTest.java
+++ b/src/test/java/petrelstand/consensus/RulesMessagesCompatibilityTest.java
@@ -38,7 +38,8 @@
             new RulesMessage.VersionsChanged(3_000_005, 3_000_006),
             new RulesMessage.FetchPiece(105, 3_000_007, 2),
             new RulesMessage.TextPiece(106, 3_000_008, 3, 5, "units = 40\n"),
-            new RulesMessage.ProposalPiece(107, 3_000_009, "operator-1", "more for basic", 1_796_000_000_108L, 4, 6, "[limit basic]\n"),
+            new RulesMessage.ProposalPiece(
+                    107, 3_000_009, "operator-1", "more for basic", 1_796_000_000_108L, 4, 6, "[limit basic]\n"),
             new RulesMessage.AdminRequest(109, "withdraw", 3_000_010, "gateway-o", "operator-2", "was wrong"),
             new RulesMessage.GenerationQuery(110),
             new RulesMessage.GenerationAnswer(111, 112),
--- a/src/test/java/petrelstand/consensus/StoredVotesCompatibilityTest.java
+++ b/src/test/java/petrelstand/consensus/StoredVotesCompatibilityTest.java
@@ -70,7 +70,9 @@
                 "reason " + base,
                 1_796_000_000_000L + number,
                 state,
-                List.of(new RegistryCommand.PlanLimit("basic", number - 3_000_000, 3), new RegistryCommand.PlanLimit("priority", 50, 9)),
+                List.of(
+                        new RegistryCommand.PlanLimit("basic", number - 3_000_000, 3),
+                        new RegistryCommand.PlanLimit("priority", 50, 9)),
                 text);
     }
 
--- a/src/test/java/petrelstand/fleet/MemberMessagesCompatibilityTest.java
+++ b/src/test/java/petrelstand/fleet/MemberMessagesCompatibilityTest.java
@@ -73,8 +73,8 @@
             envelope(37, new Message.DigestBuckets(BUCKETS, true)),
             envelope(38, new Message.Gossip(List.of(FAILED, JOINING))));
 
-    static final Envelope PARCEL =
-            new Envelope("coast", "gateway-a", "192.0.2.1:7001", 71, 72, null, new RulesMessage.GenerationAnswer(73, 74));
+    static final Envelope PARCEL = new Envelope(
+            "coast", "gateway-a", "192.0.2.1:7001", 71, 72, null, new RulesMessage.GenerationAnswer(73, 74));
 
     static byte[] datagram(Envelope envelope) {
         return new Seal(List.of(KEY)).close(Codec.encode(envelope));
