--- /dev/null
+++ b/src/main/java/petrelstand/http/ArrivalTimes.java
@@ -0,0 +1,42 @@
+package petrelstand.http;
+
+import java.util.ArrayDeque;
+
+/**
+ * Arrival times of a connection's bytes. A pipelined request waits behind another one, and its deadline counts from its
+ * own last byte. Times are microseconds of the event loop's clock. Not thread-safe.
+ */
+final class ArrivalTimes {
+    /** Reads that are kept apart; further bytes count as arrived with the read before, so that no time is too late. */
+    static final int MAX_READS = 64;
+
+    /** The bytes received at one time: the stream offset after the last of them, and their arrival time. */
+    private record Read(long endOffset, long arrivedUs) {}
+
+    private final ArrayDeque<Read> reads = new ArrayDeque<>();
+    private long totalBytes;
+
+    /** Records received bytes. */
+    void recordRead(int bytes, long nowUs) {
+        totalBytes += bytes;
+        Read last = reads.peekLast();
+        if (last == null || last.arrivedUs() != nowUs && reads.size() < MAX_READS) {
+            reads.addLast(new Read(totalBytes, nowUs));
+        } else {
+            reads.removeLast();
+            reads.addLast(new Read(totalBytes, last.arrivedUs()));
+        }
+    }
+
+    /**
+     * Returns the arrival time of the last consumed byte, and forgets earlier reads.
+     *
+     * @param unconsumedBytes bytes received after it
+     */
+    long lastConsumedByteUs(int unconsumedBytes) {
+        while (reads.size() > 1 && reads.peekFirst().endOffset() < totalBytes - unconsumedBytes) {
+            reads.removeFirst();
+        }
+        return reads.getFirst().arrivedUs();
+    }
+}
--- a/src/main/java/petrelstand/http/BodyBudgets.java
+++ b/src/main/java/petrelstand/http/BodyBudgets.java
@@ -3,21 +3,21 @@
 import petrelstand.lifecycle.MemoryPlan;
 
 /**
- * Bytes of bodies that a gateway's connections may keep: of requests being read, of those in work, of answers being
- * read and of answers being written. Each kind has its bound, and all together have one whatever the mixture.
+ * Budgets for the bytes of message bodies: of requests being read, of requests in progress, of answers being read and
+ * of answers being written. Each has its own limit, and all of them share a total.
  */
 public record BodyBudgets(
         ByteBudget incomingRequests,
         ByteBudget activeRequests,
         ByteBudget incomingAnswers,
         ByteBudget outgoingAnswers) {
-    /** What a plan allows. */
+    /** Creates the budgets of a memory plan. */
     public static BodyBudgets of(MemoryPlan plan) {
-        ByteBudget all = new ByteBudget(plan.bodyBytes());
+        ByteBudget total = new ByteBudget(plan.bodyBytes());
         return new BodyBudgets(
-                new ByteBudget(plan.requestBytes(), all),
-                new ByteBudget(plan.bodyBytes(), all),
-                new ByteBudget(plan.answerBytes(), all),
-                new ByteBudget(plan.writtenBytes(), all));
+                new ByteBudget(plan.requestBytes(), total),
+                new ByteBudget(plan.bodyBytes(), total),
+                new ByteBudget(plan.answerBytes(), total),
+                new ByteBudget(plan.writtenBytes(), total));
     }
 }
--- a/src/main/java/petrelstand/http/ByteBudget.java
+++ b/src/main/java/petrelstand/http/ByteBudget.java
@@ -1,38 +1,37 @@
 package petrelstand.http;
 
-/**
- * Bytes that many connections together may keep: each alone is bounded too, but all of them at once would be too much.
- */
+/** A limit of the bytes that many connections may buffer together. Not thread-safe. */
 public final class ByteBudget {
-    private long left;
-    /** What this one is a part of; null where it stands alone. */
-    private final ByteBudget whole;
+    private long availableBytes;
+    /** The budget that this one is a part of, or null. */
+    private final ByteBudget parent;
 
-    public ByteBudget(long most) {
-        this(most, null);
+    public ByteBudget(long maxBytes) {
+        this(maxBytes, null);
     }
 
-    /** A part of a whole that others take from too. */
-    ByteBudget(long most, ByteBudget whole) {
-        this.left = most;
-        this.whole = whole;
+    /** Creates a part of a larger budget that other parts share. */
+    ByteBudget(long maxBytes, ByteBudget parent) {
+        this.availableBytes = maxBytes;
+        this.parent = parent;
     }
 
-    /** Takes so many bytes; false where there are not as many left, here or in the whole. */
-    boolean take(long bytes) {
-        boolean enough = bytes <= left && (whole == null || whole.take(bytes));
-        left -= enough ? bytes : 0;
-        return enough;
+    /** Reserves bytes; returns false if not enough are available here or in the parent. */
+    boolean tryReserve(long bytes) {
+        boolean reserved = bytes <= availableBytes && (parent == null || parent.tryReserve(bytes));
+        availableBytes -= reserved ? bytes : 0;
+        return reserved;
     }
 
-    void give(long bytes) {
-        left += bytes;
-        if (whole != null) {
-            whole.give(bytes);
+    /** Returns reserved bytes. */
+    void release(long bytes) {
+        availableBytes += bytes;
+        if (parent != null) {
+            parent.release(bytes);
         }
     }
 
-    long left() {
-        return left;
+    long availableBytes() {
+        return availableBytes;
     }
 }
--- a/src/main/java/petrelstand/http/ClientConnection.java
+++ b/src/main/java/petrelstand/http/ClientConnection.java
@@ -22,99 +22,109 @@
 import petrelstand.net.MessageParser;
 
 /**
- * A client's connection. It reads one request at a time; bytes of the next wait in the buffer until the answer is
- * written. It reads on meanwhile, to see at once that its client has gone: what a client sends beyond
- * {@link #MOST_AHEAD} is dropped, and the connection ends with the answer that is due. A large body passes on in pieces
- * as it comes, and a large answer too: of each, one piece is here at a time.
+ * A connection from a client. Requests are processed one at a time: bytes of later requests wait in the input buffer
+ * until the current answer is written. The connection keeps reading meanwhile, so that a client's disconnect is noticed
+ * at once. If more than {@link #MAX_READ_AHEAD_BYTES} arrive, the rest is discarded and the connection closes after the
+ * current answer. Large bodies and large answers are streamed, one piece at a time.
  */
 final class ClientConnection extends LoopConnection
-        implements HttpParser.RequestHandler, ClientSide, Flow.Taker, Upload.Source {
+        implements HttpParser.RequestHandler, ClientSide, AnswerStream.Receiver, RequestBodyStream.Source {
     enum State {
+        /** Between requests, or reading one that has not been submitted. */
         READING,
-        TAKEN,
+        /** The request is with the broker. */
+        IN_PROGRESS,
+        /** An answer is being written. */
         ANSWERING,
+        /** Output is shut down, and further input is discarded. */
         LINGERING,
         CLOSED
     }
 
-    /** Ranks of those that may make room, the first to go first. */
-    static final int RANKS = 4;
+    /** Number of ranks that {@link #evictionRank} distinguishes. */
+    static final int EVICTION_RANKS = 4;
 
     private final HttpFront front;
-    private final boolean full;
-    private final boolean unwanted;
+    private final boolean overLimit;
+    private final boolean closeOnOpen;
     private final long openedUs;
-    private static final int INPUT = 4096;
-    private static final int INPUT_LARGE = 32 * 1024;
-    /**
-     * What may wait here before it can be used: requests behind the one in work, a body that no node is chosen for yet.
-     */
-    static final int MOST_AHEAD = 256 * 1024;
-    /** What is kept of a large body before its request is taken: enough to choose a node and to try it again. */
-    private static final int BEGINNING = 16 * 1024;
-
-    /** Reads the request at hand; null while the connection rests, so that what it has grown to is not kept. */
+    private static final int INPUT_BYTES = 4096;
+    private static final int LARGE_INPUT_BYTES = 32 * 1024;
+    /** Limit of the input buffer, for pipelined requests and for a body that no node has been chosen for yet. */
+    static final int MAX_READ_AHEAD_BYTES = 256 * 1024;
+    /** Bytes of a large body that are buffered before its request is submitted, so that another node can be tried. */
+    private static final int BODY_PREFIX_BYTES = 16 * 1024;
+
+    /** Parser of the current request; null between requests, to release its memory. */
     private HttpParser parser;
-    /** Without room while the connection rests or only drops what comes. */
+    /** Empty between requests and while input is only discarded, to release its memory. */
     private ByteBuffer input = BufferUtil.EMPTY_BUFFER;
 
-    private final Arrivals arrivals = new Arrivals();
+    private final ArrivalTimes arrivalTimes = new ArrivalTimes();
     private State state = State.READING;
     private boolean parsing;
-    /** Bytes of the input's room that count against the budget of requests being read. */
-    private int ahead;
-    /** Reading rests: the piece of a body that is with the node's side lies in the input. */
-    private boolean paused;
-    /** More came than may wait here: the connection ends with the answer that is due. */
-    private boolean overrun;
-
-    private boolean sawEnd;
-    private boolean resetDue;
-    /** A byte of the request being read has come. */
-    private boolean begun;
-
-    private long begunUs;
-    /** A request has come whole on this connection. */
-    private boolean used;
-
-    private boolean lingerHeard;
-    /** It ended between requests: it owes nothing, and nobody waits for its last bytes. */
-    private boolean endedIdle;
-
-    private long lingerUntilUs;
-    private Timers.Timer limit;
+    /** Bytes of the input buffer that are reserved from the budget of incoming requests. */
+    private int reservedInputBytes;
+    /** Reading is paused, because the input buffer holds a piece of the body that is not written to the node yet. */
+    private boolean readPaused;
+    /** The client sent more than the input buffer may hold: the connection closes after the current answer. */
+    private boolean readAheadExceeded;
+
+    private boolean sawEof;
+    private boolean parserResetDue;
+    /** The first byte of the current request has been received. */
+    private boolean requestStarted;
+
+    private long requestStartedUs;
+    /** At least one complete request has been received on this connection. */
+    private boolean receivedRequest;
+
+    private boolean lingerReceivedData;
+    /** The connection was closed between requests, so the process exit need not wait for it. */
+    private boolean closedIdle;
+
+    private long lingerDeadlineUs;
+    private Timers.Timer timeout;
     private Exchange exchange;
 
     private String method;
     private String target;
     private HttpVersion version;
     private HttpFields.Mutable fields;
-    private final Body body;
-    /** The body that passes on in pieces; null where it is kept until it is whole. */
-    private Upload upload;
-    /** The node's side has not asked for the next piece of the body. */
-    private boolean held;
+    private final BodyBuffer body;
+    /** The streamed body of the current request; null if the body is buffered. */
+    private RequestBodyStream bodyStream;
+    /** The node connection has not asked for the next piece of the body. */
+    private boolean bodyHeld;
 
-    private long bodyUs;
+    private long bodyStartedUs;
     private long bodyBytes;
-    /** The answer that passes in pieces, the exchange that it belongs to, and what writes it. */
-    private Flow flow;
+    /** The answer that is being streamed; null if the answer is buffered. */
+    private AnswerStream answerStream;
 
-    private Exchange flowing;
-    private PieceWriter writer;
-    private boolean lastAnswer;
-    /** Bytes of an answer that are not wholly written. */
-    private int writing;
+    /** The exchange of the streamed answer, until its end is reported to the broker. */
+    private Exchange streamedExchange;
 
-    private boolean persistent;
+    private StreamedMessageWriter writer;
+    private boolean closeAfterStream;
+    /** Bytes of the answer being written that are reserved from the budget of outgoing answers. */
+    private int reservedAnswerBytes;
 
-    /** One that is unwanted closes as it opens. */
-    ClientConnection(EndPoint endPoint, HttpFront front, boolean full, boolean unwanted) {
+    private boolean keepAlive;
+
+    /**
+     * Creates a connection.
+     *
+     * @param overLimit whether its request is refused, because the connection limit is reached
+     * @param closeOnOpen whether it closes as soon as it opens, to save descriptors
+     */
+    ClientConnection(EndPoint endPoint, HttpFront front, boolean overLimit, boolean closeOnOpen) {
         super(endPoint);
         this.front = front;
-        this.body = new Body(HttpProtocol.MAX_BUFFERED_BODY_BYTES + INPUT_LARGE, front.requests());
-        this.full = full;
-        this.unwanted = unwanted;
+        this.body =
+                new BodyBuffer(HttpProtocol.MAX_BUFFERED_BODY_BYTES + LARGE_INPUT_BYTES, front.incomingRequestBudget());
+        this.overLimit = overLimit;
+        this.closeOnOpen = closeOnOpen;
         this.openedUs = front.broker().nowUs();
     }
 
@@ -122,58 +132,76 @@
         return state;
     }
 
-    /** Whether the end of the process would cut what it owes, or the last that it wrote. */
-    boolean isOwing() {
-        return !endedIdle;
+    /** Whether the process exit waits for this connection, because exiting could cut off an answer. */
+    boolean delaysExit() {
+        return !closedIdle;
     }
 
-    /** Between requests, with nothing read of the next. */
-    boolean idle() {
-        return state == State.READING && !begun && BufferUtil.isEmpty(input);
+    /** Whether the connection is between requests, with no byte of the next one received. */
+    boolean isIdle() {
+        return state == State.READING && !requestStarted && BufferUtil.isEmpty(input);
     }
 
-    /** Place among those that may make room: silent newcomers, kept ones, half requests, new ones; -1: none. */
-    int rank(long nowUs) {
-        if (idle()) {
-            return used ? 1 : nowUs >= openedUs + HttpFront.SILENT_US ? 0 : 3;
+    /**
+     * Order in which connections are evicted: 0 for new connections that stay silent, 1 for idle connections that have
+     * been used, 2 for requests that arrive too slowly, 3 for connections that were opened just now; -1 if the
+     * connection must stay.
+     */
+    int evictionRank(long nowUs) {
+        if (isIdle()) {
+            return receivedRequest ? 1 : nowUs >= openedUs + HttpFront.SILENT_AFTER_US ? 0 : 3;
         }
-        return state == State.READING && begun && nowUs >= begunUs + HttpFront.HALF_US ? 2 : -1;
+        return state == State.READING
+                        && requestStarted
+                        && nowUs >= requestStartedUs + HttpFront.PARTIAL_REQUEST_GRACE_US
+                ? 2
+                : -1;
     }
 
-    /** Closes to make room, but for what has just sent a whole request; half of one is told so first. */
-    boolean giveWay() {
-        if (idle()) {
-            endIfIdle(Long.MAX_VALUE, true);
+    /**
+     * Closes the connection to make room, unless a complete request has arrived meanwhile. A client with a partial
+     * request gets a 408 first.
+     *
+     * @return whether the connection is closed
+     */
+    boolean evict() {
+        if (isIdle()) {
+            closeIfIdle(Long.MAX_VALUE, true);
         } else {
-            malformed(408, "the request did not come whole while there was room");
+            rejectMalformed(408, "the request did not come whole while there was room");
             close();
         }
         return state == State.CLOSED;
     }
 
     /**
-     * Ends the connection between requests, unless it opened after a time and has not been used; a request that has
-     * arrived by now is still taken. What arrives later is read and dropped, so that no reset cuts what was written:
-     * for a while, or where its descriptor is needed only once. True where the connection has ended, or is ending.
+     * Closes the connection if it is between requests, unless it was opened after a given time and has not been used.
+     * Input that has already arrived is read first, and a request in it is still served. Later input is read and
+     * discarded for a while, because closing with unread input would reset the connection and could cut off the last
+     * answer.
+     *
+     * @param openedUntilUs unused connections that were opened later stay open
+     * @param withoutLinger closes after a single read, because the descriptor is needed
+     * @return whether the connection is closed or lingering
      */
-    boolean endIfIdle(long openedByUs, boolean atOnce) {
-        if (!idle() || !used && openedUs > openedByUs) {
+    boolean closeIfIdle(long openedUntilUs, boolean withoutLinger) {
+        if (!isIdle() || !receivedRequest && openedUs > openedUntilUs) {
             return false;
         }
         try {
-            int filled = getEndPoint().fill(room());
-            if (filled > 0) {
-                arrivals.came(filled, front.broker().nowUs());
+            int readBytes = getEndPoint().fill(ensureInput());
+            if (readBytes > 0) {
+                arrivalTimes.recordRead(readBytes, front.broker().nowUs());
                 parse();
-            } else if (filled < 0) {
+            } else if (readBytes < 0) {
                 close();
             }
-            if (idle()) {
-                stopLimit();
-                endedIdle = true;
-                linger();
-                if (atOnce) {
-                    drop();
+            if (isIdle()) {
+                cancelTimeout();
+                closedIdle = true;
+                startLinger();
+                if (withoutLinger) {
+                    discardInput();
                     close();
                 }
             }
@@ -186,137 +214,138 @@
     @Override
     public void onOpen() {
         super.onOpen();
-        if (unwanted) {
+        if (closeOnOpen) {
             front.broker().counters().add("connections.closed_at_once");
             close();
             return;
         }
-        limit = front.timers().at(openedUs + (full ? HttpFront.FULL_US : HttpFront.REQUEST_US), this::late);
+        timeout = front.timers()
+                .at(openedUs + (overLimit ? HttpFront.RETRY_AFTER_US : HttpFront.REQUEST_TIMEOUT_US), this::onTimeout);
         fillInterested();
     }
 
-    /** Guards against clients that say nothing, or half a request: the one is closed, the other told. */
-    private void late() {
-        limit = null;
+    /** Handles the request timeout: an idle connection is closed, and a client with a partial request gets a 408. */
+    private void onTimeout() {
+        timeout = null;
         front.broker().counters().add("connections.late");
-        if (idle()) {
-            endIfIdle(Long.MAX_VALUE, false);
+        if (isIdle()) {
+            closeIfIdle(Long.MAX_VALUE, false);
             return;
         }
-        // What came while the loop stood still is read first.
-        State before = state;
-        long bytes = bodyBytes;
+        // Read what arrived while the event loop was blocked.
+        State stateBefore = state;
+        long bodyBytesBefore = bodyBytes;
         onFillable();
-        if (state != before || bodyBytes != bytes || idle()) {
+        if (state != stateBefore || bodyBytes != bodyBytesBefore || isIdle()) {
             return;
         }
-        stopLimit();
-        if (state == State.TAKEN) {
+        cancelTimeout();
+        if (state == State.IN_PROGRESS) {
             front.broker().clientGone(exchange);
-            answer(408, "text/plain", 0, BufferUtil.toBuffer("the body did not go on\n"), true);
+            sendAnswer(408, "text/plain", 0, BufferUtil.toBuffer("the body did not go on\n"), true);
         } else {
-            malformed(408, "the request did not come whole in time");
+            rejectMalformed(408, "the request did not come whole in time");
         }
     }
 
     @Override
     public void onFillable() {
         try {
-            for (int read = 0; state != State.CLOSED; ) {
-                if (read >= HttpFront.MOST_READ) {
-                    readOn();
+            for (int turnBytes = 0; state != State.CLOSED; ) {
+                if (turnBytes >= HttpFront.MAX_READ_BYTES_PER_TURN) {
+                    awaitInput();
                     return;
                 }
-                if (state == State.LINGERING || overrun) {
-                    int filled = drop();
-                    if (filled <= 0) {
+                if (state == State.LINGERING || readAheadExceeded) {
+                    int readBytes = discardInput();
+                    if (readBytes <= 0) {
                         return;
                     }
-                    read += filled;
+                    turnBytes += readBytes;
                     continue;
                 }
-                if (upload != null && held && upload.isBegun() && state == State.TAKEN) {
-                    // The piece that is held lies in the buffer, and reading would write over it.
-                    paused = true;
+                if (bodyStream != null && bodyHeld && bodyStream.isStarted() && state == State.IN_PROGRESS) {
+                    // The input buffer holds an unwritten piece of the body; reading would overwrite it.
+                    readPaused = true;
                     return;
                 }
-                if (upload != null && input.capacity() < INPUT_LARGE && BufferUtil.isEmpty(input)) {
-                    enlarge();
+                if (bodyStream != null && input.capacity() < LARGE_INPUT_BYTES && BufferUtil.isEmpty(input)) {
+                    enlargeInput();
                 }
-                if (BufferUtil.space(room()) == 0) {
+                if (BufferUtil.space(ensureInput()) == 0) {
                     BufferUtil.compact(input);
                 }
-                if (BufferUtil.space(input) == 0 && !growAhead()) {
-                    if (upload != null && state == State.TAKEN) {
-                        paused = true;
+                if (BufferUtil.space(input) == 0 && !growInput()) {
+                    if (bodyStream != null && state == State.IN_PROGRESS) {
+                        readPaused = true;
                         return;
                     }
-                    overrun = true;
+                    readAheadExceeded = true;
                     continue;
                 }
-                int filled = getEndPoint().fill(input);
-                if (filled < 0) {
-                    ended();
+                int readBytes = getEndPoint().fill(input);
+                if (readBytes < 0) {
+                    onInputEnd();
                     return;
                 }
-                if (filled == 0) {
-                    readOn();
+                if (readBytes == 0) {
+                    awaitInput();
                     return;
                 }
-                read += filled;
-                arrivals.came(filled, front.broker().nowUs());
+                turnBytes += readBytes;
+                arrivalTimes.recordRead(readBytes, front.broker().nowUs());
                 parse();
             }
         } catch (IOException e) {
-            ended();
+            onInputEnd();
         }
     }
 
-    private void readOn() {
-        if (idle()) {
-            giveBack();
+    private void awaitInput() {
+        if (isIdle()) {
+            releaseInput();
         }
         if (!isFillInterested()) {
             fillInterested();
         }
     }
 
-    /** More room for what can't be used yet; false at the bound, or where all connections together have too much. */
-    private boolean growAhead() {
-        int more = Math.min(2 * input.capacity(), MOST_AHEAD) - input.capacity();
-        if (more <= 0 || !front.requests().take(more)) {
+    /** Grows the input buffer; returns false at {@link #MAX_READ_AHEAD_BYTES} or if the shared budget is exhausted. */
+    private boolean growInput() {
+        int addedBytes = Math.min(2 * input.capacity(), MAX_READ_AHEAD_BYTES) - input.capacity();
+        if (addedBytes <= 0 || !front.incomingRequestBudget().tryReserve(addedBytes)) {
             return false;
         }
-        ByteBuffer larger = BufferUtil.allocate(input.capacity() + more);
+        ByteBuffer larger = BufferUtil.allocate(input.capacity() + addedBytes);
         BufferUtil.append(larger, input);
         input = larger;
-        ahead += more;
+        reservedInputBytes += addedBytes;
         return true;
     }
 
-    /** The room for what comes next, made where there is none. */
-    private ByteBuffer room() {
+    /** Returns the input buffer, allocating it if necessary. */
+    private ByteBuffer ensureInput() {
         if (input.capacity() == 0) {
-            input = BufferUtil.allocate(INPUT);
+            input = BufferUtil.allocate(INPUT_BYTES);
         }
         return input;
     }
 
-    /** Larger room for a large body's pieces, while there is nothing in it and where the budget has it. */
-    private void enlarge() {
-        int more = INPUT_LARGE - input.capacity();
-        if (front.requests().take(more)) {
-            input = BufferUtil.allocate(INPUT_LARGE);
-            ahead += more;
+    /** Enlarges the empty input buffer for a streamed body, if the shared budget allows it. */
+    private void enlargeInput() {
+        int addedBytes = LARGE_INPUT_BYTES - input.capacity();
+        if (front.incomingRequestBudget().tryReserve(addedBytes)) {
+            input = BufferUtil.allocate(LARGE_INPUT_BYTES);
+            reservedInputBytes += addedBytes;
         }
     }
 
-    /** Gives back what only a request that is being read needs. */
-    private void giveBack() {
+    /** Releases the parser and the input buffer. */
+    private void releaseInput() {
         parser = null;
         input = BufferUtil.EMPTY_BUFFER;
-        front.requests().give(ahead);
-        ahead = 0;
+        front.incomingRequestBudget().release(reservedInputBytes);
+        reservedInputBytes = 0;
     }
 
     private HttpParser parser() {
@@ -327,78 +356,80 @@
         return parser;
     }
 
-    /** Reads what is not to be used, and drops it: what follows the last answer, and what came beyond the bound. */
-    private int drop() throws IOException {
-        giveBack();
-        BufferUtil.clear(front.dropped());
-        int filled = getEndPoint().fill(front.dropped());
-        if (filled < 0) {
-            ended();
-        } else if (filled == 0) {
-            readOn();
+    /** Reads input and discards it; returns the number of bytes, 0 if none is available, or -1 at the end of input. */
+    private int discardInput() throws IOException {
+        releaseInput();
+        BufferUtil.clear(front.discardBuffer());
+        int readBytes = getEndPoint().fill(front.discardBuffer());
+        if (readBytes < 0) {
+            onInputEnd();
+        } else if (readBytes == 0) {
+            awaitInput();
         }
-        lingerHeard |= filled > 0;
-        return filled;
+        lingerReceivedData |= readBytes > 0;
+        return readBytes;
     }
 
     @Override
     protected void onFillInterestedFailed(Throwable cause) {
-        ended();
+        onInputEnd();
     }
 
     /**
-     * The client closed or broke the connection. A client that only ended its sending may still read, so what it is
-     * owed is answered as failed before the connection closes.
+     * Handles the end of the client's input. A client that only shut down its output may still read, so a request in
+     * progress is answered with 500 before the connection closes.
      */
-    private void ended() {
-        if (state == State.TAKEN) {
-            sawEnd = true;
+    private void onInputEnd() {
+        if (state == State.IN_PROGRESS) {
+            sawEof = true;
             front.broker().clientGone(exchange);
-            answer(500, null, 0, BufferUtil.toBuffer("the client closed its side"), true);
+            sendAnswer(500, null, 0, BufferUtil.toBuffer("the client closed its side"), true);
         } else if (state == State.ANSWERING) {
-            sawEnd = true;
+            sawEof = true;
         } else {
             close();
         }
     }
 
-    /** Takes requests from the buffer while there are any and none is being served. */
+    /**
+     * Parses buffered requests while none is in progress, and the rest of a streamed body while its node asks for it.
+     */
     private void parse() {
         if (parsing) {
             return;
         }
         parsing = true;
         try {
-            // The parser tells of a body's end only when it is asked again, even where nothing is left to read.
-            boolean again = streams();
+            // The parser reports the end of a body only on a further call, even without remaining input.
+            boolean parseAgain = isBodyStreaming();
             while (state == State.READING && BufferUtil.hasContent(input)
-                    || streams() && (again || BufferUtil.hasContent(input))) {
-                again = false;
-                if (!begun) {
-                    begun = true;
-                    begunUs = front.broker().nowUs();
-                    stopLimit();
+                    || isBodyStreaming() && (parseAgain || BufferUtil.hasContent(input))) {
+                parseAgain = false;
+                if (!requestStarted) {
+                    requestStarted = true;
+                    requestStartedUs = front.broker().nowUs();
+                    cancelTimeout();
                 }
-                if (limit == null && !streams()) {
-                    allowMore();
+                if (timeout == null && !isBodyStreaming()) {
+                    restartRequestTimeout();
                 }
-                boolean paused = parser().parseNext(input);
-                if (resetDue) {
-                    resetDue = false;
+                boolean parserPaused = parser().parseNext(input);
+                if (parserResetDue) {
+                    parserResetDue = false;
                     parser = null;
-                } else if (!paused) {
+                } else if (!parserPaused) {
                     break;
                 }
             }
         } finally {
             parsing = false;
         }
-        if (idle()) {
-            giveBack();
+        if (isIdle()) {
+            releaseInput();
         }
     }
 
-    // ---- What the parser tells ----
+    // ---- Parser callbacks ----
 
     @Override
     public void startRequest(String newMethod, String uri, HttpVersion newVersion) {
@@ -407,31 +438,31 @@
         target = HttpProtocol.pathAndQuery(uri);
         bodyBytes = 0;
         fields = HttpFields.build();
-        body.take();
-        persistent = version == HttpVersion.HTTP_1_1;
+        body.takeContent();
+        keepAlive = version == HttpVersion.HTTP_1_1;
     }
 
     @Override
     public void parsedHeader(HttpField field) {
         fields.add(field);
         if (field.getHeader() == HttpHeader.CONNECTION) {
-            persistent = field.contains("close") ? false : persistent || field.contains("keep-alive");
+            keepAlive = field.contains("close") ? false : keepAlive || field.contains("keep-alive");
         }
     }
 
     @Override
     public boolean headerComplete() {
         if (!HttpProtocol.supportsVersion(version)) {
-            malformed(505, "the version is neither 1.0 nor 1.1");
+            rejectMalformed(505, "the version is neither 1.0 nor 1.1");
             return true;
         }
-        String wrong = HttpProtocol.framingError(fields);
-        if (wrong != null) {
-            malformed(400, wrong);
+        String framingError = HttpProtocol.framingError(fields);
+        if (framingError != null) {
+            rejectMalformed(400, framingError);
             return true;
         }
         if (fields.getLongField(HttpHeader.CONTENT_LENGTH) > HttpProtocol.MAX_STREAMED_BODY_BYTES) {
-            malformed(413, "the body is over " + HttpProtocol.MAX_STREAMED_BODY_BYTES + " bytes");
+            rejectMalformed(413, "the body is over " + HttpProtocol.MAX_STREAMED_BODY_BYTES + " bytes");
             return true;
         }
         if (fields.contains(HttpHeader.EXPECT, "100-continue")) {
@@ -441,88 +472,93 @@
                             BufferUtil.toBuffer("HTTP/1.1 100 Continue\r\n\r\n"));
         }
         if (fields.getLongField(HttpHeader.CONTENT_LENGTH) > 0 || fields.contains(HttpHeader.TRANSFER_ENCODING)) {
-            allowMore();
+            restartRequestTimeout();
         }
         return false;
     }
 
-    /** What is to come next has its time from now on. */
-    private void allowMore() {
-        stopLimit();
-        limit = front.timers().at(front.broker().nowUs() + HttpFront.REQUEST_US, this::late);
+    /** Restarts the timeout for the next part of the request. */
+    private void restartRequestTimeout() {
+        cancelTimeout();
+        timeout = front.timers().at(front.broker().nowUs() + HttpFront.REQUEST_TIMEOUT_US, this::onTimeout);
     }
 
     @Override
-    public boolean content(ByteBuffer item) {
-        if (!goesOn(item.remaining())) {
+    public boolean content(ByteBuffer data) {
+        if (!checkBodyRate(data.remaining())) {
             return true;
         }
-        if (upload != null) {
-            stopLimit();
-            held = true;
-            upload.piece(item);
-            return held;
+        if (bodyStream != null) {
+            cancelTimeout();
+            bodyHeld = true;
+            bodyStream.deliver(data);
+            return bodyHeld;
         }
-        if (!body.add(item)) {
-            refuseNoRoom();
+        if (!body.append(data)) {
+            refuseOverBudget();
             return true;
         }
         long length = fields.getLongField(HttpHeader.CONTENT_LENGTH);
-        boolean large = length > HttpProtocol.MAX_BUFFERED_BODY_BYTES && body.size() >= BEGINNING
+        boolean large = length > HttpProtocol.MAX_BUFFERED_BODY_BYTES && body.size() >= BODY_PREFIX_BYTES
                 || body.size() > HttpProtocol.MAX_BUFFERED_BODY_BYTES;
-        return large && stream(length);
+        return large && startBodyStream(length);
     }
 
     /**
-     * Counts what came of a body; false where it comes too slowly. Each part of it has its own time, and all of them a
-     * least rate: guards against a client that holds a connection by a byte now and then.
+     * Counts received bytes of a body. Each part of the body has its own timeout, and the body as a whole has a minimum
+     * rate, so that a client can't hold a connection by sending a byte now and then.
+     *
+     * @return false if the body arrives too slowly; the request has then been handled as timed out
      */
-    private boolean goesOn(int bytes) {
-        long now = front.broker().nowUs();
-        bodyUs = bodyBytes == 0 ? now : bodyUs;
-        bodyBytes += bytes;
-        if (bodyBytes < (now - bodyUs - HttpFront.REQUEST_US) / 1_000_000.0 * HttpFront.LEAST_RATE) {
-            stopLimit();
-            late();
+    private boolean checkBodyRate(int dataBytes) {
+        long nowUs = front.broker().nowUs();
+        bodyStartedUs = bodyBytes == 0 ? nowUs : bodyStartedUs;
+        bodyBytes += dataBytes;
+        if (bodyBytes
+                < (nowUs - bodyStartedUs - HttpFront.REQUEST_TIMEOUT_US)
+                        / 1_000_000.0
+                        * HttpFront.MIN_BODY_BYTES_PER_SECOND) {
+            cancelTimeout();
+            onTimeout();
             return false;
         }
-        allowMore();
+        restartRequestTimeout();
         return true;
     }
 
-    /** Takes the request of a body of which only the beginning has come; true where the rest has to wait. */
-    private boolean stream(long length) {
-        stopLimit();
-        upload = new Upload(length, this);
-        held = true;
-        if (full) {
-            refuseFull();
+    /** Submits the request of a large body after its first bytes; returns true if parsing must pause. */
+    private boolean startBodyStream(long length) {
+        cancelTimeout();
+        bodyStream = new RequestBodyStream(length, this);
+        bodyHeld = true;
+        if (overLimit) {
+            refuseOverLimit();
             return true;
         }
         try {
-            take(BufferUtil.toArray(body.take()));
-        } catch (DemandReader.Malformed e) {
-            malformed(e);
+            submit(BufferUtil.toArray(body.takeContent()));
+        } catch (DemandParser.MalformedRequestException e) {
+            rejectMalformed(e);
         }
-        return held;
+        return bodyHeld;
     }
 
-    private boolean streams() {
-        return upload != null && !held && state == State.TAKEN;
+    private boolean isBodyStreaming() {
+        return bodyStream != null && !bodyHeld && state == State.IN_PROGRESS;
     }
 
     @Override
-    public void more() {
-        if (state != State.TAKEN || upload == null) {
+    public void requestMore() {
+        if (state != State.IN_PROGRESS || bodyStream == null) {
             return;
         }
-        held = false;
-        // Its rate is counted anew: while it was held it could not come.
+        bodyHeld = false;
+        // Restart the rate measurement: the client could not send while the body was held.
         bodyBytes = 0;
-        allowMore();
+        restartRequestTimeout();
         if (!parsing) {
             parse();
-            resume();
+            resumeReading();
         }
     }
 
@@ -533,263 +569,270 @@
 
     @Override
     public boolean messageComplete() {
-        if (upload != null && state == State.TAKEN) {
-            stopLimit();
-            Upload whole = upload;
-            upload = null;
-            front.broker().bodyComplete(exchange, arrivals.lastUsed(input.remaining()));
-            whole.whole();
+        if (bodyStream != null && state == State.IN_PROGRESS) {
+            cancelTimeout();
+            RequestBodyStream completed = bodyStream;
+            bodyStream = null;
+            front.broker().bodyComplete(exchange, arrivalTimes.lastConsumedByteUs(input.remaining()));
+            completed.complete();
             return true;
         }
         if (state != State.READING) {
             return true;
         }
-        stopLimit();
-        used = true;
-        byte[] bytes = BufferUtil.toArray(body.take());
+        cancelTimeout();
+        receivedRequest = true;
+        byte[] bufferedBody = BufferUtil.toArray(body.takeContent());
         try {
-            if (full) {
-                refuseFull();
+            if (overLimit) {
+                refuseOverLimit();
             } else if (target.equals("/ready")) {
-                local(front.life().saysYes() ? 200 : 503, front.life().saysYes() ? "ready\n" : "not ready\n");
+                answerLocally(
+                        front.lifecycle().saysYes() ? 200 : 503,
+                        front.lifecycle().saysYes() ? "ready\n" : "not ready\n");
             } else if (target.equals("/counters")) {
-                local(200, front.broker().counters().text());
+                answerLocally(200, front.broker().counters().text());
             } else if (front.page(target) != null) {
-                local(200, front.page(target).get());
+                answerLocally(200, front.page(target).get());
             } else {
-                take(bytes);
+                submit(bufferedBody);
             }
-        } catch (DemandReader.Malformed e) {
-            malformed(e);
+        } catch (DemandParser.MalformedRequestException e) {
+            rejectMalformed(e);
         }
         return true;
     }
 
-    private void refuseFull() {
+    /** Refuses the request because the connection limit is reached. */
+    private void refuseOverLimit() {
         front.broker().counters().add("connections.full");
-        front.rejected(target);
-        answer(503, null, HttpFront.FULL_US, BufferUtil.EMPTY_BUFFER, true);
+        front.countRejected(target);
+        sendAnswer(503, null, HttpFront.RETRY_AFTER_US, BufferUtil.EMPTY_BUFFER, true);
     }
 
-    /** All connections together keep as much of bodies as they may. */
-    private void refuseNoRoom() {
+    /** Refuses the request because the shared budget for bodies is exhausted. */
+    private void refuseOverBudget() {
         front.broker().counters().add("requests_no_room");
-        front.rejected(target);
-        answer(503, null, HttpFront.FULL_US, BufferUtil.EMPTY_BUFFER, true);
+        front.countRejected(target);
+        sendAnswer(503, null, HttpFront.RETRY_AFTER_US, BufferUtil.EMPTY_BUFFER, true);
     }
 
-    private void malformed(DemandReader.Malformed e) {
+    private void rejectMalformed(DemandParser.MalformedRequestException e) {
         front.broker().counters().add("malformed." + e.status());
-        answer(e.status(), "text/plain", 0, BufferUtil.toBuffer(e.getMessage() + "\n"), true);
+        sendAnswer(e.status(), "text/plain", 0, BufferUtil.toBuffer(e.getMessage() + "\n"), true);
     }
 
-    private void take(byte[] bytes) throws DemandReader.Malformed {
-        Demand demand = front.reader().read(method, target, fields, bytes.length);
-        long now = front.broker().nowUs();
-        long waitedUs = upload != null ? 0 : now - arrivals.lastUsed(input.remaining());
+    /** Validates the request and hands it to the broker, or refuses it if its time is up or the process is stopping. */
+    private void submit(byte[] bufferedBody) throws DemandParser.MalformedRequestException {
+        Demand demand = front.demandParser().parse(method, target, fields, bufferedBody.length);
+        long nowUs = front.broker().nowUs();
+        long waitedUs = bodyStream != null ? 0 : nowUs - arrivalTimes.lastConsumedByteUs(input.remaining());
         if (waitedUs > 0 && waitedUs >= demand.leftUs()) {
             front.broker().counters().add("refused.waited");
-            front.rejected(target);
+            front.countRejected(target);
             refused(0);
             return;
         }
-        long wantedUs = demand.leftUs() - waitedUs;
-        long leftUs = front.life().grantsUs(now, wantedUs);
-        if (leftUs < wantedUs && leftUs == 0) {
+        long requestedUs = demand.leftUs() - waitedUs;
+        long grantedUs = front.lifecycle().grantsUs(nowUs, requestedUs);
+        if (grantedUs < requestedUs && grantedUs == 0) {
             front.broker().counters().add("refused.ending");
-            front.rejected(target);
-            refused(front.life().retryAfterUs(now));
+            front.countRejected(target);
+            refused(front.lifecycle().retryAfterUs(nowUs));
             return;
         }
-        String txn = fields.get(HttpProtocol.TXN_HEADER);
-        // Guards against a second copy of another client's request: nodes count attempts by this id.
-        if (!front.claim(txn)) {
-            throw new DemandReader.Malformed(409, HttpProtocol.TXN_HEADER + " is that of an open request");
+        String txnId = fields.get(HttpProtocol.TXN_HEADER);
+        // Nodes count attempts by this id, so two open requests must not share it.
+        if (!front.claimTxnId(txnId)) {
+            throw new DemandParser.MalformedRequestException(
+                    409, HttpProtocol.TXN_HEADER + " is that of an open request");
         }
-        if (!front.inWork().take(bytes.length)) {
-            front.release(txn);
-            refuseNoRoom();
+        if (!front.activeRequestBudget().tryReserve(bufferedBody.length)) {
+            front.releaseTxnId(txnId);
+            refuseOverBudget();
             return;
         }
-        state = State.TAKEN;
+        state = State.IN_PROGRESS;
         front.broker()
                 .take(
-                        demand.within(leftUs),
-                        new Message.Ask(
+                        demand.within(grantedUs),
+                        new ForwardedMessage.Request(
                                 method,
                                 target,
-                                txn,
+                                txnId,
                                 fields.get(HttpProtocol.IDEMPOTENCY_KEY_HEADER),
                                 fields.get(HttpHeader.CONTENT_TYPE),
-                                bytes,
-                                upload),
+                                bufferedBody,
+                                bodyStream),
                         this,
-                        taken -> exchange = taken);
+                        newExchange -> exchange = newExchange);
     }
 
     @Override
     public boolean incoming() {
-        return upload != null;
+        return bodyStream != null;
     }
 
     @Override
-    public void forgotten(Exchange done) {
-        Message.Ask ask = (Message.Ask) done.message();
-        front.release(ask.txn());
-        front.inWork().give(ask.body().length);
+    public void forgotten(Exchange finishedExchange) {
+        ForwardedMessage.Request request = (ForwardedMessage.Request) finishedExchange.message();
+        front.releaseTxnId(request.txnId());
+        front.activeRequestBudget().release(request.body().length);
     }
 
-    private void local(int status, String text) {
-        answer(status, "text/plain", 0, BufferUtil.toBuffer(text, StandardCharsets.UTF_8), false);
+    private void answerLocally(int status, String text) {
+        sendAnswer(status, "text/plain", 0, BufferUtil.toBuffer(text, StandardCharsets.UTF_8), false);
     }
 
     @Override
     public void badMessage(HttpException failure) {
         int code = failure.getCode();
-        malformed(code == 431 || code == 414 ? 431 : code == 413 ? 413 : 400, String.valueOf(failure.getReason()));
+        rejectMalformed(
+                code == 431 || code == 414 ? 431 : code == 413 ? 413 : 400, String.valueOf(failure.getReason()));
     }
 
-    private void malformed(int status, String why) {
+    /** Answers a request that can't be parsed, is incomplete or exceeds a limit. */
+    private void rejectMalformed(int status, String message) {
         if (state == State.READING) {
             front.broker().counters().add("malformed." + status);
-            answer(status, "text/plain", 0, BufferUtil.toBuffer(why + "\n", StandardCharsets.UTF_8), true);
+            sendAnswer(status, "text/plain", 0, BufferUtil.toBuffer(message + "\n", StandardCharsets.UTF_8), true);
         }
     }
 
     @Override
     public void earlyEOF() {
-        // The parser, which is never told of the real end, says so of chunks that can't be read.
-        malformed(400, "the body's chunks can't be read");
+        // The parser never sees the end of input here, so it reports malformed chunks.
+        rejectMalformed(400, "the body's chunks can't be read");
     }
 
-    // ---- The final answer ----
+    // ---- Answers ----
 
     @Override
     public boolean served(Object answer) {
-        if (answer instanceof Flow pieces) {
-            flow(pieces);
+        if (answer instanceof AnswerStream stream) {
+            streamAnswer(stream);
             return false;
         }
-        Message.Answer whole = (Message.Answer) answer;
-        if (front.answers().take(whole.body().remaining())) {
-            writing = whole.body().remaining();
-            answer(200, whole.type(), 0, whole.body(), false);
+        ForwardedMessage.Answer bufferedAnswer = (ForwardedMessage.Answer) answer;
+        if (front.outgoingAnswerBudget().tryReserve(bufferedAnswer.body().remaining())) {
+            reservedAnswerBytes = bufferedAnswer.body().remaining();
+            sendAnswer(200, bufferedAnswer.contentType(), 0, bufferedAnswer.body(), false);
             return true;
         }
-        // Guards the memory against clients that do not take their answers.
+        // Limits the memory held by clients that don't read their answers.
         front.broker().counters().add("answers_no_room");
         front.broker().passed(exchange, End.FAILED);
-        answer(502, null, 0, BufferUtil.EMPTY_BUFFER, false);
+        sendAnswer(502, null, 0, BufferUtil.EMPTY_BUFFER, false);
         return false;
     }
 
-    /** Passes an answer on as it comes. */
-    private void flow(Flow pieces) {
-        stopLimit();
+    /** Starts to stream an answer to the client. */
+    private void streamAnswer(AnswerStream stream) {
+        cancelTimeout();
         state = State.ANSWERING;
-        flowing = exchange;
+        streamedExchange = exchange;
         exchange = null;
-        flow = pieces;
-        // Without a length, a client of HTTP/1.0 knows the end by the connection's.
-        lastAnswer = endsHere() || version == HttpVersion.HTTP_1_0 && pieces.length() < 0;
-        writer = PieceWriter.of(
+        answerStream = stream;
+        // Without a length, an HTTP/1.0 client recognizes the end of the answer only by the end of the connection.
+        closeAfterStream = shouldCloseAfterAnswer() || version == HttpVersion.HTTP_1_0 && stream.length() < 0;
+        writer = StreamedMessageWriter.of(
                 getEndPoint(),
                 HttpProtocol.responseMetaData(
-                        200, version, pieces.fields().get(HttpHeader.CONTENT_TYPE), lastAnswer, pieces.length()));
-        pieces.take(this);
+                        200, version, stream.fields().get(HttpHeader.CONTENT_TYPE), closeAfterStream, stream.length()));
+        stream.subscribe(this);
     }
 
     @Override
-    public void piece(ByteBuffer piece) {
-        stopLimit();
-        limit = front.timers().at(front.broker().nowUs() + HttpFront.PIECE_US, this::close);
+    public void onData(ByteBuffer data) {
+        cancelTimeout();
+        timeout = front.timers().at(front.broker().nowUs() + HttpFront.STREAM_WRITE_TIMEOUT_US, this::close);
         writer.write(
-                piece,
+                data,
                 false,
                 () -> {
-                    if (flow != null) {
-                        flow.next();
+                    if (answerStream != null) {
+                        answerStream.requestMore();
                     }
                 },
-                this::notWritten);
+                this::onAnswerWriteFailed);
     }
 
     @Override
-    public void whole() {
-        flow = null;
+    public void onComplete() {
+        answerStream = null;
         writer.write(
                 BufferUtil.EMPTY_BUFFER,
                 true,
                 () -> {
-                    passed(End.SERVED);
-                    written(lastAnswer);
+                    reportStreamEnd(End.SERVED);
+                    onAnswerWritten(closeAfterStream);
                 },
-                this::notWritten);
+                this::onAnswerWriteFailed);
     }
 
     @Override
-    public void cut() {
-        flow = null;
-        passed(End.FAILED);
+    public void onAborted() {
+        answerStream = null;
+        reportStreamEnd(End.FAILED);
         close();
     }
 
-    private void passed(End how) {
-        if (flowing != null) {
-            front.broker().passed(flowing, how);
-            flowing = null;
+    private void reportStreamEnd(End end) {
+        if (streamedExchange != null) {
+            front.broker().passed(streamedExchange, end);
+            streamedExchange = null;
         }
     }
 
-    /** Whether the connection ends with the answer that is due: also where the request's rest is still to come. */
-    private boolean endsHere() {
-        return !persistent
-                || overrun
-                || upload != null
-                || front.life().endsWithAnswer(front.broker().nowUs());
+    /** Whether the connection closes after the current answer, as it must if part of the request is still to come. */
+    private boolean shouldCloseAfterAnswer() {
+        return !keepAlive
+                || readAheadExceeded
+                || bodyStream != null
+                || front.lifecycle().endsWithAnswer(front.broker().nowUs());
     }
 
     @Override
     public void refused(long retryAfterUs) {
-        answer(503, null, retryAfterUs, BufferUtil.EMPTY_BUFFER, false);
+        sendAnswer(503, null, retryAfterUs, BufferUtil.EMPTY_BUFFER, false);
     }
 
     @Override
-    public void failed(Attempt last) {
-        boolean late = last == null || !last.isEnded() || last.outcome() == Outcome.TIMED_OUT;
-        answer(late ? 504 : 502, null, 0, BufferUtil.EMPTY_BUFFER, false);
+    public void failed(Attempt lastAttempt) {
+        boolean timedOut = lastAttempt == null || !lastAttempt.isEnded() || lastAttempt.outcome() == Outcome.TIMED_OUT;
+        sendAnswer(timedOut ? 504 : 502, null, 0, BufferUtil.EMPTY_BUFFER, false);
     }
 
-    private void answer(int status, String type, long retryAfterUs, ByteBuffer content, boolean close) {
-        if (state != State.READING && state != State.TAKEN) {
-            releaseAnswer();
+    private void sendAnswer(int status, String type, long retryAfterUs, ByteBuffer content, boolean close) {
+        if (state != State.READING && state != State.IN_PROGRESS) {
+            releaseAnswerBudget();
             return;
         }
-        stopLimit();
+        cancelTimeout();
         state = State.ANSWERING;
         exchange = null;
-        boolean last = close || endsHere();
-        limit = front.timers().at(front.broker().nowUs() + HttpFront.ANSWER_US, this::close);
-        ByteBuffer head = HttpProtocol.answerHead(status, type, retryAfterUs, last, content.remaining());
-        getEndPoint().write(nonBlocking(() -> written(last), this::notWritten), head, content);
+        boolean closeAfter = close || shouldCloseAfterAnswer();
+        timeout = front.timers().at(front.broker().nowUs() + HttpFront.ANSWER_WRITE_TIMEOUT_US, this::close);
+        ByteBuffer head = HttpProtocol.answerHead(status, type, retryAfterUs, closeAfter, content.remaining());
+        getEndPoint().write(nonBlocking(() -> onAnswerWritten(closeAfter), this::onAnswerWriteFailed), head, content);
     }
 
-    private void releaseAnswer() {
-        front.answers().give(writing);
-        writing = 0;
+    private void releaseAnswerBudget() {
+        front.outgoingAnswerBudget().release(reservedAnswerBytes);
+        reservedAnswerBytes = 0;
     }
 
-    private void next() {
+    private void readNextRequest() {
         state = State.READING;
-        begun = false;
+        requestStarted = false;
         writer = null;
         method = null;
         target = null;
         fields = null;
-        body.take();
-        front.used(this);
+        body.takeContent();
+        front.markUsed(this);
         if (parsing) {
-            resetDue = true;
+            parserResetDue = true;
         } else {
             parser = null;
             parse();
@@ -797,81 +840,85 @@
     }
 
     /**
-     * Ends its sending and drops what still comes, for a while. Closing at once with bytes unread would reset the
-     * connection, and the client could lose the answer.
+     * Shuts down output and discards further input for a while. Closing with unread input would reset the connection,
+     * and the client could lose the answer.
      */
-    private void linger() {
+    private void startLinger() {
         state = State.LINGERING;
-        giveBack();
+        releaseInput();
         getEndPoint().shutdownOutput();
-        lingerHeard = false;
-        lingerUntilUs = front.broker().nowUs() + (upload != null ? HttpFront.LINGER_BODY_US : HttpFront.LINGER_MOST_US);
-        limit = front.timers().at(front.broker().nowUs() + HttpFront.LINGER_US, this::lingered);
+        lingerReceivedData = false;
+        lingerDeadlineUs =
+                front.broker().nowUs() + (bodyStream != null ? HttpFront.MAX_BODY_LINGER_US : HttpFront.MAX_LINGER_US);
+        timeout = front.timers().at(front.broker().nowUs() + HttpFront.LINGER_SILENCE_US, this::onLingerTimeout);
     }
 
-    private void lingered() {
-        long now = front.broker().nowUs();
-        if (!lingerHeard || now >= lingerUntilUs) {
+    private void onLingerTimeout() {
+        long nowUs = front.broker().nowUs();
+        if (!lingerReceivedData || nowUs >= lingerDeadlineUs) {
             close();
         } else {
-            lingerHeard = false;
-            limit = front.timers().at(Math.min(now + HttpFront.LINGER_US, lingerUntilUs), this::lingered);
+            lingerReceivedData = false;
+            timeout = front.timers()
+                    .at(Math.min(nowUs + HttpFront.LINGER_SILENCE_US, lingerDeadlineUs), this::onLingerTimeout);
         }
     }
 
-    private void resume() {
-        if (paused && state != State.CLOSED) {
-            paused = false;
+    private void resumeReading() {
+        if (readPaused && state != State.CLOSED) {
+            readPaused = false;
             onFillable();
         }
     }
 
-    private void written(boolean last) {
-        stopLimit();
-        releaseAnswer();
+    private void onAnswerWritten(boolean closeAfter) {
+        cancelTimeout();
+        releaseAnswerBudget();
         if (state != State.ANSWERING) {
             return;
         }
-        if (sawEnd) {
+        if (sawEof) {
             close();
-        } else if (last || overrun || front.life().closesIdle(front.broker().nowUs())) {
-            linger();
+        } else if (closeAfter
+                || readAheadExceeded
+                || front.lifecycle().closesIdle(front.broker().nowUs())) {
+            startLinger();
         } else {
-            next();
+            readNextRequest();
         }
-        resume();
+        resumeReading();
     }
 
-    private void notWritten(Throwable cause) {
+    private void onAnswerWriteFailed(Throwable cause) {
         front.broker().counters().add("answers_not_written");
         close();
     }
 
-    private void stopLimit() {
-        if (limit != null) {
-            limit.cancel();
-            limit = null;
+    private void cancelTimeout() {
+        if (timeout != null) {
+            timeout.cancel();
+            timeout = null;
         }
     }
 
     @Override
     public void close() {
         if (state != State.CLOSED) {
-            State before = state;
+            State stateBefore = state;
             state = State.CLOSED;
-            stopLimit();
-            releaseAnswer();
-            body.take();
-            giveBack();
-            front.closed(this);
+            cancelTimeout();
+            releaseAnswerBudget();
+            body.takeContent();
+            releaseInput();
+            front.onConnectionClosed(this);
             getEndPoint().close();
-            if (flow != null) {
-                Flow left = flow;
-                flow = null;
-                left.stop();
+            if (answerStream != null) {
+                AnswerStream cancelledStream = answerStream;
+                answerStream = null;
+                cancelledStream.cancel();
             }
-            passed(End.GONE);
-            if (before == State.TAKEN && exchange != null) {
+            reportStreamEnd(End.GONE);
+            if (stateBefore == State.IN_PROGRESS && exchange != null) {
                 front.broker().clientGone(exchange);
             }
         }
--- a/src/main/java/petrelstand/http/HttpFront.java
+++ b/src/main/java/petrelstand/http/HttpFront.java
@@ -17,113 +17,128 @@
 import petrelstand.lifecycle.Lifecycle;
 import petrelstand.lifecycle.MemoryPlan;
 
-/** The platform's front: its client connections, and what they share. */
+/** The HTTP/1.1 front: accepts client connections, limits their number, and holds the state that they share. */
 public final class HttpFront {
     /**
-     * A request must have come whole within this time of its first byte, a connection's first one within this time of
-     * its opening: a client that says nothing, or half a request, is owed an end within 3 s.
+     * Time in which a request must arrive after its first byte, or the first request of a connection after its opening.
+     * A client that sends nothing, or only part of a request, has to be closed or answered within 3 s.
      */
-    static final long REQUEST_US = 2_500_000;
-    /** A client that does not take its answer is cut after this time. */
-    static final long ANSWER_US = 10_000_000;
-    /** One that takes nothing of an answer in pieces is: what the system has taken of a piece can fill its buffers. */
-    static final long PIECE_US = 30_000_000;
-    /** Bytes a second that a body has to come at in the mean, once it has had its first time. */
-    static final double LEAST_RATE = 8 * 1024;
-    /** How long the rest of a body is dropped whose request was answered before it came. */
-    static final long LINGER_BODY_US = 60_000_000;
-
-    /** When a client that found no room may come back, and how long it may take to ask. */
-    static final long FULL_US = 500_000;
-    /** Silence after the last answer until the connection closes, and the longest that bytes are dropped there. */
-    static final long LINGER_US = 500_000;
-
-    static final long LINGER_MOST_US = 5_000_000;
-    /** What one connection may read in a turn: one that sends without end must not hold up the others. */
-    static final int MOST_READ = 64 * 1024;
-    /** Age from which a connection that has said nothing is taken for one that will not. */
-    static final long SILENT_US = 100_000;
-    /** Time that half a request is given where room is short. */
-    static final long HALF_US = 1_000_000;
-    /** Connections beyond the bound that are told so; more than these are closed at once. */
+    static final long REQUEST_TIMEOUT_US = 2_500_000;
+    /** Time in which a client must read a buffered answer before its connection is closed. */
+    static final long ANSWER_WRITE_TIMEOUT_US = 10_000_000;
+    /**
+     * Time in which a client must read a piece of a streamed answer. Longer than for a buffered answer, because an
+     * accepted piece may fill the system's buffers.
+     */
+    static final long STREAM_WRITE_TIMEOUT_US = 30_000_000;
+    /** Minimum mean rate of a request body, after its first {@link #REQUEST_TIMEOUT_US}. */
+    static final double MIN_BODY_BYTES_PER_SECOND = 8 * 1024;
+    /** Longest time for which the rest of a request body is discarded, if the request was answered before its end. */
+    static final long MAX_BODY_LINGER_US = 60_000_000;
+
+    /**
+     * Retry-After of requests beyond the connection limit or a memory budget; also the request timeout of connections
+     * beyond the limit.
+     */
+    static final long RETRY_AFTER_US = 500_000;
+    /** Silence after which a lingering connection is closed. */
+    static final long LINGER_SILENCE_US = 500_000;
+
+    /** Longest time for which a lingering connection discards input. */
+    static final long MAX_LINGER_US = 5_000_000;
+    /**
+     * Bytes that one connection may read in a turn of the event loop, so that a fast sender can't hold up the others.
+     */
+    static final int MAX_READ_BYTES_PER_TURN = 64 * 1024;
+    /** Age at which a new connection that has sent nothing counts as silent. */
+    static final long SILENT_AFTER_US = 100_000;
+    /** Time before a partial request may be evicted if connections are short. */
+    static final long PARTIAL_REQUEST_GRACE_US = 1_000_000;
+    /** Connections beyond the limit whose request is refused with an answer; any more are closed as they open. */
     public static final int MAX_CONNECTIONS_OVER_LIMIT = 16;
 
     private final BodyBudgets budgets;
-    private final int mostByMemory;
+    private final int maxConnectionsByMemory;
     private final Broker broker;
     private final Timers timers;
-    private DemandReader reader;
-    private int mostConnections;
-    private final Set<ClientConnection> connectionCount = new LinkedHashSet<>();
-    /** Ids of the requests that are not over, or have an attempt out. */
-    private final Set<String> openIds = new HashSet<>();
-    /** Takes what is read only to be dropped; on the loop's thread. */
-    private final ByteBuffer dropped = BufferUtil.allocateDirect(MOST_READ);
-    /** Pages beside those that every gateway has, by path. */
+    private DemandParser demandParser;
+    private int maxConnections;
+    private final Set<ClientConnection> connections = new LinkedHashSet<>();
+    /** Ids of the requests that are open or have an attempt in progress. */
+    private final Set<String> openTxnIds = new HashSet<>();
+    /** Shared target of reads whose bytes are discarded; used on the event loop's thread only. */
+    private final ByteBuffer discardBuffer = BufferUtil.allocateDirect(MAX_READ_BYTES_PER_TURN);
+    /** Optional pages by path. */
     private Map<String, Supplier<String>> pages = Map.of();
 
-    private final Lifecycle life;
+    private final Lifecycle lifecycle;
 
     /**
-     * Answers a path with a text made when it is asked for; for pages that an operator switched on. Where a part has
-     * offered one there already, the texts follow each other.
+     * Serves a page at a path, with its text generated on each request. If the path already has a page, the texts are
+     * concatenated.
      */
     public void addPage(String path, Supplier<String> page) {
-        Map<String, Supplier<String>> more = new HashMap<>(pages);
-        more.merge(path, page, (one, other) -> () -> one.get() + other.get());
-        pages = Map.copyOf(more);
+        Map<String, Supplier<String>> updated = new HashMap<>(pages);
+        updated.merge(path, page, (one, other) -> () -> one.get() + other.get());
+        pages = Map.copyOf(updated);
     }
 
-    /** The page at a path; null where there is none. */
+    /** Returns the page at a path, or null. */
     Supplier<String> page(String path) {
         return pages.get(path);
     }
 
-    /** A front whose memory is not short. */
-    public HttpFront(Broker broker, Timers timers, int mostConnections, Lifecycle life) {
-        this(broker, timers, mostConnections, life, BodyBudgets.of(MemoryPlan.AMPLE));
+    /** Creates a front with the memory limits of {@link MemoryPlan#AMPLE}. */
+    public HttpFront(Broker broker, Timers timers, int maxConnections, Lifecycle lifecycle) {
+        this(broker, timers, maxConnections, lifecycle, BodyBudgets.of(MemoryPlan.AMPLE));
     }
 
-    /** A front that does what the process's life says, with so many connections and the budgets' bytes at most. */
-    public HttpFront(Broker broker, Timers timers, int mostConnections, Lifecycle life, BodyBudgets budgets) {
+    /**
+     * Creates a front.
+     *
+     * @param maxConnections limit of client connections, derived from the available memory
+     * @param lifecycle decides which requests are taken and when connections close
+     * @param budgets limits of the bytes of bodies
+     */
+    public HttpFront(Broker broker, Timers timers, int maxConnections, Lifecycle lifecycle, BodyBudgets budgets) {
         this.budgets = budgets;
-        this.mostByMemory = mostConnections;
-        this.life = life;
+        this.maxConnectionsByMemory = maxConnections;
+        this.lifecycle = lifecycle;
         this.broker = broker;
         this.timers = timers;
-        this.mostConnections = mostConnections;
-        this.reader = new DemandReader(broker.settings(), Set.of());
+        this.maxConnections = maxConnections;
+        this.demandParser = new DemandParser(broker.settings(), Set.of());
     }
 
     /**
-     * A connection from a client. Where there are too many, one makes room; where none can, the new one is only
-     * refused: what it sends counts as taken, so closing it unread would lose a request. Past a few of those the
-     * descriptors are at stake, and it closes at once.
+     * Creates the connection of a new client. If the limit is reached, another connection is evicted; if none can be,
+     * the new one only refuses its request, because closing it without an answer would lose a request that counts as
+     * taken. More than {@link #MAX_CONNECTIONS_OVER_LIMIT} beyond the limit are closed as they open, to save
+     * descriptors.
      */
     public Connection accept(EndPoint endPoint) {
         broker.counters().add("connections.clients");
-        if (connectionCount.size() >= mostConnections) {
-            makeRoom();
+        if (connections.size() >= maxConnections) {
+            evictConnection();
         }
         ClientConnection connection = new ClientConnection(
                 endPoint,
                 this,
-                connectionCount.size() >= mostConnections,
-                connectionCount.size() >= mostConnections + MAX_CONNECTIONS_OVER_LIMIT);
-        connectionCount.add(connection);
+                connections.size() >= maxConnections,
+                connections.size() >= maxConnections + MAX_CONNECTIONS_OVER_LIMIT);
+        connections.add(connection);
         return connection;
     }
 
     /**
-     * Closes one connection that owes nothing. Newcomers that stay silent go before the kept connections of clients
-     * that do ask: guards against hundreds of silent ones that push out all the others. Kept ones go in the order of
-     * their last use, newcomers that may yet be about to speak last.
+     * Closes one connection that has no complete request. Silent new connections go before idle ones of active clients,
+     * so that many silent connections can't displace the others. Idle connections go in the order of their last use.
      */
-    private void makeRoom() {
-        long now = broker.nowUs();
-        for (int rank = 0; rank < ClientConnection.RANKS; rank++) {
-            for (ClientConnection connection : List.copyOf(connectionCount)) {
-                if (connection.rank(now) == rank && connection.giveWay()) {
+    private void evictConnection() {
+        long nowUs = broker.nowUs();
+        for (int rank = 0; rank < ClientConnection.EVICTION_RANKS; rank++) {
+            for (ClientConnection connection : List.copyOf(connections)) {
+                if (connection.evictionRank(nowUs) == rank && connection.evict()) {
                     broker.counters().add("connections.gave_way");
                     return;
                 }
@@ -131,91 +146,95 @@
         }
     }
 
-    /** Takes an id for a request; false where an open request carries it. */
-    boolean claim(String id) {
-        return openIds.add(id);
+    /** Reserves the id of a request; returns false if an open request has it. */
+    boolean claimTxnId(String id) {
+        return openTxnIds.add(id);
     }
 
-    void release(String id) {
-        openIds.remove(id);
+    void releaseTxnId(String id) {
+        openTxnIds.remove(id);
     }
 
-    /** Ids of requests that are still open. */
-    int openIds() {
-        return openIds.size();
+    /** Number of ids of open requests. */
+    int openTxnIdCount() {
+        return openTxnIds.size();
     }
 
-    ByteBuffer dropped() {
-        return dropped;
+    ByteBuffer discardBuffer() {
+        return discardBuffer;
     }
 
     /**
-     * At most so many connections from now on, and never more than at the start: memory bounds those. What is between
-     * requests beyond it closes, the longest unused first.
+     * Changes the limit of connections, never above the limit at construction. Idle connections beyond it are closed,
+     * the least recently used first.
      */
-    public void setMaxConnections(int most) {
-        mostConnections = Math.min(most, mostByMemory);
-        for (int i = connectionCount.size(); i > mostConnections; i--) {
-            makeRoom();
+    public void setMaxConnections(int limit) {
+        maxConnections = Math.min(limit, maxConnectionsByMemory);
+        for (int i = connections.size(); i > maxConnections; i--) {
+            evictConnection();
         }
     }
 
-    /** Other settings from now on; requests of closed classes are no longer known. */
-    public void applySettings(Settings settings, Set<String> closed) {
-        reader = new DemandReader(settings, closed);
+    /** Applies changed settings to new requests; classes in {@code closedClasses} are no longer known. */
+    public void applySettings(Settings settings, Set<String> closedClasses) {
+        demandParser = new DemandParser(settings, closedClasses);
     }
 
     /**
-     * Closes what is between requests, but for newcomers that may be about to speak: so many, the longest unused first.
+     * Closes up to {@code maxClosed} idle connections, the least recently used first, except new ones that may be about
+     * to send a request.
      */
-    public void closeIdle(int most) {
-        long now = broker.nowUs();
-        int left = most;
-        for (ClientConnection connection : List.copyOf(connectionCount)) {
-            if (left > 0 && connection.endIfIdle(now - SILENT_US, false)) {
-                left--;
+    public void closeIdle(int maxClosed) {
+        long nowUs = broker.nowUs();
+        int remaining = maxClosed;
+        for (ClientConnection connection : List.copyOf(connections)) {
+            if (remaining > 0 && connection.closeIfIdle(nowUs - SILENT_AFTER_US, false)) {
+                remaining--;
             }
         }
     }
 
+    /** Number of open connections, including those that linger. */
     public int connectionCount() {
-        return connectionCount.size();
+        return connections.size();
     }
 
-    /** Connections for which the end of the process waits: not those that ended between requests and only read on. */
+    /**
+     * Connections that the process exit waits for: all except those closed between requests that only discard input.
+     */
     public long connectionsDelayingExit() {
-        return connectionCount.stream().filter(ClientConnection::isOwing).count();
+        return connections.stream().filter(ClientConnection::delaysExit).count();
     }
 
-    /** Connections whose answer is not wholly written. */
+    /** Connections whose answer is not completely written. */
     public long answeringCount() {
-        return connectionCount.stream()
+        return connections.stream()
                 .filter(c -> c.state() == ClientConnection.State.ANSWERING)
                 .count();
     }
 
-    Lifecycle life() {
-        return life;
+    Lifecycle lifecycle() {
+        return lifecycle;
     }
 
     /**
-     * A request that finds no room, or comes when nothing is taken any more: its class's figures have it as refused.
+     * Counts a request as refused in the figures of its class, because it exceeds a limit or arrives during shutdown.
      */
-    void rejected(String target) {
-        int end = target.indexOf('/', 1);
-        broker.rejected(end < 0 ? target : target.substring(1, end));
+    void countRejected(String target) {
+        int classEnd = target.indexOf('/', 1);
+        broker.rejected(classEnd < 0 ? target : target.substring(1, classEnd));
     }
 
-    ByteBudget requests() {
+    ByteBudget incomingRequestBudget() {
         return budgets.incomingRequests();
     }
 
-    /** Bodies of requests that were taken and are not forgotten yet. */
-    ByteBudget inWork() {
+    /** Budget for the bodies of requests that the broker has not forgotten yet. */
+    ByteBudget activeRequestBudget() {
         return budgets.activeRequests();
     }
 
-    ByteBudget answers() {
+    ByteBudget outgoingAnswerBudget() {
         return budgets.outgoingAnswers();
     }
 
@@ -227,18 +246,18 @@
         return timers;
     }
 
-    DemandReader reader() {
-        return reader;
+    DemandParser demandParser() {
+        return demandParser;
     }
 
-    /** Moves to the end of the order in which idle connections are closed. */
-    void used(ClientConnection connection) {
-        if (connectionCount.remove(connection)) {
-            connectionCount.add(connection);
+    /** Makes the connection the most recently used one. */
+    void markUsed(ClientConnection connection) {
+        if (connections.remove(connection)) {
+            connections.add(connection);
         }
     }
 
-    void closed(ClientConnection connection) {
-        connectionCount.remove(connection);
+    void onConnectionClosed(ClientConnection connection) {
+        connections.remove(connection);
     }
 }
--- a/src/main/java/petrelstand/http/HttpProtocol.java
+++ b/src/main/java/petrelstand/http/HttpProtocol.java
@@ -16,66 +16,75 @@
 import org.eclipse.jetty.util.BufferUtil;
 import petrelstand.core.VolumeUse;
 
-/** Names of the platform's headers, and messages as bytes. */
+/** The platform's HTTP protocol: header names, size limits, and the encoding and parsing of message heads. */
 public final class HttpProtocol {
+    /** Id of a request, the same for all of its attempts. */
     public static final String TXN_HEADER = "X-Txn";
+    /** Name of the plan under which a request is made. */
     public static final String PLAN_HEADER = "X-Qos-Policy";
+    /** Time for which the client still waits. */
     public static final String REMAINING_MS_HEADER = "X-Remaining-Ms";
+    /** Size and shard of the requested data. */
     public static final String PLACEMENT_HEADER = "X-Placement";
+    /** 1 if the client repeats an earlier request. */
     public static final String RESENT_HEADER = "X-Resent";
+
     public static final String IDEMPOTENCY_KEY_HEADER = "Idempotency-Key";
+    /** 1 in an answer if the node did not execute the request. */
     public static final String TURNED_AWAY_HEADER = "X-Turned-Away";
+    /** Load report of a node, as {@link #parseLoadReport} reads it. */
     public static final String LOAD_HEADER = "X-Pressure";
-    /** A volume's use, in percent of its plan's rate. */
+    /** A volume's use in percent of its plan's rate. */
     public static final String VOLUME_USE_HEADER = "X-Iops-Used";
-    /** Units that the node served the volume through other gateways. */
+    /** Units that the node has served for the volume through other gateways. */
     public static final String OTHER_GATEWAYS_UNITS_HEADER = "X-Rho";
-    /** The largest body, by the protocol. */
+    /** Largest body by the protocol; a larger one is streamed. */
     public static final int MAX_BUFFERED_BODY_BYTES = 64 * 1024;
-    /** The largest body that passes in pieces: over twice the largest that is known to occur. */
+    /** Largest body that is streamed; over twice the largest that is known to occur. */
     static final long MAX_STREAMED_BODY_BYTES = 64L * 1024 * 1024;
 
+    /** Limit of the head of a request or an answer. */
     static final int MAX_HEAD_BYTES = 8 * 1024;
     /**
-     * For parsers: none of the library's caches of header fields, 40 KB for each connection from its second message on.
-     * The fields that all messages share are found without.
+     * Size for {@code HttpParser.setHeaderCacheSize}: 0 disables the cache of header fields, which would take 40 KB per
+     * connection.
      */
     public static final int HEADER_CACHE_BYTES = 0;
-    /** No figure of a load report can be larger. */
+    /** Largest value accepted in a load report. */
     private static final double MAX_LOAD_VALUE = 1e6;
 
     private HttpProtocol() {}
 
-    /** The versions that are spoken here. */
+    /** Whether the version is HTTP/1.0 or HTTP/1.1. */
     public static boolean supportsVersion(HttpVersion version) {
         return version == HttpVersion.HTTP_1_1 || version == HttpVersion.HTTP_1_0;
     }
 
     /**
-     * What is wrong with how a message says where it ends; null where nothing is. Two ways to find the end may find two
-     * ends: a request could be hidden between them, and an answer cut short.
+     * Describes an ambiguous or unsupported message length, or returns null if the framing is valid. Ambiguous framing
+     * would allow request smuggling and truncated answers.
      */
     public static String framingError(HttpFields fields) {
-        int lengths = 0;
-        int codings = 0;
+        int contentLengths = 0;
+        int transferEncodings = 0;
         boolean chunked = true;
         for (HttpField field : fields) {
-            lengths += field.getHeader() == HttpHeader.CONTENT_LENGTH ? 1 : 0;
+            contentLengths += field.getHeader() == HttpHeader.CONTENT_LENGTH ? 1 : 0;
             if (field.getHeader() == HttpHeader.TRANSFER_ENCODING) {
-                codings++;
+                transferEncodings++;
                 chunked &= field.getValue().equalsIgnoreCase("chunked");
             }
         }
-        if (lengths > 1) {
+        if (contentLengths > 1) {
             return "more than one Content-Length";
         }
-        if (codings > 0 && lengths > 0) {
+        if (transferEncodings > 0 && contentLengths > 0) {
             return "both Content-Length and Transfer-Encoding";
         }
-        return codings <= 1 && chunked ? null : "the Transfer-Encoding is not chunked";
+        return transferEncodings <= 1 && chunked ? null : "the Transfer-Encoding is not chunked";
     }
 
-    /** The path and query of a request's target, which may be a whole address. */
+    /** Returns path and query of a request target, which may be an absolute URI. */
     static String pathAndQuery(String target) {
         if (!target.startsWith("http://") && !target.startsWith("https://")) {
             return target;
@@ -84,7 +93,11 @@
         return path < 0 ? "/" : target.substring(path);
     }
 
-    /** What the head of an answer in pieces says; a length of -1 is not known beforehand. */
+    /**
+     * Head of a streamed answer.
+     *
+     * @param length length of the body, or -1 if unknown
+     */
     static MetaData.Response responseMetaData(
             int status, HttpVersion version, String type, boolean close, long length) {
         HttpFields.Mutable fields = HttpFields.build();
@@ -95,13 +108,21 @@
             fields.put(HttpHeader.CONNECTION, "close");
         }
         if (length < 0 && version == HttpVersion.HTTP_1_1) {
-            // Else the generator would let the end of a connection that closes be the answer's, and a cut be no cut.
+            // Otherwise the generator ends the answer with the connection, and the client can't detect a truncated
+            // answer.
             fields.put(HttpHeader.TRANSFER_ENCODING, "chunked");
         }
         return new MetaData.Response(status, HttpStatus.getMessage(status), version, fields, length);
     }
 
-    /** The head of an answer with a body of a length. */
+    /**
+     * Encodes the head of an answer.
+     *
+     * @param type the content type, or null
+     * @param retryAfterUs µs for the Retry-After header; 0 for none
+     * @param close whether the connection closes after the answer
+     * @param length bytes of the body
+     */
     public static ByteBuffer answerHead(int status, String type, long retryAfterUs, boolean close, int length) {
         HttpFields.Mutable fields = HttpFields.build();
         if (type != null) {
@@ -113,18 +134,18 @@
         if (close) {
             fields.put(HttpHeader.CONNECTION, "close");
         }
-        MetaData.Response info =
+        MetaData.Response metaData =
                 new MetaData.Response(status, HttpStatus.getMessage(status), HttpVersion.HTTP_1_1, fields, length);
         ByteBuffer head = BufferUtil.allocate(1024);
         try {
-            new HttpGenerator().generateResponse(info, false, head, null, BufferUtil.EMPTY_BUFFER, true);
+            new HttpGenerator().generateResponse(metaData, false, head, null, BufferUtil.EMPTY_BUFFER, true);
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
         return head;
     }
 
-    /** Seconds with up to three decimals, rounded up: a client that comes sooner is refused again. */
+    /** Formats a time as seconds with up to three decimals, rounded up so that a client does not retry too early. */
     static String formatSeconds(long us) {
         long ms = (us + 999) / 1000;
         return ms % 1000 == 0
@@ -132,55 +153,55 @@
                 : String.format(Locale.ROOT, "%d.%03d", ms / 1000, ms % 1000).replaceAll("0+$", "");
     }
 
-    /** What a request's head says; the target passes as the client wrote it, and a length of -1 is not known. */
+    /** Head of a request; the target is forwarded unchanged, and a length of -1 is unknown. */
     static MetaData.Request requestMetaData(String method, String target, HttpFields fields, long length) {
         return new MetaData.Request(method, HttpURI.build().pathQuery(target), HttpVersion.HTTP_1_1, fields, length);
     }
 
-    /** The head of a request; the target passes as the client wrote it. */
+    /** Encodes the head of a request; the target is forwarded unchanged. */
     public static ByteBuffer requestHead(String method, String target, HttpFields fields, int length) {
-        MetaData.Request info = requestMetaData(method, target, fields, length);
+        MetaData.Request metaData = requestMetaData(method, target, fields, length);
         ByteBuffer head = BufferUtil.allocate(MAX_HEAD_BYTES + 1024);
         try {
-            new HttpGenerator().generateRequest(info, head, null, BufferUtil.EMPTY_BUFFER, true);
+            new HttpGenerator().generateRequest(metaData, head, null, BufferUtil.EMPTY_BUFFER, true);
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
         return head;
     }
 
-    /** What an answer tells of its volume: a figure that cannot be read, or cannot be, is not told. */
+    /** Parses what an answer reports about its volume; invalid values are ignored. */
     static VolumeUse parseVolumeUse(HttpFields fields) {
         return new VolumeUse(
                 parseCount(fields.get(VOLUME_USE_HEADER), VolumeUse.UNTOLD),
                 parseCount(fields.get(OTHER_GATEWAYS_UNITS_HEADER), 0));
     }
 
-    private static int parseCount(String text, int without) {
+    private static int parseCount(String text, int defaultValue) {
         if (text == null) {
-            return without;
+            return defaultValue;
         }
         try {
             long value = Math.round(Double.parseDouble(text));
-            return value >= 0 && value <= VolumeUse.MOST ? (int) value : without;
+            return value >= 0 && value <= VolumeUse.MOST ? (int) value : defaultValue;
         } catch (NumberFormatException e) {
-            return without;
+            return defaultValue;
         }
     }
 
-    /** A load report, "TEXT inflight=7, queue=2, util=0.61": what cannot be read, or cannot be, is left out. */
+    /** Parses a load report such as "TEXT inflight=7, queue=2, util=0.61"; invalid entries are skipped. */
     static Map<String, Double> parseLoadReport(String text) {
         Map<String, Double> load = new LinkedHashMap<>();
         if (text != null) {
-            for (String part : text.strip().replaceFirst("^TEXT\\s+", "").split("[,\\s]+")) {
-                int split = part.indexOf('=');
+            for (String entry : text.strip().replaceFirst("^TEXT\\s+", "").split("[,\\s]+")) {
+                int equalsSign = entry.indexOf('=');
                 try {
-                    double value = split > 0 ? Double.parseDouble(part.substring(split + 1)) : -1;
+                    double value = equalsSign > 0 ? Double.parseDouble(entry.substring(equalsSign + 1)) : -1;
                     if (value >= 0 && value <= MAX_LOAD_VALUE) {
-                        load.put(part.substring(0, split), value);
+                        load.put(entry.substring(0, equalsSign), value);
                     }
                 } catch (NumberFormatException e) {
-                    // A value that is no number tells nothing.
+                    // Skip the invalid value.
                 }
             }
         }
--- a/src/main/java/petrelstand/http/JvmWarmUp.java
+++ b/src/main/java/petrelstand/http/JvmWarmUp.java
@@ -19,17 +19,17 @@
 import petrelstand.net.MemoryEnd;
 
 /**
- * Plays requests through parts of their own, in memory, before the gateway says that it is ready: a virtual machine
- * that has not yet run this code takes ten times as long for the first requests.
+ * Warms up the JVM before the gateway reports that it is ready, by running requests through separate instances of its
+ * parts in memory. Without it the first requests are much slower.
  */
 public final class JvmWarmUp {
-    private static final int NODES = 4;
-    private static final int CLIENTS = 4;
-    private static final long STEP_US = 7_000;
+    private static final int NODE_COUNT = 4;
+    private static final int CLIENT_COUNT = 4;
+    private static final long REQUEST_INTERVAL_US = 7_000;
 
     private final Timers timers = new Timers();
     private final Settings settings;
-    private final List<EventLoop.Connector> dialed = new ArrayList<>();
+    private final List<EventLoop.Connector> pendingConnects = new ArrayList<>();
     private final List<MemoryEnd> nodeEnds = new ArrayList<>();
     private final Counters counters = new Counters();
     private final Broker broker;
@@ -41,51 +41,51 @@
         NodeConnectionPool pool =
                 new NodeConnectionPool(this::dial, () -> nowUs, timers, counters, settings, "backend.local", 64);
         this.broker = new Broker(settings, 1, () -> nowUs, timers, pool, counters, line -> {});
-        Lifecycle life = new Lifecycle(Lifecycle.Times.of(0));
-        life.serving(nowUs);
-        this.front = new HttpFront(broker, timers, 64, life);
+        Lifecycle lifecycle = new Lifecycle(Lifecycle.Times.of(0));
+        lifecycle.serving(nowUs);
+        this.front = new HttpFront(broker, timers, 64, lifecycle);
     }
 
-    /** Plays so many requests and returns how many of them were served. */
+    /** Runs requests and returns how many of them were served. */
     public static long run(Settings settings, int requests) {
-        JvmWarmUp rehearsal = new JvmWarmUp(settings);
-        rehearsal.run(requests);
-        return rehearsal.counters.get("answered.served");
+        JvmWarmUp warmUp = new JvmWarmUp(settings);
+        warmUp.run(requests);
+        return warmUp.counters.get("answered.served");
     }
 
     private SocketChannel dial(InetSocketAddress address, EventLoop.Connector connector) {
-        dialed.add(connector);
+        pendingConnects.add(connector);
         return null;
     }
 
     private void run(int requests) {
         List<Node> nodes = new ArrayList<>();
-        for (int i = 0; i < NODES; i++) {
+        for (int i = 0; i < NODE_COUNT; i++) {
             nodes.add(new Node(
                     "s-0000000" + i, "127.0.0.1:" + (9000 + i), new NodeEntry(i, 0, i, NodeState.READY, 1, 0)));
         }
         broker.nodes(ListKind.WHOLE, nodes);
         List<MemoryEnd> clients = new ArrayList<>();
-        for (int i = 0; i < CLIENTS; i++) {
+        for (int i = 0; i < CLIENT_COUNT; i++) {
             clients.add(MemoryEnd.open(front::accept));
         }
         for (int i = 0; i < requests; i++) {
-            MemoryEnd client = clients.get(i % CLIENTS);
+            MemoryEnd client = clients.get(i % CLIENT_COUNT);
             client.put(request(i));
-            if (i % CLIENTS == CLIENTS - 1) {
-                answer();
+            if (i % CLIENT_COUNT == CLIENT_COUNT - 1) {
+                answerNodeRequests();
                 clients.forEach(MemoryEnd::taken);
             }
-            nowUs += STEP_US;
+            nowUs += REQUEST_INTERVAL_US;
             timers.run(nowUs);
         }
     }
 
-    /** Every node answers what it was sent. */
-    private void answer() {
-        List<EventLoop.Connector> coming = List.copyOf(dialed);
-        dialed.clear();
-        coming.forEach(connector -> nodeEnds.add(MemoryEnd.open(connector::connected)));
+    /** Opens pending node connections and answers the request on each one. */
+    private void answerNodeRequests() {
+        List<EventLoop.Connector> connectors = List.copyOf(pendingConnects);
+        pendingConnects.clear();
+        connectors.forEach(connector -> nodeEnds.add(MemoryEnd.open(connector::connected)));
         for (MemoryEnd node : List.copyOf(nodeEnds)) {
             if (!node.isOpen()) {
                 nodeEnds.remove(node);
@@ -96,16 +96,19 @@
     }
 
     private String request(int number) {
-        RequestClass kind = settings.classes().get(number % settings.classes().size());
-        String body = kind.writes() ? "rehearsal" : "";
-        return (kind.writes() ? "PUT" : "GET")
+        RequestClass requestClass =
+                settings.classes().get(number % settings.classes().size());
+        String body = requestClass.writes() ? "rehearsal" : "";
+        return (requestClass.writes() ? "PUT" : "GET")
                 + String.format(
                         " /%s/%016x/%016x HTTP/1.1\r\nHost: b\r\nX-Txn: %x\r\n",
-                        kind.name(), number % 9, number, number)
+                        requestClass.name(), number % 9, number, number)
                 + HttpProtocol.PLAN_HEADER + ": "
                 + settings.plans().get(number % settings.plans().size()).name() + "\r\n"
-                + (kind.effect() == Effect.KEYED ? HttpProtocol.IDEMPOTENCY_KEY_HEADER + ": k" + number + "\r\n" : "")
-                + "X-Remaining-Ms: 400\r\nX-Placement: units=1,shard=" + number % NODES + ",hosts=1\r\n"
+                + (requestClass.effect() == Effect.KEYED
+                        ? HttpProtocol.IDEMPOTENCY_KEY_HEADER + ": k" + number + "\r\n"
+                        : "")
+                + "X-Remaining-Ms: 400\r\nX-Placement: units=1,shard=" + number % NODE_COUNT + ",hosts=1\r\n"
                 + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 }
--- a/src/main/java/petrelstand/http/NodeConnectionPool.java
+++ b/src/main/java/petrelstand/http/NodeConnectionPool.java
@@ -26,47 +26,54 @@
 import petrelstand.net.Addresses;
 import petrelstand.net.EventLoop;
 
-/** The side that faces the storage nodes: attempts over a bounded pool of connections, one attempt on each. */
+/**
+ * The pool of connections to the storage nodes. Each connection carries one attempt or probe at a time, and the number
+ * of connections is limited.
+ */
 public final class NodeConnectionPool implements ServerSide {
-    /** How a connection out is started; the event loop's way but in tests. */
+    /** Opens outgoing connections; replaced in tests. */
     public interface Dialer {
         SocketChannel connect(InetSocketAddress address, EventLoop.Connector connector) throws IOException;
     }
 
-    /** Part of the idle limit up to which a connection is used again: the node's clock and the way take the rest. */
-    private static final double REUSE_PART = 0.8;
+    /** Fraction of the idle limit after which a connection is not reused; the rest covers clock and network delays. */
+    private static final double REUSE_FRACTION = 0.8;
     /**
-     * What is kept of an answer. One over 64 KiB passes in pieces instead: with what came in one read, less than twice
-     * that is kept of it before it does.
+     * Limit of a buffered answer. Answers over {@link UpstreamConnection#STREAM_FROM_BYTES} are streamed, but a read
+     * may exceed that size before streaming starts.
      */
-    static final int MOST_ANSWER = 128 * 1024;
-    /** An answer that began goes on within this time: nodes write theirs in one go. */
-    static final long STALL_US = 150_000;
-    /** An answer or a body that passes in pieces goes on within this time, where it is the node that is waited for. */
-    static final long PIECE_STALL_US = 10_000_000;
+    static final int MAX_BUFFERED_ANSWER_BYTES = 128 * 1024;
+    /** Longest pause within a buffered answer; nodes write those in one go. */
+    static final long ANSWER_STALL_TIMEOUT_US = 150_000;
+    /** Longest pause within a streamed body or answer, while the gateway waits for the node. */
+    static final long STREAM_STALL_TIMEOUT_US = 10_000_000;
     /**
-     * What comes of a large answer within this time is kept, up to 64 KiB: one that breaks meanwhile can be tried
-     * again. It is a small part of any aim.
+     * Time for which the beginning of a large answer is buffered, up to 64 KiB: if the connection breaks meanwhile, the
+     * request can be retried. Short compared with any aim.
+     */
+    static final long BUFFER_BEFORE_STREAM_US = 20_000;
+    /**
+     * Time for which a connection is not reused if another is idle; unexpected bytes after an answer arrive by then.
      */
-    static final long GATHER_US = 20_000;
-    /** Rest of a connection after an answer, where another is at hand: what follows an answer has come by then. */
     private static final long SETTLE_US = 2_000;
+    /** Interval at which idle connections are checked for their age. */
+    private static final long EXPIRY_INTERVAL_US = 1_000_000;
 
     private final Dialer dialer;
     private final LongSupplier clock;
     private final Timers timers;
     private final Counters counters;
     private final String host;
-    private long connectUs;
-    private long reuseUs;
-    private int mostOpen;
-    private final int mostByMemory;
-    private final ByteBudget answers;
-    private final Map<String, ArrayDeque<UpstreamConnection>> idle = new HashMap<>();
+    private long connectTimeoutUs;
+    private long maxReuseIdleUs;
+    private int maxConnections;
+    private final int maxConnectionsByMemory;
+    private final ByteBudget answerBudget;
+    private final Map<String, ArrayDeque<UpstreamConnection>> idleByAddress = new HashMap<>();
     private int connectionCount;
-    private boolean sweeping;
+    private boolean expiryScheduled;
 
-    /** A pool whose memory is not short. */
+    /** Creates a pool with the memory limits of {@link MemoryPlan#AMPLE}. */
     public NodeConnectionPool(
             Dialer dialer,
             LongSupplier clock,
@@ -74,11 +81,11 @@
             Counters counters,
             Settings settings,
             String host,
-            int mostOpen) {
-        this(dialer, clock, timers, counters, settings, host, mostOpen, BodyBudgets.of(MemoryPlan.AMPLE));
+            int maxConnections) {
+        this(dialer, clock, timers, counters, settings, host, maxConnections, BodyBudgets.of(MemoryPlan.AMPLE));
     }
 
-    /** A pool of so many connections at most, and the budgets' bytes of answers. */
+    /** Creates a pool with a limit of connections and the budgets for its buffers. */
     public NodeConnectionPool(
             Dialer dialer,
             LongSupplier clock,
@@ -86,112 +93,117 @@
             Counters counters,
             Settings settings,
             String host,
-            int mostOpen,
+            int maxConnections,
             BodyBudgets budgets) {
-        this.answers = budgets.incomingAnswers();
-        this.mostByMemory = mostOpen;
+        this.answerBudget = budgets.incomingAnswers();
+        this.maxConnectionsByMemory = maxConnections;
         this.dialer = dialer;
         this.clock = clock;
         this.timers = timers;
         this.counters = counters;
         this.host = host;
-        this.mostOpen = mostOpen;
+        this.maxConnections = maxConnections;
         applySettings(settings);
     }
 
-    /** Other settings from now on. */
+    /** Applies changed settings to new calls and connections. */
     public void applySettings(Settings settings) {
-        connectUs = (long) (settings.may().connectTimeoutMs() * 1000);
-        reuseUs = (long) (settings.may().idleCloseMs() * 1000 * REUSE_PART);
+        connectTimeoutUs = (long) (settings.may().connectTimeoutMs() * 1000);
+        maxReuseIdleUs = (long) (settings.may().idleCloseMs() * 1000 * REUSE_FRACTION);
     }
 
-    /** At most so many connections from now on, and never more than at the start; idle ones beyond it close. */
-    public void setMaxConnections(int most) {
-        mostOpen = Math.min(most, mostByMemory);
-        while (connectionCount > mostOpen && dropOldestIdle()) {
+    /**
+     * Changes the limit of connections, never above the limit at construction, and closes idle connections beyond it.
+     */
+    public void setMaxConnections(int limit) {
+        maxConnections = Math.min(limit, maxConnectionsByMemory);
+        while (connectionCount > maxConnections && closeOldestIdle()) {
             counters.add("connections.gave_way");
         }
     }
 
-    /** Connections open or coming up. */
+    /** Connections that are open or being opened. */
     public int connectionCount() {
         return connectionCount;
     }
 
     @Override
     public void start(Attempt attempt) {
-        Sending sending = new Sending(attempt);
-        attempt.handle(sending);
-        begin(attempt.node(), sending);
+        AttemptCall call = new AttemptCall(attempt);
+        attempt.handle(call);
+        assignConnection(attempt.node(), call);
     }
 
     @Override
     public void abandon(Attempt attempt) {
-        if (attempt.handle() instanceof Sending sending) {
-            sending.drop();
+        if (attempt.handle() instanceof AttemptCall call) {
+            call.cancel();
         }
     }
 
     @Override
     public void probe(Node node, long timeoutUs, ProbeResult result) {
-        Probe probe = new Probe(result);
+        ProbeCall probe = new ProbeCall(result);
         probe.timeout = timers.at(clock.getAsLong() + timeoutUs, () -> {
-            probe.drop();
-            probe.end(Outcome.TIMED_OUT, Map.of());
+            probe.cancel();
+            probe.finish(Outcome.TIMED_OUT, Map.of());
         });
-        begin(node, probe);
+        assignConnection(node, probe);
     }
 
     @Override
     public void forget(Node node) {
-        ArrayDeque<UpstreamConnection> kept = idle.remove(node.address());
-        if (kept != null) {
-            List.copyOf(kept).forEach(UpstreamConnection::closeSilently);
+        ArrayDeque<UpstreamConnection> idle = idleByAddress.remove(node.address());
+        if (idle != null) {
+            List.copyOf(idle).forEach(UpstreamConnection::closeSilently);
         }
     }
 
-    /** Puts a call on a connection kept for the node, or on a new one. */
-    private void begin(Node node, Leg leg) {
-        leg.address = node.address();
-        ArrayDeque<UpstreamConnection> kept = idle.get(node.address());
-        long now = clock.getAsLong();
-        while (kept != null && !kept.isEmpty()) {
-            UpstreamConnection connection = settled(kept, now);
-            kept.remove(connection);
-            if (kept.isEmpty()) {
-                idle.remove(node.address());
+    /** Sends a call on an idle connection to the node, or on a new one. */
+    private void assignConnection(Node node, PooledCall call) {
+        call.address = node.address();
+        ArrayDeque<UpstreamConnection> idle = idleByAddress.get(node.address());
+        long nowUs = clock.getAsLong();
+        while (idle != null && !idle.isEmpty()) {
+            UpstreamConnection connection = pickIdle(idle, nowUs);
+            idle.remove(connection);
+            if (idle.isEmpty()) {
+                idleByAddress.remove(node.address());
             }
-            if (now - connection.idleSinceUs() <= reuseUs && connection.quiet()) {
-                leg.on(connection);
+            if (nowUs - connection.idleSinceUs() <= maxReuseIdleUs && connection.closeUnlessQuiet()) {
+                call.sendOn(connection);
                 return;
             }
             connection.closeSilently();
         }
-        if (connectionCount >= mostOpen && !dropOldestIdle()) {
+        if (connectionCount >= maxConnections && !closeOldestIdle()) {
             counters.add("connections.none_left");
-            leg.notConnected();
+            call.onNotConnected();
             return;
         }
-        dial(leg);
+        openConnection(call);
     }
 
-    /** The one last used of those that have rested, else the one that has rested longest. */
-    private static UpstreamConnection settled(ArrayDeque<UpstreamConnection> kept, long now) {
-        for (Iterator<UpstreamConnection> newest = kept.descendingIterator(); newest.hasNext(); ) {
+    /**
+     * Returns the most recently used connection that has been idle for {@link #SETTLE_US}, or else the one that has
+     * been idle longest.
+     */
+    private static UpstreamConnection pickIdle(ArrayDeque<UpstreamConnection> idle, long nowUs) {
+        for (Iterator<UpstreamConnection> newest = idle.descendingIterator(); newest.hasNext(); ) {
             UpstreamConnection connection = newest.next();
-            if (now - connection.idleSinceUs() >= SETTLE_US) {
+            if (nowUs - connection.idleSinceUs() >= SETTLE_US) {
                 return connection;
             }
         }
-        return kept.peekFirst();
+        return idle.peekFirst();
     }
 
-    private boolean dropOldestIdle() {
+    private boolean closeOldestIdle() {
         UpstreamConnection oldest = null;
-        for (ArrayDeque<UpstreamConnection> kept : idle.values()) {
-            UpstreamConnection first = kept.peekFirst();
-            if (first != null && (oldest == null || first.idleSinceUs() < oldest.idleSinceUs())) {
-                oldest = first;
+        for (ArrayDeque<UpstreamConnection> idle : idleByAddress.values()) {
+            UpstreamConnection candidate = idle.peekFirst();
+            if (candidate != null && (oldest == null || candidate.idleSinceUs() < oldest.idleSinceUs())) {
+                oldest = candidate;
             }
         }
         if (oldest != null) {
@@ -200,53 +212,57 @@
         return oldest != null;
     }
 
-    private void dial(Leg leg) {
+    private void openConnection(PooledCall call) {
         counters.add("connections.nodes");
         connectionCount++;
-        Dial dial = new Dial(leg);
-        leg.dial = dial;
-        dial.timeout = timers.at(clock.getAsLong() + connectUs, () -> dial.fail());
+        PendingConnection pendingConnection = new PendingConnection(call);
+        call.pendingConnection = pendingConnection;
+        pendingConnection.timeout = timers.at(clock.getAsLong() + connectTimeoutUs, () -> pendingConnection.fail());
         try {
-            dial.channel = dialer.connect(Addresses.parse(leg.address), dial);
+            pendingConnection.channel = dialer.connect(Addresses.parse(call.address), pendingConnection);
         } catch (IOException | RuntimeException e) {
-            dial.fail();
+            pendingConnection.fail();
         }
     }
 
-    /** A connection that is coming up. */
-    private final class Dial implements EventLoop.Connector {
-        private final Leg leg;
+    /** A connection that is being opened for a call. */
+    private final class PendingConnection implements EventLoop.Connector {
+        private final PooledCall call;
         private Timers.Timer timeout;
         private SocketChannel channel;
         private boolean done;
 
-        Dial(Leg leg) {
-            this.leg = leg;
+        PendingConnection(PooledCall call) {
+            this.call = call;
         }
 
         @Override
         public Connection connected(EndPoint endPoint) {
             UpstreamConnection connection =
-                    new UpstreamConnection(endPoint, MOST_ANSWER, answers, NodeConnectionPool.this::changed) {
+                    new UpstreamConnection(
+                            endPoint,
+                            MAX_BUFFERED_ANSWER_BYTES,
+                            answerBudget,
+                            NodeConnectionPool.this::onConnectionChange) {
                         @Override
                         public void onOpen() {
                             super.onOpen();
-                            up(this);
+                            onConnected(this);
                         }
                     };
             return connection;
         }
 
-        private void up(UpstreamConnection connection) {
+        private void onConnected(UpstreamConnection connection) {
             if (done) {
                 connection.closeSilently();
                 return;
             }
             done = true;
             timeout.cancel();
-            addresses.put(connection, leg.address);
-            leg.dial = null;
-            leg.on(connection);
+            addresses.put(connection, call.address);
+            call.pendingConnection = null;
+            call.sendOn(connection);
         }
 
         @Override
@@ -256,13 +272,15 @@
         }
 
         void fail() {
-            if (stop()) {
-                leg.notConnected();
+            if (cancel()) {
+                call.onNotConnected();
             }
         }
 
-        /** Gives the connection up without a word to its leg. */
-        boolean stop() {
+        /**
+         * Abandons the connection without notifying its call; returns false if it was established or abandoned before.
+         */
+        boolean cancel() {
             if (done) {
                 return false;
             }
@@ -275,7 +293,7 @@
                 try {
                     channel.close();
                 } catch (IOException e) {
-                    // Nothing more can be done for it.
+                    // Nothing more can be done.
                 }
             }
             return true;
@@ -284,86 +302,86 @@
 
     private final Map<UpstreamConnection, String> addresses = new HashMap<>();
 
-    private void changed(UpstreamConnection connection, boolean free) {
+    private void onConnectionChange(UpstreamConnection connection, boolean isIdle) {
         String address = addresses.get(connection);
-        if (free) {
-            connection.idleSince(clock.getAsLong());
-            idle.computeIfAbsent(address, a -> new ArrayDeque<>()).addLast(connection);
-            sweepLater();
+        if (isIdle) {
+            connection.markIdle(clock.getAsLong());
+            idleByAddress.computeIfAbsent(address, a -> new ArrayDeque<>()).addLast(connection);
+            scheduleExpiry();
         } else if (addresses.remove(connection) != null) {
             connectionCount--;
-            ArrayDeque<UpstreamConnection> kept = idle.get(address);
-            if (kept != null && kept.remove(connection) && kept.isEmpty()) {
-                idle.remove(address);
+            ArrayDeque<UpstreamConnection> idle = idleByAddress.get(address);
+            if (idle != null && idle.remove(connection) && idle.isEmpty()) {
+                idleByAddress.remove(address);
             }
         }
     }
 
-    /** Closes connections before their idle limit, so that no request meets the node's close. */
-    private void sweepLater() {
-        if (!sweeping) {
-            sweeping = true;
-            timers.at(clock.getAsLong() + 1_000_000, this::sweep);
+    /** Schedules the closing of old idle connections, before the node closes them while a request is being sent. */
+    private void scheduleExpiry() {
+        if (!expiryScheduled) {
+            expiryScheduled = true;
+            timers.at(clock.getAsLong() + EXPIRY_INTERVAL_US, this::closeExpired);
         }
     }
 
-    private void sweep() {
-        sweeping = false;
-        long now = clock.getAsLong();
-        for (ArrayDeque<UpstreamConnection> kept : List.copyOf(idle.values())) {
-            while (!kept.isEmpty() && now - kept.peekFirst().idleSinceUs() > reuseUs) {
-                kept.peekFirst().closeSilently();
+    private void closeExpired() {
+        expiryScheduled = false;
+        long nowUs = clock.getAsLong();
+        for (ArrayDeque<UpstreamConnection> idle : List.copyOf(idleByAddress.values())) {
+            while (!idle.isEmpty() && nowUs - idle.peekFirst().idleSinceUs() > maxReuseIdleUs) {
+                idle.peekFirst().closeSilently();
             }
         }
-        if (!idle.isEmpty()) {
-            sweepLater();
+        if (!idleByAddress.isEmpty()) {
+            scheduleExpiry();
         }
     }
 
-    /** A call on its way: waiting for its connection, or on it. */
-    private abstract class Leg implements UpstreamCall {
+    /** A call that waits for its connection or is in progress on it. */
+    private abstract class PooledCall implements UpstreamCall {
         private String address;
-        private Dial dial;
+        private PendingConnection pendingConnection;
         private UpstreamConnection connection;
-        private boolean inPieces;
+        private boolean streaming;
 
-        void on(UpstreamConnection free) {
-            connection = free;
-            free.send(this);
+        void sendOn(UpstreamConnection idleConnection) {
+            connection = idleConnection;
+            idleConnection.send(this);
         }
 
         /**
-         * Guards against answers that begin and never end, on a connection that stays open: they would be waited for
-         * until the client's time is up.
+         * Limits the time of an answer that begins but doesn't end on a connection that stays open; otherwise it would
+         * be awaited until the client's deadline.
          */
         @Override
         public void onPartialAnswer() {
-            watch(connection.received());
-            timers.at(clock.getAsLong() + GATHER_US, () -> connection.beginPieces(this));
+            watchForStall(connection.receivedBytes());
+            timers.at(clock.getAsLong() + BUFFER_BEFORE_STREAM_US, () -> connection.streamPartialAnswer(this));
         }
 
-        private void watch(long received) {
-            timers.at(clock.getAsLong() + STALL_US, () -> {
-                if (!inPieces && connection.goesOn(this, received)) {
-                    watch(connection.received());
+        private void watchForStall(long receivedBefore) {
+            timers.at(clock.getAsLong() + ANSWER_STALL_TIMEOUT_US, () -> {
+                if (!streaming && connection.closeIfStalled(this, receivedBefore)) {
+                    watchForStall(connection.receivedBytes());
                 }
             });
         }
 
-        /** Guards against a node that stops in the middle of an answer or a body that passes in pieces. */
-        void watchPieces() {
-            if (!inPieces) {
-                inPieces = true;
-                watchPieces(-1);
+        /** Closes the connection if the node stops in the middle of a streamed body or answer. */
+        void watchStreamForStall() {
+            if (!streaming) {
+                streaming = true;
+                watchStreamForStall(-1);
             }
         }
 
-        private void watchPieces(long before) {
-            long now = connection.received() + connection.streamed();
-            if (connection.isHeld() || awaitsClient() || now != before) {
-                timers.at(clock.getAsLong() + PIECE_STALL_US, () -> {
-                    if (connection.has(this)) {
-                        watchPieces(now);
+        private void watchStreamForStall(long bytesBefore) {
+            long bytesNow = connection.receivedBytes() + connection.streamedBodyBytes();
+            if (connection.isReadPaused() || isAwaitingClient() || bytesNow != bytesBefore) {
+                timers.at(clock.getAsLong() + STREAM_STALL_TIMEOUT_US, () -> {
+                    if (connection.isServing(this)) {
+                        watchStreamForStall(bytesNow);
                     }
                 });
             } else {
@@ -371,38 +389,40 @@
             }
         }
 
-        /** Whether the next piece is the client's to give. */
-        boolean awaitsClient() {
+        /** Whether the next piece is due from the client. */
+        boolean isAwaitingClient() {
             return false;
         }
 
-        abstract void notConnected();
+        /** No connection could be assigned or opened. */
+        abstract void onNotConnected();
 
-        void drop() {
-            if (dial != null) {
-                dial.stop();
+        void cancel() {
+            if (pendingConnection != null) {
+                pendingConnection.cancel();
             } else if (connection != null) {
                 connection.closeSilently();
             }
         }
     }
 
-    private final class Sending extends Leg {
+    /** An attempt of a client's request. */
+    private final class AttemptCall extends PooledCall {
         private final Attempt attempt;
-        private final Message.Ask ask;
+        private final ForwardedMessage.Request request;
 
-        Sending(Attempt attempt) {
+        AttemptCall(Attempt attempt) {
             this.attempt = attempt;
-            this.ask = (Message.Ask) attempt.exchange().message();
+            this.request = (ForwardedMessage.Request) attempt.exchange().message();
         }
 
-        /** What nobody waits for any more is not begun; the connection that came up for it is kept. */
+        /** Sends the attempt unless nobody waits for it any more; the new connection is then kept as idle. */
         @Override
-        void on(UpstreamConnection free) {
+        void sendOn(UpstreamConnection idleConnection) {
             if (attempt.begins()) {
-                super.on(free);
+                super.sendOn(idleConnection);
             } else {
-                changed(free, true);
+                onConnectionChange(idleConnection, true);
             }
         }
 
@@ -413,59 +433,59 @@
 
         @Override
         public StreamedBody streamedBody() {
-            return ask.upload() == null
+            return request.bodyStream() == null
                     ? null
                     : new StreamedBody(
                             HttpProtocol.requestMetaData(
-                                    ask.method(),
-                                    ask.target(),
-                                    fields(),
-                                    ask.upload().length()),
-                            ByteBuffer.wrap(ask.body()),
-                            ask.upload());
+                                    request.method(),
+                                    request.target(),
+                                    requestFields(),
+                                    request.bodyStream().length()),
+                            ByteBuffer.wrap(request.body()),
+                            request.bodyStream());
         }
 
         @Override
         public void onBodyStreaming() {
             attempt.streams();
-            watchPieces();
+            watchStreamForStall();
         }
 
         @Override
-        boolean awaitsClient() {
-            return ask.upload() != null && ask.upload().isAwaited();
+        boolean isAwaitingClient() {
+            return request.bodyStream() != null && request.bodyStream().isAwaitingClient();
         }
 
         @Override
-        public boolean acceptAnswerStream(Flow flow) {
-            watchPieces();
-            attempt.reports(HttpProtocol.parseVolumeUse(flow.fields()));
+        public boolean acceptAnswerStream(AnswerStream stream) {
+            watchStreamForStall();
+            attempt.reports(HttpProtocol.parseVolumeUse(stream.fields()));
             attempt.ended(
                     Outcome.SERVED,
-                    flow,
-                    HttpProtocol.parseLoadReport(flow.fields().get(HttpProtocol.LOAD_HEADER)));
+                    stream,
+                    HttpProtocol.parseLoadReport(stream.fields().get(HttpProtocol.LOAD_HEADER)));
             return true;
         }
 
         @Override
         public ByteBuffer[] requestBytes() {
             return new ByteBuffer[] {
-                HttpProtocol.requestHead(ask.method(), ask.target(), fields(), ask.body().length),
-                ByteBuffer.wrap(ask.body())
+                HttpProtocol.requestHead(request.method(), request.target(), requestFields(), request.body().length),
+                ByteBuffer.wrap(request.body())
             };
         }
 
-        private HttpFields fields() {
+        private HttpFields requestFields() {
             HttpFields.Mutable fields =
-                    HttpFields.build().put(HttpHeader.HOST, host).put(HttpProtocol.TXN_HEADER, ask.txn());
-            if (ask.effectKey() != null) {
-                fields.put(HttpProtocol.IDEMPOTENCY_KEY_HEADER, ask.effectKey());
+                    HttpFields.build().put(HttpHeader.HOST, host).put(HttpProtocol.TXN_HEADER, request.txnId());
+            if (request.idempotencyKey() != null) {
+                fields.put(HttpProtocol.IDEMPOTENCY_KEY_HEADER, request.idempotencyKey());
             }
-            if (ask.type() != null) {
-                fields.put(HttpHeader.CONTENT_TYPE, ask.type());
+            if (request.contentType() != null) {
+                fields.put(HttpHeader.CONTENT_TYPE, request.contentType());
             }
-            long leftMs = Math.max(0, (attempt.untilUs() - clock.getAsLong()) / 1000);
-            return fields.put(HttpProtocol.REMAINING_MS_HEADER, Long.toString(leftMs));
+            long remainingMs = Math.max(0, (attempt.untilUs() - clock.getAsLong()) / 1000);
+            return fields.put(HttpProtocol.REMAINING_MS_HEADER, Long.toString(remainingMs));
         }
 
         @Override
@@ -473,27 +493,27 @@
             Map<String, Double> load = HttpProtocol.parseLoadReport(fields.get(HttpProtocol.LOAD_HEADER));
             attempt.reports(HttpProtocol.parseVolumeUse(fields));
             Outcome outcome = outcome(status, fields);
-            Object answer =
-                    outcome == Outcome.SERVED ? new Message.Answer(fields.get(HttpHeader.CONTENT_TYPE), body) : null;
+            Object answer = outcome == Outcome.SERVED
+                    ? new ForwardedMessage.Answer(fields.get(HttpHeader.CONTENT_TYPE), body)
+                    : null;
             attempt.ended(outcome, answer, load);
         }
 
         @Override
-        public void onFailure(Failure how) {
-            counters.add("connections.broke." + how.name().toLowerCase(Locale.ROOT));
-            attempt.ended(outcome(how), null, null);
+        public void onFailure(Failure failure) {
+            counters.add("connections.broke." + failure.name().toLowerCase(Locale.ROOT));
+            attempt.ended(outcome(failure), null, null);
         }
 
         @Override
-        void notConnected() {
+        void onNotConnected() {
             attempt.ended(Outcome.NOT_CONNECTED, null, null);
         }
     }
 
     /**
-     * The protocol's table: a node proves that it ran nothing only by the header that says so. With it, 504 is what it
-     * says of a request that is over: of 283 that were turned away so, none was served by a later attempt
-     * (docs/OPERATING.md).
+     * Classifies a node's answer as the protocol defines. Only X-Turned-Away proves that the node did not execute the
+     * request; with it, 504 says that the request's time is over.
      */
     static Outcome outcome(int status, HttpFields fields) {
         if (status == 200) {
@@ -505,27 +525,30 @@
         return status == 503 ? Outcome.REJECTED : status == 504 ? Outcome.OVER : Outcome.ERROR;
     }
 
-    /** A spoilt answer is the node's failure; a node that sends one is there, which a reset would put in doubt. */
-    static Outcome outcome(UpstreamCall.Failure how) {
-        return switch (how) {
+    /**
+     * Classifies a connection failure. A malformed answer is an error and not a reset, because the node can be reached.
+     */
+    static Outcome outcome(UpstreamCall.Failure failure) {
+        return switch (failure) {
             case UNWRITTEN -> Outcome.NOT_CONNECTED;
             case ENDED -> Outcome.RESET;
             case SPOILT -> Outcome.ERROR;
         };
     }
 
-    private final class Probe extends Leg {
+    /** A request for a node's load report. */
+    private final class ProbeCall extends PooledCall {
         private final ProbeResult result;
         private Timers.Timer timeout;
-        private boolean over;
+        private boolean finished;
 
-        Probe(ProbeResult result) {
+        ProbeCall(ProbeResult result) {
             this.result = result;
         }
 
-        private void end(Outcome outcome, Map<String, Double> load) {
-            if (!over) {
-                over = true;
+        private void finish(Outcome outcome, Map<String, Double> load) {
+            if (!finished) {
+                finished = true;
                 timeout.cancel();
                 result.ended(outcome, load);
             }
@@ -543,17 +566,17 @@
         public void onAnswer(int status, HttpFields fields, ByteBuffer body) {
             String text =
                     java.nio.charset.StandardCharsets.US_ASCII.decode(body).toString();
-            end(status == 200 ? Outcome.SERVED : Outcome.REJECTED, HttpProtocol.parseLoadReport(text));
+            finish(status == 200 ? Outcome.SERVED : Outcome.REJECTED, HttpProtocol.parseLoadReport(text));
         }
 
         @Override
-        public void onFailure(Failure how) {
-            end(outcome(how), Map.of());
+        public void onFailure(Failure failure) {
+            finish(outcome(failure), Map.of());
         }
 
         @Override
-        void notConnected() {
-            end(Outcome.NOT_CONNECTED, Map.of());
+        void onNotConnected() {
+            finish(Outcome.NOT_CONNECTED, Map.of());
         }
     }
 }
--- a/src/main/java/petrelstand/http/UpstreamCall.java
+++ b/src/main/java/petrelstand/http/UpstreamCall.java
@@ -4,46 +4,46 @@
 import org.eclipse.jetty.http.HttpFields;
 import org.eclipse.jetty.http.MetaData;
 
-/** One request on an upstream connection, and who hears of its answer. */
+/** A request on an {@link UpstreamConnection}, and the receiver of its answer. */
 public interface UpstreamCall {
-    /** How a connection ended before a whole answer came. */
+    /** How a connection failed before a complete answer. */
     enum Failure {
-        /** Before the request's last byte had left: it never ran. */
+        /** Before the request's last byte was written: the request was not executed. */
         UNWRITTEN,
-        /** After that, by a close or a reset. */
+        /** Afterwards, by a close or a reset. */
         ENDED,
-        /** By this side, after bytes that are no answer to trust. */
+        /** Closed by the gateway after a malformed answer. */
         SPOILT
     }
 
-    /** The request's bytes: head and body, or its beginning where it passes in pieces. */
+    /** The request's head and body; not used if {@link #streamedBody} is not null. */
     ByteBuffer[] requestBytes();
 
-    /** The rest of a body that passes in pieces, with the head that goes before it; null where the bytes are all. */
+    /** The streamed body of the request with its head, or null if {@link #requestBytes} is the whole request. */
     default StreamedBody streamedBody() {
         return null;
     }
 
-    /** A body in pieces: its head, its beginning and where the rest comes from. */
-    record StreamedBody(MetaData.Request head, ByteBuffer beginning, Upload upload) {}
+    /** A streamed request: its head, the first bytes of its body, and the source of the rest. */
+    record StreamedBody(MetaData.Request head, ByteBuffer prefix, RequestBodyStream bodyStream) {}
 
-    /** A large answer begins; true where it is taken in pieces, and then nothing else is told of it here. */
-    default boolean acceptAnswerStream(Flow flow) {
+    /** A large answer has begun. Returns true to receive it as a stream; the call then gets no other notification. */
+    default boolean acceptAnswerStream(AnswerStream stream) {
         return false;
     }
 
-    /** The client's body is being written to the node from here on, and cannot be had again. */
+    /** The client's body is now streamed to the node and can't be sent again. */
     default void onBodyStreaming() {}
 
-    /** A whole answer came. */
+    /** A complete answer has been received. */
     void onAnswer(int status, HttpFields fields, ByteBuffer body);
 
-    /** Part of an answer came; told once a call at most. */
+    /** Part of an answer has been received; reported at most once per call. */
     default void onPartialAnswer() {}
 
-    /** The connection ended first. */
-    void onFailure(Failure how);
+    /** The connection failed before a complete answer. */
+    void onFailure(Failure failure);
 
-    /** The last byte of the request was written. */
+    /** The last byte of the request has been written. */
     default void onRequestWritten() {}
 }
--- a/src/main/java/petrelstand/http/UpstreamConnection.java
+++ b/src/main/java/petrelstand/http/UpstreamConnection.java
@@ -15,65 +15,75 @@
 import petrelstand.net.MessageParser;
 
 /**
- * An HTTP/1.1 connection to a node or to discovery, one call at a time. Only a whole, well-formed answer that ends
- * where it says is given to the call; anything else ends the connection at once, so that neither its bytes nor its
- * memory stay.
+ * An HTTP/1.1 connection to a storage node or to discovery, with one call at a time. Only complete, well-formed answers
+ * are passed to the call, except for large ones that the call accepts as a stream. Anything else closes the connection
+ * at once.
  */
 public class UpstreamConnection extends LoopConnection implements HttpParser.ResponseHandler {
     enum State {
         IDLE,
+        /** The request is being written. */
         SENDING,
+        /** The request is written; its answer is not complete. */
         WAITING,
         CLOSED
     }
 
-    private static final int READ = 4096;
-    /** An answer with a body over this passes in pieces, where its call takes them: it is timed by its first bytes. */
-    static final int PIECES_FROM = HttpProtocol.MAX_BUFFERED_BODY_BYTES;
-    /** A body over this is read in larger pieces. */
-    private static final int READ_LARGE = 32 * 1024;
-    /** Interim answers (1xx) that may come ahead of the real one. */
-    private static final int MOST_INTERIM = 16;
+    private static final int READ_BYTES = 4096;
+    /**
+     * An answer with a larger body is streamed if its call accepts that; its latency then counts to the first bytes.
+     */
+    static final int STREAM_FROM_BYTES = HttpProtocol.MAX_BUFFERED_BODY_BYTES;
+    /** Read size for larger bodies. */
+    private static final int LARGE_READ_BYTES = 32 * 1024;
+    /** Limit of interim answers (1xx) before the final one. */
+    private static final int MAX_INTERIM_ANSWERS = 16;
 
-    /** Told when the connection is free again (true) or closed (false). */
+    /** Notified when the connection becomes idle (true) or is closed (false). */
     private final BiConsumer<UpstreamConnection, Boolean> owner;
-    /** Reads the answer at hand; null while the connection rests, so that what it has grown to is not kept. */
+    /** Parser of the current answer; null while the connection is idle, to release its memory. */
     private HttpParser parser;
-    /** Without room while the connection rests. */
+    /** Empty while the connection is idle, to release its memory. */
     private ByteBuffer input = BufferUtil.EMPTY_BUFFER;
-    /** Bytes of the input's room that count against the budget of answers being read. */
-    private int enlarged;
+    /** Bytes of the input buffer that are reserved from the budget. */
+    private int reservedInputBytes;
 
     private State state = State.IDLE;
     private UpstreamCall call;
     private int status;
-    private int interim;
+    private int interimAnswers;
     private HttpFields.Mutable fields;
-    private final int mostBody;
-    private final Body body;
+    private final int maxBodyBytes;
+    private final BodyBuffer body;
     private final ByteBudget budget;
     private HttpVersion version;
-    private boolean sawEnd;
-    private boolean persistent;
-    private boolean whole;
-    private boolean toldPartial;
-    private long received;
+    private boolean sawEof;
+    private boolean keepAlive;
+    private boolean answerComplete;
+    private boolean partialReported;
+    private long receivedBytes;
     private long idleSinceUs;
-    /** The answer that passes in pieces; null where it is kept until it is whole. */
-    private Flow flow;
-    /** A piece is with its taker: nothing is read until it has been taken. */
-    private boolean held;
+    /** The answer that is being streamed; null if the answer is buffered. */
+    private AnswerStream answerStream;
+    /** The receiver is processing a piece of the answer; nothing is read until it asks for more. */
+    private boolean readPaused;
 
-    private boolean giving;
-    /** Bytes of a body in pieces that the node has taken. */
-    private long streamed;
+    private boolean delivering;
+    /** Bytes of the current streamed request body that have been passed on. */
+    private long streamedBodyBytes;
 
-    /** A body over the bound, or for which the budget has no room, ends the connection. */
+    /**
+     * Creates a connection.
+     *
+     * @param maxBodyBytes limit of a buffered answer body; a larger one closes the connection
+     * @param budget shared budget for buffers; a body that exceeds it closes the connection
+     * @param owner notified when the connection becomes idle (true) or is closed (false)
+     */
     public UpstreamConnection(
-            EndPoint endPoint, int mostBody, ByteBudget budget, BiConsumer<UpstreamConnection, Boolean> owner) {
+            EndPoint endPoint, int maxBodyBytes, ByteBudget budget, BiConsumer<UpstreamConnection, Boolean> owner) {
         super(endPoint);
-        this.mostBody = mostBody;
-        this.body = new Body(mostBody, budget);
+        this.maxBodyBytes = maxBodyBytes;
+        this.body = new BodyBuffer(maxBodyBytes, budget);
         this.budget = budget;
         this.owner = owner;
     }
@@ -86,8 +96,9 @@
         return idleSinceUs;
     }
 
-    void idleSince(long us) {
-        idleSinceUs = us;
+    /** Sets the time since which the connection has been idle. */
+    void markIdle(long nowUs) {
+        idleSinceUs = nowUs;
     }
 
     @Override
@@ -96,74 +107,80 @@
         fillInterested();
     }
 
-    /** Sends a call; the connection must be idle. */
-    public void send(UpstreamCall next) {
+    /**
+     * Sends a call.
+     *
+     * @throws IllegalStateException if the connection is not idle
+     */
+    public void send(UpstreamCall newCall) {
         if (state != State.IDLE) {
-            throw new IllegalStateException("call on a connection that is " + state);
+            throw new IllegalStateException("cannot send a call on a connection in state " + state);
         }
         state = State.SENDING;
-        call = next;
-        toldPartial = false;
-        interim = 0;
-        UpstreamCall.StreamedBody rest = next.streamedBody();
-        if (rest != null) {
-            new Streaming(rest).begin();
+        call = newCall;
+        partialReported = false;
+        interimAnswers = 0;
+        UpstreamCall.StreamedBody streamedBody = newCall.streamedBody();
+        if (streamedBody != null) {
+            new RequestBodyWriter(streamedBody).start();
         } else {
-            getEndPoint().write(nonBlocking(this::sent, cause -> end(false)), next.requestBytes());
+            getEndPoint().write(nonBlocking(this::onRequestSent, cause -> fail(false)), newCall.requestBytes());
         }
     }
 
-    /** A request whose body passes in pieces: what the client's side gives is written, and then more is asked for. */
-    private final class Streaming implements Upload.Sink {
-        private final UpstreamCall of = call;
-        private final UpstreamCall.StreamedBody rest;
-        private final PieceWriter writer;
-        private boolean asking;
-        private boolean askAgain;
+    /**
+     * Writes a streamed request body: each piece from the client connection is written before the next is requested.
+     */
+    private final class RequestBodyWriter implements RequestBodyStream.Sink {
+        private final UpstreamCall ownCall = call;
+        private final UpstreamCall.StreamedBody streamedBody;
+        private final StreamedMessageWriter writer;
+        private boolean requesting;
+        private boolean requestAgain;
 
-        Streaming(UpstreamCall.StreamedBody rest) {
-            this.rest = rest;
-            this.writer = PieceWriter.of(getEndPoint(), rest.head());
+        RequestBodyWriter(UpstreamCall.StreamedBody streamedBody) {
+            this.streamedBody = streamedBody;
+            this.writer = StreamedMessageWriter.of(getEndPoint(), streamedBody.head());
         }
 
-        void begin() {
-            streamed = 0;
-            writer.write(rest.beginning(), false, this::ask, cause -> end(false));
+        void start() {
+            streamedBodyBytes = 0;
+            writer.write(streamedBody.prefix(), false, this::requestNext, cause -> fail(false));
         }
 
-        /** One piece after another, without one call inside another where each is written at once. */
-        private void ask() {
-            askAgain = true;
-            if (asking) {
+        /** Requests one piece after another in a loop, to avoid recursion when a piece is written at once. */
+        private void requestNext() {
+            requestAgain = true;
+            if (requesting) {
                 return;
             }
-            asking = true;
+            requesting = true;
             try {
-                while (askAgain && call == of && state == State.SENDING) {
-                    askAgain = false;
-                    of.onBodyStreaming();
-                    if (call == of) {
-                        rest.upload().next(this);
+                while (requestAgain && call == ownCall && state == State.SENDING) {
+                    requestAgain = false;
+                    ownCall.onBodyStreaming();
+                    if (call == ownCall) {
+                        streamedBody.bodyStream().requestNext(this);
                     }
                 }
             } finally {
-                asking = false;
+                requesting = false;
             }
         }
 
         @Override
-        public void piece(ByteBuffer piece) {
-            streamed += piece.remaining();
-            writer.write(piece, false, this::ask, cause -> end(false));
+        public void onData(ByteBuffer data) {
+            streamedBodyBytes += data.remaining();
+            writer.write(data, false, this::requestNext, cause -> fail(false));
         }
 
         @Override
-        public void whole() {
-            writer.write(BufferUtil.EMPTY_BUFFER, true, UpstreamConnection.this::sent, cause -> end(false));
+        public void onComplete() {
+            writer.write(BufferUtil.EMPTY_BUFFER, true, UpstreamConnection.this::onRequestSent, cause -> fail(false));
         }
     }
 
-    private void sent() {
+    private void onRequestSent() {
         if (state == State.SENDING) {
             state = State.WAITING;
             call.onRequestWritten();
@@ -171,158 +188,168 @@
     }
 
     /**
-     * True where nothing has come since the last answer, not even an end; else it closes. Guards against a second copy
-     * or noise right behind an answer, which would be read as the answer to the next request.
+     * Returns true if the connection is idle and has received nothing since its last answer; otherwise closes it.
+     * Unexpected bytes would be taken for the answer to the next request.
      */
-    boolean quiet() {
+    boolean closeUnlessQuiet() {
         try {
-            if (state == State.IDLE && getEndPoint().fill(room()) == 0) {
+            if (state == State.IDLE && getEndPoint().fill(ensureInput()) == 0) {
                 return true;
             }
         } catch (IOException e) {
-            // It is closed below.
+            // Closed below.
         }
         closeSilently();
         return false;
     }
 
-    /** Bytes read so far. */
-    long received() {
-        return received;
+    /** Bytes received so far. */
+    long receivedBytes() {
+        return receivedBytes;
     }
 
-    /** Bytes of the body in pieces that have been given to the node. */
-    long streamed() {
-        return streamed;
+    /** Bytes of the current streamed request body that have been passed on. */
+    long streamedBodyBytes() {
+        return streamedBodyBytes;
     }
 
-    boolean has(UpstreamCall which) {
-        return call == which && state != State.CLOSED;
+    /** Whether the given call is in progress on this connection. */
+    boolean isServing(UpstreamCall candidate) {
+        return call == candidate && state != State.CLOSED;
     }
 
-    /** True while a piece of the answer waits for its taker, and not for the node. */
-    boolean isHeld() {
-        return held;
+    /** Whether reading waits for the receiver of a streamed answer, and not for the node. */
+    boolean isReadPaused() {
+        return readPaused;
     }
 
-    /** The piece was taken: reads on. */
-    void resume() {
-        held = false;
-        if (!giving && state != State.CLOSED) {
-            // The parser tells of a body's end only when it is asked again, even where nothing is left to read.
-            if (!whole) {
+    /** Resumes reading after the receiver has processed a piece. */
+    void resumeReading() {
+        readPaused = false;
+        if (!delivering && state != State.CLOSED) {
+            // The parser reports the end of a body only on a further call, even without remaining input.
+            if (!answerComplete) {
                 parser().parseNext(input);
             }
-            read();
-            if (!held && state != State.CLOSED) {
+            parseInput();
+            if (!readPaused && state != State.CLOSED) {
                 onFillable();
             }
         }
     }
 
-    /** Ends a call whose answer has stopped since so many bytes; false once it ended. What has come is read first. */
-    boolean goesOn(UpstreamCall of, long since) {
-        if (call == of && readAll() && call == of && received == since) {
-            end(true);
+    /**
+     * Reads available input and closes the connection if the call's answer has made no progress.
+     *
+     * @param receivedBefore {@link #receivedBytes} at the previous check
+     * @return whether the call is still in progress
+     */
+    boolean closeIfStalled(UpstreamCall expectedCall, long receivedBefore) {
+        if (call == expectedCall && readAvailable() && call == expectedCall && receivedBytes == receivedBefore) {
+            fail(true);
         }
-        return call == of;
+        return call == expectedCall;
     }
 
     @Override
     public void onFillable() {
-        // A look between events may have read up to a piece, and the interest before it still stands.
-        if (!held && readAll() && !held && !isFillInterested()) {
+        // A read outside of a read event may have paused at a piece while read interest is still registered.
+        if (!readPaused && readAvailable() && !readPaused && !isFillInterested()) {
             fillInterested();
         }
     }
 
-    /** Reads all that has come; false once closed. An answer is given only when nothing more of it waits. */
-    private boolean readAll() {
+    /**
+     * Reads all available input; returns false if the connection is closed. A complete answer is delivered only when no
+     * more input is available.
+     */
+    private boolean readAvailable() {
         try {
-            while (state != State.CLOSED && !held) {
-                BufferUtil.compact(room());
-                int filled = getEndPoint().fill(input);
-                if (filled < 0) {
-                    sawEnd = true;
-                    if (!whole) {
+            while (state != State.CLOSED && !readPaused) {
+                BufferUtil.compact(ensureInput());
+                int readBytes = getEndPoint().fill(input);
+                if (readBytes < 0) {
+                    sawEof = true;
+                    if (!answerComplete) {
                         parser().atEOF();
                         parser().parseNext(BufferUtil.EMPTY_BUFFER);
                     }
-                    persistent = false;
-                    finish();
-                    end(false);
-                } else if (filled == 0) {
-                    if (call != null && !whole && !toldPartial && !parser().isStart()) {
-                        toldPartial = true;
+                    keepAlive = false;
+                    finishAnswer();
+                    fail(false);
+                } else if (readBytes == 0) {
+                    if (call != null && !answerComplete && !partialReported && !parser().isStart()) {
+                        partialReported = true;
                         call.onPartialAnswer();
                     }
-                    finish();
+                    finishAnswer();
                     if (state == State.IDLE) {
-                        giveBack();
+                        releaseInput();
                     }
                     return state != State.CLOSED;
                 } else {
-                    received += filled;
-                    read();
+                    receivedBytes += readBytes;
+                    parseInput();
                 }
             }
         } catch (IOException e) {
-            // A reset: what ended where it said before it is whole all the same, and nothing else is.
-            persistent = false;
-            finish();
-            end(false);
+            // Connection reset: an answer that was complete before is still valid.
+            keepAlive = false;
+            finishAnswer();
+            fail(false);
         }
-        return held && state != State.CLOSED;
+        return readPaused && state != State.CLOSED;
     }
 
-    private void read() {
+    private void parseInput() {
         while (state != State.CLOSED && BufferUtil.hasContent(input)) {
-            if (whole) {
-                // Bytes behind a whole answer: it was good, but the connection can't be trusted with another.
-                persistent = false;
-                finish();
+            if (answerComplete) {
+                // Bytes after a complete answer: the answer is valid, but the connection can't be reused.
+                keepAlive = false;
+                finishAnswer();
                 return;
             }
             if (call == null) {
-                end(true);
+                fail(true);
                 return;
             }
-            int before = input.remaining();
+            int remainingBefore = input.remaining();
             parser().parseNext(input);
-            if (held || !whole && input.remaining() == before) {
+            if (readPaused || !answerComplete && input.remaining() == remainingBefore) {
                 return;
             }
         }
         if (state != State.CLOSED
-                && !whole
-                && input.capacity() < READ_LARGE
-                && (flow != null || fields != null && fields.getLongField(HttpHeader.CONTENT_LENGTH) > READ_LARGE)) {
-            enlarge();
+                && !answerComplete
+                && input.capacity() < LARGE_READ_BYTES
+                && (answerStream != null
+                        || fields != null && fields.getLongField(HttpHeader.CONTENT_LENGTH) > LARGE_READ_BYTES)) {
+            enlargeInput();
         }
     }
 
-    /** The room for what comes next, made where there is none. */
-    private ByteBuffer room() {
+    /** Returns the input buffer, allocating it if necessary. */
+    private ByteBuffer ensureInput() {
         if (input.capacity() == 0) {
-            input = BufferUtil.allocate(READ);
+            input = BufferUtil.allocate(READ_BYTES);
         }
         return input;
     }
 
-    /** Larger room for a large body's pieces, where the budget has it. */
-    private void enlarge() {
-        if (budget.take(READ_LARGE - READ)) {
-            input = BufferUtil.allocate(READ_LARGE);
-            enlarged = READ_LARGE - READ;
+    /** Enlarges the input buffer for a large body, if the budget allows it. */
+    private void enlargeInput() {
+        if (budget.tryReserve(LARGE_READ_BYTES - READ_BYTES)) {
+            input = BufferUtil.allocate(LARGE_READ_BYTES);
+            reservedInputBytes = LARGE_READ_BYTES - READ_BYTES;
         }
     }
 
-    /** Gives back what only an answer that is being read needs. */
-    private void giveBack() {
+    /** Releases the parser and the input buffer. */
+    private void releaseInput() {
         parser = null;
         input = BufferUtil.EMPTY_BUFFER;
-        budget.give(enlarged);
-        enlarged = 0;
+        budget.release(reservedInputBytes);
+        reservedInputBytes = 0;
     }
 
     private HttpParser parser() {
@@ -333,35 +360,35 @@
         return parser;
     }
 
-    /** Gives a whole answer to its call, and the connection back or up. */
-    private void finish() {
-        if (!whole || call == null) {
+    /** Delivers a complete answer to its call, and marks the connection idle or closes it. */
+    private void finishAnswer() {
+        if (!answerComplete || call == null) {
             return;
         }
-        whole = false;
+        answerComplete = false;
         if (state == State.SENDING && status == 200) {
-            // Nodes begin once a request's last byte has come, so this answers something else.
-            end(true);
+            // Nodes start a request after its last byte, so this can't be its answer.
+            fail(true);
             return;
         }
-        UpstreamCall done = call;
+        UpstreamCall finishedCall = call;
         call = null;
-        Flow flowed = flow;
-        flow = null;
-        ByteBuffer content = body.take();
-        HttpFields headers = fields;
+        AnswerStream finishedStream = answerStream;
+        answerStream = null;
+        ByteBuffer answerBody = body.takeContent();
+        HttpFields answerFields = fields;
         fields = null;
-        if (persistent && state == State.WAITING) {
+        if (keepAlive && state == State.WAITING) {
             state = State.IDLE;
-            giveBack();
+            releaseInput();
             owner.accept(this, true);
         } else {
             closeSilently();
         }
-        if (flowed != null) {
-            flowed.whole();
+        if (finishedStream != null) {
+            finishedStream.complete();
         } else {
-            done.onAnswer(status, headers, content);
+            finishedCall.onAnswer(status, answerFields, answerBody);
         }
     }
 
@@ -370,93 +397,93 @@
         version = newVersion;
         status = newStatus;
         fields = HttpFields.build();
-        body.take();
-        persistent = version == HttpVersion.HTTP_1_1;
+        body.takeContent();
+        keepAlive = version == HttpVersion.HTTP_1_1;
     }
 
     @Override
     public void parsedHeader(HttpField field) {
         fields.add(field);
         if (field.getHeader() == HttpHeader.CONNECTION && field.contains("close")) {
-            persistent = false;
+            keepAlive = false;
         }
     }
 
     /**
-     * Guards against answers whose end can't be told: two lengths, none at all on a connection that stays, or more than
-     * is passed on. Where the node says that it will close the connection, its end is the answer's. An interim answer
-     * has no body and no length; a change of protocol was never asked for.
+     * Rejects answers whose end is ambiguous: two lengths, no length on a persistent connection, or a body over the
+     * limit. With {@code Connection: close}, the end of the connection ends the answer. Interim answers have no body
+     * and no length, and a protocol switch was never requested.
      */
     @Override
     public boolean headerComplete() {
         boolean framed = fields.contains(HttpHeader.CONTENT_LENGTH) || fields.contains(HttpHeader.TRANSFER_ENCODING);
         if (!HttpProtocol.supportsVersion(version)
                 || status == 101
-                || status < 200 && (framed || ++interim > MOST_INTERIM)
+                || status < 200 && (framed || ++interimAnswers > MAX_INTERIM_ANSWERS)
                 || status == 200 && !framed && !fields.contains(HttpHeader.CONNECTION, "close")
                 || HttpProtocol.framingError(fields) != null
                 || fields.getLongField(HttpHeader.CONTENT_LENGTH) > HttpProtocol.MAX_STREAMED_BODY_BYTES) {
-            end(true);
+            fail(true);
             return true;
         }
-        body.announced(Math.min(mostBody, fields.getLongField(HttpHeader.CONTENT_LENGTH)));
+        body.announcedLength(Math.min(maxBodyBytes, fields.getLongField(HttpHeader.CONTENT_LENGTH)));
         return false;
     }
 
     @Override
-    public boolean content(ByteBuffer item) {
-        if (flow != null) {
-            return give(item);
+    public boolean content(ByteBuffer data) {
+        if (answerStream != null) {
+            return deliver(data);
         }
-        if (!body.add(item)) {
-            end(true);
+        if (!body.append(data)) {
+            fail(true);
             return true;
         }
         long length = fields.getLongField(HttpHeader.CONTENT_LENGTH);
-        return status == 200 && body.size() > PIECES_FROM && begin(length);
+        return status == 200 && body.size() > STREAM_FROM_BYTES && startAnswerStream(length);
     }
 
-    /** Begins to pass on what is here of a large answer, if it has not begun by itself. */
-    void beginPieces(UpstreamCall of) {
+    /** Starts to stream the buffered part of a large answer, unless its streaming has already started. */
+    void streamPartialAnswer(UpstreamCall expectedCall) {
         long length = fields == null ? -1 : fields.getLongField(HttpHeader.CONTENT_LENGTH);
-        boolean large = length > PIECES_FROM || fields != null && length < 0;
-        if (call == of
+        boolean large = length > STREAM_FROM_BYTES || fields != null && length < 0;
+        if (call == expectedCall
                 && state == State.WAITING
-                && flow == null
-                && !whole
+                && answerStream == null
+                && !answerComplete
                 && status == 200
                 && large
                 && body.size() > 0
-                && !begin(length)
+                && !startAnswerStream(length)
                 && !isFillInterested()) {
             fillInterested();
         }
     }
 
-    /** From here on the answer passes in pieces, if its call takes them; true where reading has to wait. */
-    private boolean begin(long length) {
+    /** Offers the answer to its call as a stream; returns true if parsing must pause. */
+    private boolean startAnswerStream(long length) {
         if (state != State.WAITING) {
-            end(true);
+            fail(true);
             return true;
         }
-        Flow begun = new Flow(fields, length, this);
-        if (!call.acceptAnswerStream(begun)) {
+        AnswerStream newStream = new AnswerStream(fields, length, this);
+        if (!call.acceptAnswerStream(newStream)) {
             return false;
         }
-        if (!begun.isTaken()) {
+        if (!newStream.isSubscribed()) {
             closeSilently();
             return true;
         }
-        flow = begun;
-        return give(body.take());
+        answerStream = newStream;
+        return deliver(body.takeContent());
     }
 
-    private boolean give(ByteBuffer piece) {
-        held = true;
-        giving = true;
-        flow.piece(piece);
-        giving = false;
-        return held || state == State.CLOSED;
+    private boolean deliver(ByteBuffer data) {
+        readPaused = true;
+        delivering = true;
+        answerStream.deliver(data);
+        delivering = false;
+        return readPaused || state == State.CLOSED;
     }
 
     @Override
@@ -467,55 +494,59 @@
     @Override
     public boolean messageComplete() {
         if (status < 200) {
-            // An interim answer: the real one follows.
+            // An interim answer; the final one follows.
             parser().reset();
             return false;
         }
-        whole = state != State.CLOSED;
+        answerComplete = state != State.CLOSED;
         return true;
     }
 
     @Override
     public void earlyEOF() {
-        // The parser says so of chunks that can't be read, too.
-        end(!sawEnd);
+        // The parser also reports malformed chunks here.
+        fail(!sawEof);
     }
 
     @Override
     public void badMessage(HttpException failure) {
-        end(true);
+        fail(true);
     }
 
     @Override
     protected void onFillInterestedFailed(Throwable cause) {
-        end(false);
+        fail(false);
     }
 
-    /** Closes; a call that is out hears how. */
-    private void end(boolean spoilt) {
+    /**
+     * Closes the connection and reports the failure to the call in progress, or aborts its answer stream.
+     *
+     * @param malformed whether the received bytes are not a valid answer
+     */
+    private void fail(boolean malformed) {
         if (state != State.CLOSED) {
-            UpstreamCall.Failure how = state != State.WAITING
+            UpstreamCall.Failure failure = state != State.WAITING
                     ? UpstreamCall.Failure.UNWRITTEN
-                    : spoilt ? UpstreamCall.Failure.SPOILT : UpstreamCall.Failure.ENDED;
-            UpstreamCall broken = call;
-            Flow cut = flow;
+                    : malformed ? UpstreamCall.Failure.SPOILT : UpstreamCall.Failure.ENDED;
+            UpstreamCall failedCall = call;
+            AnswerStream abortedStream = answerStream;
             closeSilently();
-            if (cut != null) {
-                cut.cut();
-            } else if (broken != null) {
-                broken.onFailure(how);
+            if (abortedStream != null) {
+                abortedStream.abort();
+            } else if (failedCall != null) {
+                failedCall.onFailure(failure);
             }
         }
     }
 
-    /** Closes without a word to the call that is out. */
+    /** Closes the connection without notifying the call in progress. */
     public void closeSilently() {
         if (state != State.CLOSED) {
             state = State.CLOSED;
             call = null;
-            flow = null;
-            body.take();
-            giveBack();
+            answerStream = null;
+            body.takeContent();
+            releaseInput();
             getEndPoint().close();
             owner.accept(this, false);
         }
@@ -523,12 +554,12 @@
 
     @Override
     public void close() {
-        end(false);
+        fail(false);
     }
 
     @Override
     public void onClose(Throwable cause) {
         super.onClose(cause);
-        end(false);
+        fail(false);
     }
 }
