--- /dev/null
+++ b/src/test/java/petrelstand/http/HttpFrontTest.java
@@ -0,0 +1,1187 @@
+package petrelstand.http;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+import net.jqwik.api.ForAll;
+import net.jqwik.api.Property;
+import net.jqwik.api.constraints.IntRange;
+import net.jqwik.api.constraints.Size;
+import org.junit.jupiter.api.Test;
+import petrelstand.core.Figures.End;
+import petrelstand.core.Node;
+import petrelstand.decision.Scheduling.ListKind;
+import petrelstand.decision.Scheduling.NodeState;
+import petrelstand.lifecycle.Lifecycle;
+import petrelstand.net.MemoryEnd;
+import petrelstand.testing.Harness;
+import petrelstand.testing.HeldEnd;
+
+/** The HTTP front and the pool of node connections, on connections in memory. */
+class HttpFrontTest {
+    private final Harness harness = new Harness();
+    private final NodeConnectionPool pool = new NodeConnectionPool(
+            harness::dial,
+            () -> harness.nowUs,
+            harness.timers,
+            harness.counters,
+            harness.settings,
+            "backend.local",
+            40);
+    private final Lifecycle lifecycle = new Lifecycle(Lifecycle.Times.of(5_000_000));
+    private final HttpFront front = new HttpFront(harness.broker(pool), harness.timers, 50, lifecycle);
+    private final HeldEnd client = HeldEnd.open(front::accept);
+
+    {
+        lifecycle.serving(harness.nowUs);
+    }
+
+    private void listOneNode() {
+        harness.list(Harness.node("s-00000001", 3, NodeState.READY, 0));
+    }
+
+    private static String readRequest(int number, String extraFields) {
+        return "GET /tile-read/00000003b4d60021/7f3a9c21e0b4d655?v=%41&n=" + number + " HTTP/1.1\r\nHost: b\r\nX-Txn: t"
+                + number + "\r\nX-Qos-Policy: basic\r\nX-Remaining-Ms: 1400\r\nX-Placement: units=2,shard=3,hosts=1\r\n"
+                + extraFields + "\r\n";
+    }
+
+    private static String writeRequest(String body) {
+        return "PUT /survey-write/00000003b4d60021/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: b\r\nX-Txn: w1\r\n"
+                + "Idempotency-Key: k-77\r\nX-Qos-Policy: basic\r\nX-Remaining-Ms: 2000\r\n"
+                + "X-Placement: units=2,shard=-1,hosts=1\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
+    }
+
+    private static String okAnswer(String body) {
+        return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
+    }
+
+    /** Status codes of the answers in a client's output. */
+    private static List<String> statuses(String output) {
+        List<String> statuses = new ArrayList<>();
+        for (String part : output.split("HTTP/1.1 ")) {
+            if (!part.isEmpty()) {
+                statuses.add(part.substring(0, 3));
+            }
+        }
+        return statuses;
+    }
+
+    @Test
+    void requestAndAnswerBodyAreForwardedUnchanged() {
+        listOneNode();
+        client.put(writeRequest("depth=17"));
+        MemoryEnd node = harness.up();
+        String sent = node.taken();
+        assertTrue(sent.startsWith("PUT /survey-write/00000003b4d60021/7f3a9c21e0b4d655 HTTP/1.1\r\n"));
+        assertTrue(sent.contains("X-Txn: w1\r\n") && sent.contains("Idempotency-Key: k-77\r\n"));
+        assertTrue(sent.contains("X-Remaining-Ms: 2000\r\n") && sent.endsWith("\r\n\r\ndepth=17"));
+        node.put(okAnswer("stored 17"));
+        String answer = client.taken();
+        assertTrue(answer.startsWith("HTTP/1.1 200") && answer.endsWith("\r\n\r\nstored 17"));
+    }
+
+    /** The volume use in an answer has to change this gateway's share of it; invalid values must not. */
+    @Test
+    void volumeUseInAnswerUpdatesOwnShare() {
+        Harness fourGateways = new Harness(Harness.SETTINGS.replace("balancers=1", "balancers=4"));
+        NodeConnectionPool otherPool = new NodeConnectionPool(
+                fourGateways::dial,
+                () -> fourGateways.nowUs,
+                fourGateways.timers,
+                fourGateways.counters,
+                fourGateways.settings,
+                "backend.local",
+                40);
+        HttpFront otherFront = new HttpFront(fourGateways.broker(otherPool), fourGateways.timers, 50, lifecycle);
+        fourGateways.list(Harness.node("s-00000001", 3, NodeState.READY, 0));
+        HeldEnd otherClient = HeldEnd.open(otherFront::accept);
+        otherClient.put(readRequest(1, "").replace("hosts=1", "hosts=4"));
+        MemoryEnd node = fourGateways.up();
+        double shareBefore = ownShareOfVolumeUse(fourGateways);
+        node.put("HTTP/1.1 200 OK\r\nX-Iops-Used: 6400\r\nX-Rho: 12\r\nContent-Length: 0\r\n\r\n");
+        double shareAfter = ownShareOfVolumeUse(fourGateways);
+        assertTrue(shareAfter < shareBefore, shareAfter + " after " + shareBefore);
+        for (String invalidField : List.of("X-Iops-Used: many", "X-Iops-Used: -3", "X-Iops-Used: 1e9", "X-Rho: 7")) {
+            otherClient.put(readRequest(2, "").replace("hosts=1", "hosts=4"));
+            node.put("HTTP/1.1 200 OK\r\n" + invalidField + "\r\nContent-Length: 0\r\n\r\n");
+            assertEquals(shareAfter, ownShareOfVolumeUse(fourGateways), invalidField);
+        }
+        assertEquals(5, statuses(otherClient.taken()).size());
+    }
+
+    private static double ownShareOfVolumeUse(Harness harness) {
+        return harness.broker.learned().volumes().get(0).ownPart();
+    }
+
+    @Test
+    void queryIsForwardedUnchanged() {
+        listOneNode();
+        client.put(readRequest(1, ""));
+        assertTrue(
+                harness.up().taken().startsWith("GET /tile-read/00000003b4d60021/7f3a9c21e0b4d655?v=%41&n=1 HTTP/1.1"));
+    }
+
+    @Test
+    void pipelinedAndSplitRequestsAreAnsweredInOrder() {
+        listOneNode();
+        String requests = readRequest(1, "") + readRequest(2, "");
+        for (char c : requests.toCharArray()) {
+            client.put(String.valueOf(c));
+        }
+        MemoryEnd node = harness.up();
+        assertTrue(node.taken().contains("X-Txn: t1\r\n"));
+        node.put(okAnswer("one"));
+        assertTrue(node.taken().contains("X-Txn: t2\r\n"));
+        node.put(okAnswer("two"));
+        String answers = client.taken();
+        assertTrue(answers.indexOf("one") > 0 && answers.indexOf("two") > answers.indexOf("one"));
+        assertEquals(0, harness.dialed.size());
+    }
+
+    /** Fails if the deadline counts from the time at which the previous answer is written. */
+    @Test
+    void pipelinedRequestDeadlineCountsFromItsLastByte() {
+        listOneNode();
+        client.put(readRequest(1, "") + readRequest(2, ""));
+        MemoryEnd node = harness.up();
+        node.taken();
+        harness.run(600_000);
+        client.put(readRequest(3, "").substring(0, 100));
+        harness.run(300_000);
+        client.put(readRequest(3, "").substring(100) + readRequest(4, ""));
+        harness.run(100_000);
+        node.put(okAnswer("one"));
+        assertTrue(node.taken().contains("X-Remaining-Ms: 400\r\n"), "the second request arrived 1 s ago");
+        harness.run(100_000);
+        node.put(okAnswer("two"));
+        assertTrue(node.taken().contains("X-Remaining-Ms: 1200\r\n"), "the third request was complete 200 ms ago");
+        node.put(okAnswer("three"));
+        assertTrue(node.taken().contains("X-Txn: t4\r\n"));
+        node.put(okAnswer("four"));
+        assertEquals(List.of("200", "200", "200", "200"), statuses(client.taken()));
+        client.put(readRequest(5, ""));
+        assertTrue(node.taken().contains("X-Remaining-Ms: 1400\r\n"));
+    }
+
+    @Test
+    void expiredPipelinedRequestIsAnsweredWithoutAttempt() {
+        listOneNode();
+        client.put(readRequest(1, "") + readRequest(2, "") + readRequest(3, ""));
+        MemoryEnd node = harness.up();
+        node.taken();
+        harness.run(1_402_000);
+        assertEquals(3, statuses(client.taken()).size());
+        assertEquals(1, harness.counters.get("sent"));
+        assertEquals(0, harness.broker.open());
+    }
+
+    /** Sends a request in two parts, cut at each of its bytes, with time between them. */
+    @Test
+    void splitRequestIsForwardedWholeWithDeadlineFromLastByte() {
+        listOneNode();
+        String chunked = writeRequest("").replace("Content-Length: 0", "Transfer-Encoding: chunked")
+                + "3\r\ndep\r\n5;x=y\r\nth=17\r\n0\r\n\r\n";
+        MemoryEnd node = null;
+        for (String request : List.of(writeRequest("depth=17"), chunked)) {
+            for (int cut = 1; cut < request.length(); cut++) {
+                client.put(request.substring(0, cut));
+                harness.run(1_000_000);
+                assertEquals("", node == null ? "" : node.taken(), "cut at " + cut);
+                client.put(request.substring(cut));
+                node = harness.dialed.isEmpty() ? node : harness.up();
+                String sent = node.taken();
+                assertTrue(
+                        sent.contains("X-Remaining-Ms: 2000\r\n") && sent.endsWith("\r\n\r\ndepth=17"),
+                        "cut at " + cut);
+                node.put(okAnswer("stored"));
+                assertTrue(client.taken().endsWith("stored"), "cut at " + cut);
+            }
+        }
+    }
+
+    /** The remaining time sent to a node must not include time spent on earlier attempts. */
+    @Test
+    void secondAttemptSendsRemainingTimeOfClient() {
+        harness.list(
+                Harness.node("s-00000001", 3, NodeState.READY, 0), Harness.node("s-00000002", 3, NodeState.READY, 0));
+        client.put(readRequest(1, ""));
+        MemoryEnd firstNode = harness.up();
+        assertTrue(firstNode.taken().contains("X-Remaining-Ms: 1400\r\n"));
+        harness.run(100_000);
+        firstNode.put("HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
+        for (int i = 0; i < 600 && harness.dialed.isEmpty(); i++) {
+            harness.run(1_000);
+        }
+        harness.run(200_000);
+        long secondAttemptUs = harness.nowUs;
+        Matcher remainingField = Pattern.compile("X-Remaining-Ms: (\\d+)\r\n")
+                .matcher(harness.up().taken());
+        assertTrue(remainingField.find());
+        long remainingMs = (1_000_000_000L + 1_400_000 - secondAttemptUs) / 1000;
+        assertTrue(
+                remainingMs <= 1_100 && Long.parseLong(remainingField.group(1)) <= remainingMs,
+                remainingField.group(1) + " of " + remainingMs);
+    }
+
+    /** A reload and a drain in one turn, in either order, while a connection is being opened. */
+    @Test
+    void reloadAndDrainInOneTurnSendNothingToNode() {
+        for (boolean drainFirst : new boolean[] {true, false}) {
+            Harness otherHarness = new Harness();
+            NodeConnectionPool otherPool = new NodeConnectionPool(
+                    otherHarness::dial,
+                    () -> otherHarness.nowUs,
+                    otherHarness.timers,
+                    otherHarness.counters,
+                    otherHarness.settings,
+                    "backend.local",
+                    40);
+            HttpFront otherFront = new HttpFront(otherHarness.broker(otherPool), otherHarness.timers, 50, lifecycle);
+            otherHarness.list(Harness.node("s-00000001", 3, NodeState.READY, 0));
+            HeldEnd otherClient = HeldEnd.open(otherFront::accept);
+            otherClient.put(readRequest(1, ""));
+            Harness.Dialed pendingDial = otherHarness.dialed.remove(0);
+            List<Node> drains = List.of(Harness.node("s-00000001", 3, NodeState.DRAINING, 0));
+            if (drainFirst) {
+                otherHarness.broker.nodes(ListKind.CHANGES, drains);
+            }
+            otherHarness.broker.retune(
+                    new Harness(Harness.SETTINGS.replace("caps.most_tries=3", "caps.most_tries=2")).settings);
+            if (!drainFirst) {
+                otherHarness.broker.nodes(ListKind.CHANGES, drains);
+            }
+            assertEquals("", HeldEnd.open(pendingDial.connector()::connected).taken());
+            otherClient.put(readRequest(2, ""));
+            otherHarness.run(2_000_000);
+            assertEquals(0, otherHarness.dialed.size());
+            assertEquals(0, otherHarness.broker.figures().tries());
+            assertEquals(2, statuses(otherClient.taken()).size());
+        }
+    }
+
+    // ---- Closes that cross with data ----
+
+    /** Closing with unread input would reset the connection and could cut off the last answer. */
+    @Test
+    void closingIdleConnectionDiscardsLateRequests() {
+        listOneNode();
+        client.put(readRequest(1, ""));
+        MemoryEnd node = harness.up();
+        node.put(okAnswer("one"));
+        client.taken();
+        lifecycle.terminate(harness.nowUs);
+        harness.run(600_000);
+        front.closeIdle(9);
+        assertTrue(client.isOutputShutdown() && client.isOpen());
+        assertEquals(0, front.connectionsDelayingExit(), "the process exit must not wait for it");
+        client.put(readRequest(2, ""));
+        harness.run(400_000);
+        client.put(readRequest(3, ""));
+        harness.run(499_000);
+        assertTrue(client.isOpen(), "bytes arrived, so it keeps lingering");
+        harness.run(502_000);
+        assertFalse(client.isOpen());
+        assertEquals("", client.taken());
+        assertEquals(1, harness.counters.get("sent"));
+    }
+
+    @Test
+    void unreadRequestIsServedBeforeIdleConnectionCloses() {
+        listOneNode();
+        client.put(readRequest(1, ""));
+        MemoryEnd node = harness.up();
+        node.put(okAnswer("one"));
+        client.taken();
+        client.putUnread(readRequest(2, ""));
+        lifecycle.terminate(harness.nowUs);
+        harness.run(600_000);
+        front.closeIdle(9);
+        assertFalse(client.isOutputShutdown());
+        node.put(okAnswer("two"));
+        assertTrue(client.taken().endsWith("two"));
+        assertTrue(client.isOutputShutdown());
+    }
+
+    /** A stall of the event loop must not count as silence of the client. */
+    @Test
+    void inputReceivedDuringStallIsReadBeforeTimeout() {
+        listOneNode();
+        client.putUnread(readRequest(1, ""));
+        harness.late(3_000_000);
+        assertEquals(1, harness.broker.open());
+        HeldEnd splitClient = HeldEnd.open(front::accept);
+        splitClient.put(readRequest(2, "").substring(0, 80));
+        splitClient.putUnread(readRequest(2, "").substring(80));
+        harness.late(3_000_000);
+        assertEquals(2, harness.counters.get("taken.tile-read"));
+        HeldEnd slowClient = HeldEnd.open(front::accept);
+        slowClient.put(readRequest(3, "").substring(0, 80));
+        slowClient.putUnread("X");
+        harness.late(3_000_000);
+        assertEquals(List.of("408"), statuses(slowClient.taken()), "the request is still incomplete");
+    }
+
+    /** Fails if the close behind unread bytes is missed and the request is sent on. */
+    @Test
+    void clientCloseIsSeenBehindReadAheadBytes() {
+        listOneNode();
+        for (int bytes : new int[] {0, 5_000, 200_000, ClientConnection.MAX_READ_AHEAD_BYTES + 100_000}) {
+            long goneBefore = harness.counters.get("client_gone");
+            MemoryEnd closingClient = MemoryEnd.open(front::accept);
+            closingClient.put(readRequest(bytes, ""));
+            harness.dialed.clear();
+            for (int sent = 0; sent < bytes; sent += 5_000) {
+                closingClient.put("x".repeat(5_000));
+            }
+            closingClient.putEnd();
+            assertEquals(goneBefore + 1, harness.counters.get("client_gone"), bytes + " bytes sent ahead");
+            assertEquals(0, harness.broker.open());
+        }
+        assertEquals(0, front.connectionCount() - 1);
+        assertEquals(
+                8L * 1024 * 1024,
+                front.incomingRequestBudget().availableBytes(),
+                "the read-ahead bytes must be released");
+    }
+
+    @Test
+    void clientCloseIsSeenWhileBodyWaitsForNode() {
+        listOneNode();
+        for (int bytes : new int[] {20_000, 90_000, 250_000}) {
+            long goneBefore = harness.counters.get("client_gone");
+            MemoryEnd closingClient = MemoryEnd.open(front::accept);
+            closingClient.put(writeRequest("")
+                    .replace("X-Txn: w1", "X-Txn: w" + bytes)
+                    .replace("shard=-1", "shard=3")
+                    .replace("Content-Length: 0", "Content-Length: 900000"));
+            for (int sent = 0; sent < bytes; sent += 5_000) {
+                closingClient.put("x".repeat(5_000));
+            }
+            assertEquals(1, harness.broker.open());
+            closingClient.putEnd();
+            assertEquals(goneBefore + 1, harness.counters.get("client_gone"), bytes + " bytes of the body");
+        }
+        assertEquals(8L * 1024 * 1024, front.incomingRequestBudget().availableBytes());
+    }
+
+    /** Pipelined requests within the limit must all be answered; only bytes beyond it are discarded. */
+    @Test
+    void readAheadOverLimitClosesAfterCurrentAnswer() {
+        listOneNode();
+        client.put(readRequest(1, ""));
+        MemoryEnd node = harness.up();
+        int pipelined = 0;
+        StringBuilder requests = new StringBuilder();
+        while (requests.length() < 60_000) {
+            requests.append(readRequest(100 + ++pipelined, ""));
+        }
+        client.put(requests.toString());
+        for (int i = 0; i <= pipelined; i++) {
+            node.put(okAnswer("x"));
+        }
+        assertEquals(pipelined + 1, statuses(client.taken()).size());
+        assertFalse(client.isOutputShutdown());
+        client.put(readRequest(1, ""));
+        for (int sent = 0; sent < 2 * ClientConnection.MAX_READ_AHEAD_BYTES; sent += requests.length()) {
+            client.put(requests.toString());
+        }
+        node.put(okAnswer("last"));
+        assertTrue(client.taken().endsWith("last"));
+        assertTrue(client.isOutputShutdown());
+        client.putEnd();
+        assertEquals(8L * 1024 * 1024, front.incomingRequestBudget().availableBytes());
+    }
+
+    // ---- Connections that open late ----
+
+    /** Fails if an attempt starts for a client that has left, where settings forbid cancelling attempts. */
+    @Test
+    void abandonedRequestIsNotSentOnLateConnection() {
+        Harness otherHarness = new Harness(Harness.SETTINGS.replace("caps.cancel=true", "caps.cancel=false"));
+        NodeConnectionPool otherPool = new NodeConnectionPool(
+                otherHarness::dial,
+                () -> otherHarness.nowUs,
+                otherHarness.timers,
+                otherHarness.counters,
+                otherHarness.settings,
+                "backend.local",
+                40);
+        HttpFront otherFront = new HttpFront(otherHarness.broker(otherPool), otherHarness.timers, 50, lifecycle);
+        otherHarness.list(Harness.node("s-00000001", 3, NodeState.READY, 0));
+        MemoryEnd closedClient = MemoryEnd.open(otherFront::accept);
+        closedClient.put(readRequest(1, ""));
+        closedClient.putEnd();
+        MemoryEnd node = otherHarness.up();
+        assertEquals("", node.taken());
+        assertTrue(node.isOpen(), "the connection stays open for the next request");
+        MemoryEnd nextClient = MemoryEnd.open(otherFront::accept);
+        nextClient.put(readRequest(2, ""));
+        assertTrue(node.taken().contains("X-Txn: t2\r\n"));
+    }
+
+    /** The connect timeout may exceed the drain's grace period, so the node's state is checked again. */
+    @Test
+    void nothingIsSentIfNodeChangesWhileConnecting() {
+        Node listed = Harness.node("s-00000001", 3, NodeState.READY, 0);
+        for (Node change : List.of(
+                Harness.node("s-00000001", 3, NodeState.DRAINING, 0),
+                listed.asGone(),
+                Harness.node("s-00000001", 3, NodeState.READY, harness.nowUs / 1000.0))) {
+            Harness otherHarness = new Harness();
+            NodeConnectionPool otherPool = new NodeConnectionPool(
+                    otherHarness::dial,
+                    () -> otherHarness.nowUs,
+                    otherHarness.timers,
+                    otherHarness.counters,
+                    otherHarness.settings,
+                    "backend.local",
+                    40);
+            HttpFront otherFront = new HttpFront(otherHarness.broker(otherPool), otherHarness.timers, 50, lifecycle);
+            otherHarness.list(listed);
+            MemoryEnd otherClient = MemoryEnd.open(otherFront::accept);
+            otherClient.put(readRequest(1, ""));
+            otherHarness.broker.nodes(ListKind.CHANGES, List.of(change));
+            assertEquals("", otherHarness.up().taken(), change.toString());
+            assertEquals(1, otherHarness.counters.get("outcome.not_connected"));
+        }
+    }
+
+    @Test
+    void malformedRequestsAreAnsweredWithTheirStatus() {
+        String validRequest = readRequest(1, "");
+        String[][] cases = {
+            {"400", "no http at all\r\n\r\n"},
+            {"400", validRequest.replace("X-Txn: t1\r\n", "")},
+            {"400", validRequest.replace("=basic", "=x").replace(": basic", ": gold")},
+            {"400", validRequest.replace("units=2", "units=many")},
+            {"400", validRequest.replace("units=2", "units=NaN")},
+            {"400", validRequest.replace("shard=3", "shard=1048576")},
+            {"400", validRequest.replace("1400", "soon")},
+            {"400", validRequest.replace("1400", "-1")},
+            {"400", validRequest.replace("1400", "12.5")},
+            {"400", validRequest.replace("1400", "0x1p3")},
+            {"400", validRequest.replace("1400", "99999999999")},
+            {"400", validRequest.replace("units=2", "units=1d")},
+            {"400", validRequest.replace("X-Txn: t1", "X-Txn: t1\r\nX-Txn: t2")},
+            {"400", validRequest.replace("X-Txn: t1", "X-Txn: t\u00e9")},
+            {"400", validRequest.replace("n=1 ", "n=\u00e9 ")},
+            {"400", validRequest.replace("hosts=1\r\n", "hosts=1\r\nContent-Length: 2\r\n") + "ab"},
+            {
+                "400",
+                writeRequest("12345").replace("Content-Length: 5", "Content-Length: 5\r\nTransfer-Encoding: chunked")
+            },
+            {
+                "400",
+                writeRequest("12345").replace("Content-Length: 5", "Transfer-Encoding: chunked\r\nContent-Length: 5")
+            },
+            {"400", writeRequest("12345").replace("Content-Length: 5", "Content-Length: 5\r\nContent-Length: 5")},
+            {"400", writeRequest("12345").replace("Content-Length: 5", "Content-Length: 5\r\nContent-Length: 4")},
+            {"400", writeRequest("12345").replace("Content-Length: 5", "Content-Length: 5, 5")},
+            {"400", writeRequest("12345").replace("Content-Length: 5", "Content-Length: -5")},
+            {"400", writeRequest("12345").replace("Content-Length: 5", "Content-Length: +5")},
+            {"400", writeRequest("12345").replace("Content-Length: 5", "Content-Length: 99999999999999999999")},
+            {"400", writeRequest("12345").replace("Content-Length: 5", "Transfer-Encoding: gzip, chunked")},
+            {
+                "400",
+                writeRequest("12345")
+                        .replace("Content-Length: 5", "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked")
+            },
+            {
+                "400",
+                writeRequest("12345")
+                        .replace("Content-Length: 5", "Transfer-Encoding: chunked")
+                        .replace("12345", "zz\r\n12345\r\n")
+            },
+            {"505", validRequest.replace("HTTP/1.1", "HTTP/2.0")},
+            {"413", writeRequest("x").replace("Content-Length: 1", "Content-Length: 67108865")},
+            {"400", validRequest.replace("7f3a9c21e0b4d655", "7f3a9c21e0b4d65")},
+            {"400", validRequest.replace("GET", "POST")},
+            {"400", writeRequest("x").replace("Idempotency-Key: k-77\r\n", "")},
+            {"404", validRequest.replace("tile-read", "tiles")},
+            {"404", "GET / HTTP/1.1\r\nHost: b\r\n\r\n"},
+            {"431", validRequest.replace("Host: b", "Host: b\r\nX-Long: " + "y".repeat(9000))},
+            {"431", validRequest.replace("7f3a9c21e0b4d655", "7".repeat(9000))},
+        };
+        for (String[] statusAndRequest : cases) {
+            MemoryEnd malformedClient = MemoryEnd.open(front::accept);
+            malformedClient.put(statusAndRequest[1]);
+            assertEquals(List.of(statusAndRequest[0]), statuses(malformedClient.taken()), statusAndRequest[1]);
+            malformedClient.putEnd();
+            assertFalse(malformedClient.isOpen(), statusAndRequest[1]);
+        }
+        assertEquals(0, harness.counters.get("taken.tile-read") + harness.counters.get("taken.survey-write"));
+    }
+
+    /** Nodes would take two requests with one id for copies; the open request must not be affected. */
+    @Test
+    void idOfOpenRequestIsRejectedUntilItEnds() {
+        listOneNode();
+        client.put(readRequest(1, ""));
+        MemoryEnd node = harness.up();
+        MemoryEnd duplicateClient = MemoryEnd.open(front::accept);
+        duplicateClient.put(readRequest(1, ""));
+        assertEquals(List.of("409"), statuses(duplicateClient.taken()));
+        node.put(okAnswer("one"));
+        assertEquals(List.of("200"), statuses(client.taken()));
+        assertEquals(0, front.openTxnIdCount());
+        MemoryEnd laterClient = MemoryEnd.open(front::accept);
+        laterClient.put(readRequest(1, ""));
+        node.put(okAnswer("again"));
+        assertEquals(List.of("200"), statuses(laterClient.taken()));
+    }
+
+    @Test
+    void oversizedBodyIsDiscardedAfterItsError() {
+        client.put(writeRequest("x").replace("Content-Length: 1", "Content-Length: 67108865"));
+        assertEquals(List.of("413"), statuses(client.taken()));
+        byte[] bodyPart = new byte[200_000];
+        long lingerEndUs = harness.nowUs + HttpFront.MAX_LINGER_US;
+        while (harness.nowUs < lingerEndUs - HttpFront.LINGER_SILENCE_US) {
+            client.putBytes(bodyPart);
+            harness.run(HttpFront.LINGER_SILENCE_US / 2);
+            assertTrue(client.isOpen(), "closed while the client sends: a reset could lose the answer");
+        }
+        client.putBytes(bodyPart);
+        harness.run(HttpFront.LINGER_SILENCE_US);
+        assertFalse(client.isOpen(), "the connection closes although the client keeps sending");
+    }
+
+    @Test
+    void silentOrPartialClientIsClosedWithin3Seconds() {
+        HeldEnd partialClient = HeldEnd.open(front::accept);
+        partialClient.put(readRequest(1, "").substring(0, 60));
+        harness.run(2_400_000);
+        assertTrue(client.isOpen() && partialClient.isOpen());
+        harness.run(600_000);
+        assertFalse(client.isOpen());
+        assertEquals(List.of("408"), statuses(partialClient.taken()));
+        harness.run(HttpFront.LINGER_SILENCE_US);
+        assertFalse(partialClient.isOpen());
+        assertEquals(0, front.connectionCount());
+    }
+
+    @Test
+    void usedConnectionMayStayIdle() {
+        client.put(readRequest(1, ""));
+        harness.run(60_000_000);
+        assertTrue(client.isOpen());
+    }
+
+    @Test
+    void silentNewConnectionsAreEvictedBeforeUsedOnes() {
+        client.put(readRequest(1, ""));
+        for (int i = 0; i < 49; i++) {
+            MemoryEnd.open(front::accept);
+        }
+        harness.run(HttpFront.SILENT_AFTER_US);
+        for (int i = 0; i < 40; i++) {
+            MemoryEnd.open(front::accept);
+        }
+        assertTrue(client.isOpen());
+        assertEquals(50, front.connectionCount());
+    }
+
+    @Test
+    void connectionsFarOverLimitCloseOnOpen() {
+        for (int i = 0; i < 200; i++) {
+            MemoryEnd.open(front::accept).put("GET ");
+        }
+        assertEquals(66, front.connectionCount());
+    }
+
+    /** Each malformed answer must fail its attempt and close the connection. */
+    @Test
+    void malformedAnswersFailTheAttemptAtOnce() {
+        String validAnswer = okAnswer("good");
+        String[] malformedAnswers = {
+            "\u0001\u0002noise without an end",
+            "HTTP/1.1 2000 OK\r\nContent-Length: 4\r\n\r\ngood",
+            "HTTP/1.1 200 OK\r\n\r\ngood",
+            validAnswer.replace("1.1", "2.0"),
+            "HTTP/1.0 200 OK\r\n\r\ngood",
+            "HTTP/1.1 200 OK\r\nX-Long: " + "y".repeat(20_000),
+            validAnswer.replace("Content-Length: 4", "Content-Length: 3221225472"),
+            validAnswer.replace("Content-Length: 4", "Content-Length: -4"),
+            validAnswer.replace("Content-Length: 4", "Content-Length: four"),
+            validAnswer.replace("Content-Length: 4", "Content-Length: 4\r\nContent-Length: 4"),
+            validAnswer.replace("Content-Length: 4", "Content-Length: 4\r\nContent-Length: 3"),
+            validAnswer.replace("Content-Length: 4", "Content-Length: 4\r\nTransfer-Encoding: chunked"),
+            validAnswer.replace("Content-Length: 4", "Transfer-Encoding: gzip"),
+            validAnswer.replace("Content-Length: 4", "Transfer-Encoding: chunked"),
+            validAnswer
+                    .replace("Content-Length: 4", "Transfer-Encoding: chunked")
+                    .replace("good", "ffffffffff\r\n"),
+            "HTTP/1.1 101 Switching Protocols\r\n\r\n" + validAnswer,
+            "HTTP/1.1 100 Continue\r\n\r\n".repeat(40) + validAnswer,
+        };
+        for (String answer : malformedAnswers) {
+            HttpFrontTest fresh = new HttpFrontTest();
+            fresh.listOneNode();
+            fresh.client.put(readRequest(1, ""));
+            MemoryEnd node = fresh.harness.up();
+            node.taken();
+            node.put(answer);
+            assertEquals(1, fresh.harness.counters.get("outcome.error"), answer);
+            assertFalse(node.isOpen(), answer);
+            assertEquals(List.of(), statuses(fresh.client.taken()), answer);
+            assertEquals(fresh.harness.dialed.size(), fresh.pool.connectionCount(), answer);
+        }
+    }
+
+    @Test
+    void completeAnswersAreServedDespiteExtraBytes() {
+        String validAnswer = okAnswer("good");
+        String chunked = validAnswer
+                .replace("Content-Length: 4", "Transfer-Encoding: chunked")
+                .replace("good", "4\r\ngood\r\n0\r\n\r\n");
+        for (String answer : List.of(
+                validAnswer,
+                chunked,
+                validAnswer + validAnswer,
+                validAnswer + "noise",
+                validAnswer.replace("1.1", "1.0"),
+                "HTTP/1.1 100 Continue\r\n\r\n" + validAnswer,
+                "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n".repeat(3) + validAnswer)) {
+            HttpFrontTest fresh = new HttpFrontTest();
+            fresh.listOneNode();
+            fresh.client.put(readRequest(1, ""));
+            MemoryEnd node = fresh.harness.up();
+            node.put(answer);
+            String served = fresh.client.taken();
+            assertTrue(served.startsWith("HTTP/1.1 200") && served.endsWith("\r\n\r\ngood"), answer);
+            boolean reusable =
+                    answer.endsWith(validAnswer) && !answer.startsWith(validAnswer + "H") || answer.equals(chunked);
+            assertEquals(reusable, node.isOpen(), answer);
+        }
+    }
+
+    /** Fails if a second copy of an answer is served to the next request. */
+    @Test
+    void duplicateAnswerIsNotServedToNextRequest() {
+        listOneNode();
+        client.put(readRequest(1, ""));
+        MemoryEnd node = harness.up();
+        node.put(okAnswer("one"));
+        node.addInput(org.eclipse.jetty.util.BufferUtil.toBuffer(okAnswer("one")));
+        client.put(readRequest(2, ""));
+        assertFalse(node.isOpen());
+        harness.up().put(okAnswer("two"));
+        assertTrue(client.taken().endsWith("two"));
+    }
+
+    @Test
+    void stalledAnswerFailsAndSlowAnswerIsAwaited() {
+        listOneNode();
+        client.put(readRequest(1, ""));
+        MemoryEnd node = harness.up();
+        node.put("HTTP/1.1 200 OK\r\nContent-Length: 50000\r\n\r\n");
+        for (int i = 0; i < 5; i++) {
+            harness.run(NodeConnectionPool.ANSWER_STALL_TIMEOUT_US - 1000);
+            node.put("part");
+        }
+        assertTrue(node.isOpen());
+        harness.run(2 * NodeConnectionPool.ANSWER_STALL_TIMEOUT_US);
+        assertEquals(1, harness.counters.get("outcome.error"));
+        assertFalse(node.isOpen());
+    }
+
+    @Test
+    void requestReportedOverIsRefusedWithoutRetry() {
+        listOneNode();
+        client.put(readRequest(1, ""));
+        harness.up().put("HTTP/1.1 504 Over\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
+        assertEquals(List.of("503"), statuses(client.taken()));
+        assertEquals(1, harness.counters.get("sent"));
+    }
+
+    /**
+     * Nodes use this form of HTTP/1.1. Without Connection: close, the end of the connection does not end the answer.
+     */
+    @Test
+    void answerEndedByCloseIsCompleteOnlyIfAnnounced() {
+        listOneNode();
+        client.put(readRequest(1, ""));
+        MemoryEnd node = harness.up();
+        node.put("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nto the ");
+        assertEquals("", client.taken());
+        node.put("end");
+        node.putEnd();
+        assertTrue(client.taken().endsWith("Content-Length: 10\r\n\r\nto the end"));
+        assertFalse(node.isOpen());
+        client.put(readRequest(2, ""));
+        harness.up().put("HTTP/1.1 200 OK\r\n\r\nto the ");
+        assertEquals(1, harness.counters.get("outcome.error"));
+        MemoryEnd largeAnswerNode = harness.up();
+        largeAnswerNode.put("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + "z".repeat(70_000));
+        assertTrue(client.taken().contains("Transfer-Encoding: chunked\r\n"));
+        largeAnswerNode.putEnd();
+        assertTrue(client.taken().endsWith("\r\n0\r\n\r\n"));
+    }
+
+    /** The beginning has already been sent, so the client must be able to detect the truncated answer. */
+    @Test
+    void interruptedStreamedAnswerClosesClientConnection() {
+        listOneNode();
+        client.put(readRequest(1, ""));
+        MemoryEnd node = harness.up();
+        node.put("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\npart");
+        assertEquals("", client.taken());
+        harness.run(NodeConnectionPool.BUFFER_BEFORE_STREAM_US);
+        assertTrue(client.taken().endsWith("Content-Length: 100000\r\n\r\npart"));
+        for (int i = 0; i < 3; i++) {
+            harness.run(NodeConnectionPool.STREAM_STALL_TIMEOUT_US - 1);
+            node.put("part");
+            assertEquals("part", client.taken());
+        }
+        harness.run(2 * NodeConnectionPool.STREAM_STALL_TIMEOUT_US);
+        assertFalse(node.isOpen());
+        assertFalse(client.isOpen());
+        assertEquals(1, harness.broker.figures().count("tile-read", End.FAILED));
+        assertEquals(0, front.answeringCount());
+        MemoryEnd secondClient = MemoryEnd.open(front::accept);
+        secondClient.put(readRequest(2, ""));
+        MemoryEnd secondNode = harness.up();
+        secondNode.put("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n18000\r\n" + "z".repeat(0x18000) + "\r\n");
+        assertTrue(secondClient.taken().length() > 0x18000);
+        secondNode.putEnd();
+        assertFalse(secondClient.isOpen());
+        assertFalse(secondClient.taken().contains("\r\n0\r\n"));
+        assertEquals(2, harness.broker.figures().count("tile-read", End.FAILED));
+    }
+
+    /** Nodes send larger answers than the 64 KiB of the protocol. */
+    @Test
+    void largeAnswerIsForwardedAndConnectionReused() {
+        listOneNode();
+        String large = "0123456789abcdef".repeat(25_000);
+        client.put(readRequest(1, ""));
+        harness.up().put(okAnswer(large));
+        assertTrue(client.taken().endsWith("\r\n\r\n" + large));
+        client.put(readRequest(2, ""));
+        MemoryEnd node = harness.dialed.isEmpty() ? null : harness.up();
+        assertEquals(null, node, "the connection must be reused");
+    }
+
+    @Test
+    void bodyBuffersAreBoundedByBudgetAndReleaseIt() {
+        ByteBudget budget = new ByteBudget(100_000);
+        BodyBuffer firstBody = new BodyBuffer(80_000, budget);
+        BodyBuffer secondBody = new BodyBuffer(80_000, budget);
+        firstBody.announcedLength(70_000);
+        assertTrue(firstBody.append(java.nio.ByteBuffer.allocate(10)));
+        assertTrue(budget.availableBytes() > 98_000, "the announced length must not be allocated at once");
+        assertTrue(firstBody.append(java.nio.ByteBuffer.allocate(60_000)));
+        assertFalse(secondBody.append(java.nio.ByteBuffer.allocate(60_000)));
+        assertEquals(60_010, firstBody.takeContent().remaining());
+        assertTrue(secondBody.append(java.nio.ByteBuffer.allocate(60_000)));
+        assertFalse(secondBody.append(java.nio.ByteBuffer.allocate(30_000)));
+        secondBody.takeContent();
+        assertEquals(100_000, budget.availableBytes());
+    }
+
+    @Test
+    void chunkedBodyOverLimitIsStreamed() {
+        listOneNode();
+        String head = writeRequest("").replace("Content-Length: 0", "Transfer-Encoding: chunked");
+        client.put(head);
+        for (int i = 0; i < 16; i++) {
+            client.put("1000\r\n" + "z".repeat(4096) + "\r\n");
+        }
+        assertEquals(0, harness.dialed.size());
+        client.put("1000\r\n" + "z".repeat(4096) + "\r\n");
+        MemoryEnd node = harness.up();
+        assertTrue(node.taken().contains("Transfer-Encoding: chunked\r\n"));
+        // The deadline counts from the last byte, so the upload may take longer than the class's deadline.
+        for (int i = 0; i < 4; i++) {
+            harness.run(1_000_000);
+            client.put("8000\r\n" + "y".repeat(0x8000) + "\r\n");
+            assertTrue(node.taken().contains("y".repeat(0x1000)));
+        }
+        client.put("0\r\n\r\n");
+        assertTrue(node.taken().endsWith("0\r\n\r\n"));
+        harness.run(1_900_000);
+        node.put(okAnswer("stored"));
+        assertTrue(client.taken().endsWith("stored"));
+        assertEquals(1, harness.broker.figures().tries());
+    }
+
+    /** Fails if the deadline restarts when the node connection opens after the whole body has arrived. */
+    @Test
+    void bufferedLargeBodyDeadlineCountsFromLastByte() {
+        listOneNode();
+        client.put(writeRequest("").replace("Content-Length: 0", "Content-Length: 200000") + "z".repeat(20_000));
+        client.put("z".repeat(180_000));
+        harness.run(240_000);
+        MemoryEnd node = harness.up();
+        assertTrue(node.taken().endsWith("z"));
+        harness.run(1_759_999);
+        assertEquals("", client.taken());
+        harness.run(1);
+        assertEquals(List.of("504"), statuses(client.taken()));
+    }
+
+    @Test
+    void stalledOrSlowBodyIsTimedOut() {
+        listOneNode();
+        String large = writeRequest("").replace("Content-Length: 0", "Content-Length: 200000") + "z".repeat(20_000);
+        client.put(large);
+        MemoryEnd node = harness.up();
+        harness.run(HttpFront.REQUEST_TIMEOUT_US);
+        assertEquals(List.of("408"), statuses(client.taken()));
+        assertFalse(node.isOpen());
+        HeldEnd slowClient = HeldEnd.open(front::accept);
+        slowClient.put(writeRequest("")
+                .replace("Content-Length: 0", "Content-Length: 60000")
+                .replace("w1", "w2"));
+        for (int i = 0; i < 100 && slowClient.taken().isEmpty(); i++) {
+            slowClient.put("x".repeat(400));
+            harness.run(100_000);
+        }
+        assertEquals(0, harness.broker.figures().tries());
+        assertEquals(0, harness.broker.open());
+        assertTrue(harness.counters.get("connections.late") >= 2);
+    }
+
+    @Test
+    void bodyRejectedEarlyIsRefusedAndRestDiscarded() {
+        listOneNode();
+        client.put(writeRequest("").replace("Content-Length: 0", "Content-Length: 200000") + "z".repeat(50_000));
+        harness.up().put("HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
+        assertEquals(List.of("503"), statuses(client.taken()));
+        for (int i = 0; i < 20; i++) {
+            client.putBytes(new byte[4_000]);
+            harness.run(HttpFront.LINGER_SILENCE_US - 1);
+        }
+        assertTrue(client.isOpen());
+        assertEquals("", client.taken());
+    }
+
+    @Test
+    void refusalHasRetryAfter() {
+        client.put(readRequest(1, ""));
+        String answer = client.taken();
+        assertEquals(List.of("503"), statuses(answer));
+        assertTrue(answer.contains("Retry-After: 0.5\r\n"), answer);
+    }
+
+    @Test
+    void clientCloseCancelsAttempt() {
+        listOneNode();
+        client.put(readRequest(1, ""));
+        MemoryEnd node = harness.up();
+        client.putEnd();
+        assertFalse(node.isOpen());
+        assertEquals(0, harness.broker.open());
+        assertEquals(0, pool.connectionCount());
+        assertEquals(1, harness.counters.get("client_gone"));
+    }
+
+    @Test
+    void nodeCloseWithinAnswerIsReset() {
+        listOneNode();
+        client.put(readRequest(1, ""));
+        MemoryEnd node = harness.up();
+        node.put("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
+        node.putEnd();
+        assertEquals(1, harness.counters.get("outcome.reset"));
+    }
+
+    @Test
+    void answersMapToOutcomesOfProtocol() {
+        String[][] cases = {
+            {"served", okAnswer("x")},
+            {"error", "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"},
+            {"rejected", "HTTP/1.1 503 E\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"},
+            {"over", "HTTP/1.1 504 E\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"},
+            {"error", "HTTP/1.1 503 E\r\nContent-Length: 0\r\n\r\n"},
+            {"error", "HTTP/1.1 404 E\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"},
+            {"error", "garbage that is no answer\r\n\r\n"},
+        };
+        for (String[] outcomeAndAnswer : cases) {
+            HttpFrontTest fresh = new HttpFrontTest();
+            fresh.listOneNode();
+            fresh.client.put(readRequest(1, ""));
+            fresh.harness.up().put(outcomeAndAnswer[1]);
+            assertEquals(1, fresh.harness.counters.get("outcome." + outcomeAndAnswer[0]), outcomeAndAnswer[1]);
+        }
+    }
+
+    @Test
+    void connectTimeoutIsThatOfSettings() {
+        listOneNode();
+        client.put(readRequest(1, ""));
+        harness.run(249_999);
+        assertEquals(0, harness.counters.get("outcome.not_connected"));
+        harness.run(1);
+        assertEquals(1, harness.counters.get("outcome.not_connected"));
+        assertEquals(harness.dialed.size() - 1, pool.connectionCount());
+    }
+
+    @Test
+    void connectionOpenedAfterTimeoutIsClosed() {
+        listOneNode();
+        client.put(readRequest(1, ""));
+        Harness.Dialed pendingDial = harness.dialed.remove(0);
+        harness.run(2_000_000);
+        assertFalse(MemoryEnd.open(pendingDial.connector()::connected).isOpen());
+        assertEquals(0, pool.connectionCount());
+    }
+
+    @Test
+    void timedOutAttemptClosesItsConnection() {
+        listOneNode();
+        client.put(readRequest(1, ""));
+        MemoryEnd node = harness.up();
+        harness.run(1_500_000);
+        assertFalse(node.isOpen());
+        assertEquals(1, statuses(client.taken()).size());
+        assertEquals(1, harness.counters.get("outcome.timed_out"));
+    }
+
+    @Test
+    void connectionNearIdleLimitIsNotReused() {
+        listOneNode();
+        client.put(readRequest(1, ""));
+        MemoryEnd node = harness.up();
+        node.put(okAnswer("x"));
+        harness.run(11_000_000);
+        client.put(readRequest(2, ""));
+        assertEquals(0, harness.dialed.size());
+        node.put(okAnswer("x"));
+        harness.run(13_000_001);
+        assertFalse(node.isOpen());
+        client.put(readRequest(3, ""));
+        assertEquals(1, harness.dialed.size());
+    }
+
+    @Test
+    void idleConnectionClosedByNodeFailsNoRequest() {
+        listOneNode();
+        client.put(readRequest(1, ""));
+        MemoryEnd node = harness.up();
+        node.put(okAnswer("x"));
+        node.putEnd();
+        client.put(readRequest(2, ""));
+        harness.up().put(okAnswer("y"));
+        assertEquals(List.of("200", "200"), statuses(client.taken()));
+    }
+
+    @Test
+    void connectionsToRestartedNodeAreClosed() {
+        listOneNode();
+        client.put(readRequest(1, ""));
+        MemoryEnd node = harness.up();
+        node.put(okAnswer("x"));
+        harness.list(Harness.node("s-00000001", 3, NodeState.READY, 900_000));
+        assertFalse(node.isOpen());
+    }
+
+    @Test
+    void movedNodeIsReachedAtItsNewAddress() {
+        listOneNode();
+        client.put(readRequest(1, ""));
+        MemoryEnd oldConnection = harness.up();
+        oldConnection.put(okAnswer("x"));
+        Node listed = Harness.node("s-00000001", 3, NodeState.READY, 0);
+        harness.list(new Node(listed.name(), "127.0.0.2:9002", listed.entry()));
+        assertFalse(oldConnection.isOpen());
+        client.put(readRequest(2, ""));
+        assertEquals("/127.0.0.2:9002", harness.dialed.get(0).address().toString());
+    }
+
+    @Test
+    void removedOrUnlistedNodeGetsNoRequest() {
+        listOneNode();
+        harness.broker.nodes(ListKind.CHANGES, List.of(Harness.node("s-00000001", 3, NodeState.GONE, 0)));
+        client.put(readRequest(1, ""));
+        listOneNode();
+        harness.list(Harness.node("s-00000002", 4, NodeState.READY, 0));
+        client.put(readRequest(2, ""));
+        assertEquals(List.of(), harness.dialed);
+        assertEquals(List.of("503", "503"), statuses(client.taken()));
+    }
+
+    @Test
+    void wholeNodeListReplacesCachedOne() {
+        harness.broker.nodes(ListKind.CACHED, List.of(Harness.node("s-00000009", 3, NodeState.READY, 0)));
+        listOneNode();
+        client.put(readRequest(1, ""));
+        assertEquals(1, harness.dialed.size());
+        harness.up().put(okAnswer("x"));
+        assertEquals(List.of("200"), statuses(client.taken()));
+    }
+
+    @Test
+    void terminationAnswersOpenRequestsAndClosesIdle() {
+        listOneNode();
+        client.put(readRequest(1, ""));
+        MemoryEnd readyClient = MemoryEnd.open(front::accept);
+        MemoryEnd node = harness.up();
+        lifecycle.terminate(harness.nowUs);
+        readyClient.put("GET /ready HTTP/1.1\r\nHost: b\r\n\r\n");
+        assertEquals(List.of("503"), statuses(readyClient.taken()));
+        MemoryEnd idleClient = MemoryEnd.open(front::accept);
+        front.closeIdle(9);
+        assertTrue(idleClient.isOpen());
+        harness.run(600_000);
+        front.closeIdle(9);
+        assertTrue(idleClient.isOutputShutdown());
+        idleClient.put(readRequest(7, ""));
+        assertEquals(List.of(), statuses(idleClient.taken()), "requests after the shutdown are discarded");
+        assertEquals(1, harness.broker.open());
+        idleClient.putEnd();
+        assertFalse(idleClient.isOpen());
+        node.put(okAnswer("kept"));
+        String answer = client.taken();
+        assertTrue(answer.contains("Connection: close\r\n") && answer.endsWith("kept"));
+        client.putEnd();
+        assertFalse(client.isOpen());
+        assertEquals(0, front.answeringCount());
+    }
+
+    @Test
+    void newConnectionAtLimitEvictsAnIdleOne() {
+        for (int i = 0; i < 60; i++) {
+            MemoryEnd.open(front::accept);
+        }
+        assertEquals(50, front.connectionCount());
+        assertFalse(client.isOpen());
+    }
+
+    @Test
+    void newConnectionIsRefusedIfNoneCanBeEvicted() {
+        listOneNode();
+        client.put(readRequest(1, ""));
+        for (int i = 0; i < 49; i++) {
+            MemoryEnd.open(front::accept).put(readRequest(2, "").substring(0, 30));
+        }
+        MemoryEnd refusedClient = MemoryEnd.open(front::accept);
+        refusedClient.put(readRequest(3, ""));
+        String answer = refusedClient.taken();
+        assertEquals(List.of("503"), statuses(answer));
+        assertTrue(answer.contains("Retry-After: 0.5\r\n") && answer.contains("Connection: close\r\n"), answer);
+    }
+
+    @Test
+    void probeReturnsLoadReportOrTimesOut() {
+        List<String> results = new ArrayList<>();
+        Node node = Harness.node("s-00000001", 3, NodeState.READY, 0);
+        pool.probe(node, 250_000, (outcome, load) -> results.add(outcome + " " + load));
+        MemoryEnd nodeEnd = harness.up();
+        assertTrue(nodeEnd.taken().startsWith("GET /status/load HTTP/1.1\r\n"));
+        nodeEnd.put(okAnswer("TEXT util=0.61, queue=2"));
+        pool.probe(node, 250_000, (outcome, load) -> results.add(outcome + " " + load));
+        harness.run(250_000);
+        assertEquals(List.of("SERVED {util=0.61, queue=2.0}", "TIMED_OUT {}"), results);
+        assertFalse(nodeEnd.isOpen());
+        assertEquals(0, pool.connectionCount());
+    }
+
+    @Test
+    void loadReportsAndRetryAfterFollowProtocol() {
+        assertEquals(
+                "{inflight=7.0, util=0.61}",
+                HttpProtocol.parseLoadReport("TEXT inflight=7, queue=x, util=0.61")
+                        .toString());
+        assertEquals(
+                "{}",
+                HttpProtocol.parseLoadReport("TEXT inflight=NaN, queue=-3, util=Infinity, qps=1e300, =1, \u0001\u0002")
+                        .toString());
+        assertEquals("{}", HttpProtocol.parseLoadReport(null).toString());
+        assertEquals(
+                List.of("0.001", "0.35", "2", "1.5"),
+                java.util.stream.Stream.of(1L, 350_000L, 2_000_000L, 1_500_000L)
+                        .map(HttpProtocol::formatSeconds)
+                        .toList());
+    }
+
+    @Test
+    void countersPageIsServed() {
+        client.put(readRequest(1, ""));
+        client.put("GET /counters HTTP/1.1\r\nHost: b\r\n\r\n");
+        assertTrue(client.taken().contains("taken.tile-read 1\n"));
+    }
+
+    /**
+     * Model: there are never more answers than requests, answers of nodes arrive in the order of the requests, and in
+     * the end each complete request of a connected client has an answer.
+     */
+    @Property(tries = 300, seed = "20261202")
+    void anyInterleavingAnswersRequestsInOrder(@ForAll @Size(max = 60) List<@IntRange(max = 12) Integer> steps) {
+        HttpFrontTest test = new HttpFrontTest();
+        test.listOneNode();
+        StringBuilder unsent = new StringBuilder();
+        StringBuilder received = new StringBuilder();
+        List<MemoryEnd> nodes = new ArrayList<>();
+        int requested = 0;
+        boolean open = true;
+        for (int step : steps) {
+            switch (step) {
+                case 0, 1 -> unsent.append(readRequest(requested++, ""));
+                case 2, 3, 4 -> {
+                    int length = open ? Math.min(unsent.length(), step == 4 ? 5000 : 37 * step) : 0;
+                    test.client.put(unsent.substring(0, length));
+                    unsent.delete(0, length);
+                }
+                case 5, 6, 7, 9, 10, 11, 12 -> {
+                    while (!test.harness.dialed.isEmpty()) {
+                        nodes.add(test.harness.up());
+                    }
+                    nodes.forEach(node -> answer(node, step));
+                }
+                default -> {
+                    if (open) {
+                        test.client.putEnd();
+                    }
+                    open = false;
+                }
+            }
+            received.append(test.client.taken());
+            assertTrue(statuses(received.toString()).size() <= requested);
+        }
+        int length = readRequest(0, "").length();
+        // A partial request is answered with 408.
+        int completeRequests =
+                open ? requested - (unsent.length() + length - 1) / length + (unsent.length() % length > 0 ? 1 : 0) : 0;
+        for (int i = 0; i < requested && requested < 10; i++) {
+            test.harness.run(1_500_000);
+        }
+        test.harness.run(requested < 10 ? HttpFront.REQUEST_TIMEOUT_US : 0);
+        received.append(test.client.taken());
+        assertEquals(0, test.harness.broker.open());
+        if (open && requested < 10) {
+            assertEquals(completeRequests, statuses(received.toString()).size());
+        }
+        List<Integer> served = java.util.regex.Pattern.compile("for t(\\d)")
+                .matcher(received)
+                .results()
+                .map(match -> Integer.valueOf(match.group(1)))
+                .toList();
+        assertEquals(served.stream().sorted().distinct().toList(), served);
+    }
+
+    /** The node answers its request in the way that the step selects, or closes. */
+    private static void answer(MemoryEnd node, int step) {
+        String request = node.isOpen() ? node.taken() : "";
+        int txnIndex = request.indexOf("X-Txn: ");
+        String validAnswer = txnIndex < 0 ? "" : okAnswer("for " + request.substring(txnIndex + 7, txnIndex + 9));
+        if (txnIndex >= 0 && step == 7) {
+            node.putEnd();
+        } else if (txnIndex >= 0) {
+            node.put(
+                    switch (step) {
+                        case 9 -> validAnswer.replace("Content-Length", "Content-Length: 3\r\nContent-Length");
+                        case 10 -> "HTTP/1.1 100 Continue\r\n\r\n" + validAnswer;
+                        case 11 -> validAnswer + validAnswer;
+                        case 12 -> validAnswer.substring(0, validAnswer.length() - 1);
+                        default -> validAnswer;
+                    });
+        }
+    }
+}
--- a/src/test/java/petrelstand/http/IdleConnectionMemoryTest.java
+++ b/src/test/java/petrelstand/http/IdleConnectionMemoryTest.java
@@ -15,93 +15,101 @@
 import petrelstand.testing.Harness;
 import petrelstand.testing.HeldEnd;
 
-/** What a connection that has spoken and now rests keeps on the heap, on either side, its end point included. */
+/** Bounds the heap memory of an idle connection to a client or a node, including its end point. */
 class IdleConnectionMemoryTest {
     private static final int CONNECTIONS = 500;
-    /** The parser's own cache of fields is made at the second message. */
+    /** The parser creates its field cache at the second message. */
     private static final int REQUESTS = 3;
-    /** Bytes that a resting connection may keep. */
-    private static final long MOST_BYTES = 4096;
-    /** A head that is near the bound: what a parser grew for it must not stay either. */
+    /** Heap bytes that an idle connection may use. */
+    private static final long MAX_BYTES_PER_CONNECTION = 4096;
+    /** Makes a head near the size limit; the buffer that the parser allocates for it must be released too. */
     private static final String LONG_FIELD = "X-Long: " + "x".repeat(7000) + "\r\n";
 
-    private final Harness world = new Harness();
+    private final Harness harness = new Harness();
     private final NodeConnectionPool pool = new NodeConnectionPool(
-            world::dial, () -> world.nowUs, world.timers, world.counters, world.settings, "backend.local", CONNECTIONS);
-    private final Lifecycle life = new Lifecycle(Lifecycle.Times.of(5_000_000));
-    private final HttpFront front = new HttpFront(world.broker(pool), world.timers, 2 * CONNECTIONS, life);
+            harness::dial,
+            () -> harness.nowUs,
+            harness.timers,
+            harness.counters,
+            harness.settings,
+            "backend.local",
+            CONNECTIONS);
+    private final Lifecycle lifecycle = new Lifecycle(Lifecycle.Times.of(5_000_000));
+    private final HttpFront front = new HttpFront(harness.broker(pool), harness.timers, 2 * CONNECTIONS, lifecycle);
 
     {
-        life.serving(world.nowUs);
+        lifecycle.serving(harness.nowUs);
     }
 
-    /** Bytes in use once what nobody holds has been collected. */
-    private static long used() {
+    /** Heap bytes in use after garbage collection. */
+    private static long usedBytes() {
         Runtime runtime = Runtime.getRuntime();
-        long least = Long.MAX_VALUE;
+        long minBytes = Long.MAX_VALUE;
         for (int i = 0; i < 3; i++) {
             System.gc();
-            least = Math.min(least, runtime.totalMemory() - runtime.freeMemory());
+            minBytes = Math.min(minBytes, runtime.totalMemory() - runtime.freeMemory());
         }
-        return least;
+        return minBytes;
     }
 
-    private MemoryEnd asked(String more) {
+    private MemoryEnd idleClientAfterRequests(String extraFields) {
         MemoryEnd client = MemoryEnd.open(front::accept);
         for (int i = 0; i < REQUESTS; i++) {
-            client.put("GET /ready HTTP/1.1\r\nHost: b\r\nAccept: text/plain\r\n" + more + "\r\n");
+            client.put("GET /ready HTTP/1.1\r\nHost: b\r\nAccept: text/plain\r\n" + extraFields + "\r\n");
             assertTrue(client.taken().startsWith("HTTP/1.1 200"));
         }
         return client;
     }
 
-    private static void assertWithinBound(long before, List<MemoryEnd> ends, String side) {
-        long each = (used() - before) / CONNECTIONS;
+    private static void assertWithinBound(long bytesBefore, List<MemoryEnd> ends, String side) {
+        long bytesPerConnection = (usedBytes() - bytesBefore) / CONNECTIONS;
         assertTrue(ends.stream().allMatch(MemoryEnd::isOpen));
-        assertTrue(each <= MOST_BYTES, each + " bytes for each resting connection of a " + side);
+        assertTrue(
+                bytesPerConnection <= MAX_BYTES_PER_CONNECTION,
+                bytesPerConnection + " bytes per idle connection of a " + side);
     }
 
     @Test
-    void aClientsRestingConnectionKeepsNeitherParserNorBuffer() {
+    void idleClientConnectionReleasesParserAndBuffer() {
         List<MemoryEnd> clients = new ArrayList<>(CONNECTIONS);
-        asked(LONG_FIELD);
-        long before = used();
+        idleClientAfterRequests(LONG_FIELD);
+        long bytesBefore = usedBytes();
         for (int i = 0; i < CONNECTIONS; i++) {
-            clients.add(asked(i % 2 == 0 ? "" : LONG_FIELD));
+            clients.add(idleClientAfterRequests(i % 2 == 0 ? "" : LONG_FIELD));
         }
         assertEquals(CONNECTIONS + 1, front.connectionCount());
-        assertWithinBound(before, clients, "client");
+        assertWithinBound(bytesBefore, clients, "client");
     }
 
     @Test
-    void aNodesRestingConnectionKeepsNeitherParserNorBuffer() {
+    void idleNodeConnectionReleasesParserAndBuffer() {
         List<MemoryEnd> nodes = new ArrayList<>(CONNECTIONS);
         List<UpstreamConnection> connections = new ArrayList<>(CONNECTIONS);
         ByteBudget budget = new ByteBudget(1 << 20);
-        long before = used();
+        long bytesBefore = usedBytes();
         for (int i = 0; i < CONNECTIONS; i++) {
             nodes.add(MemoryEnd.open(end -> {
-                UpstreamConnection connection =
-                        new UpstreamConnection(end, NodeConnectionPool.MOST_ANSWER, budget, (c, free) -> {});
+                UpstreamConnection connection = new UpstreamConnection(
+                        end, NodeConnectionPool.MAX_BUFFERED_ANSWER_BYTES, budget, (c, free) -> {});
                 connections.add(connection);
                 return connection;
             }));
             for (int j = 0; j < REQUESTS; j++) {
-                String[] answered = new String[1];
-                connections.get(i).send(new OneCall(answered));
+                String[] result = new String[1];
+                connections.get(i).send(new RecordingCall(result));
                 nodes.get(i).taken();
                 nodes.get(i)
                         .put("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 4\r\n"
                                 + (i % 2 == 0 ? "" : LONG_FIELD) + "\r\ndone");
-                assertEquals("done", answered[0]);
+                assertEquals("done", result[0]);
             }
             assertEquals(UpstreamConnection.State.IDLE, connections.get(i).state());
         }
-        assertWithinBound(before, nodes, "node");
+        assertWithinBound(bytesBefore, nodes, "node");
     }
 
-    /** A call that keeps the body that it was answered. */
-    private record OneCall(String[] answered) implements UpstreamCall {
+    /** A call that records the body of its answer, or its failure. */
+    private record RecordingCall(String[] result) implements UpstreamCall {
         @Override
         public ByteBuffer[] requestBytes() {
             return new ByteBuffer[] {BufferUtil.toBuffer("GET / HTTP/1.1\r\nHost: b\r\n\r\n")};
@@ -109,31 +117,31 @@
 
         @Override
         public void onAnswer(int status, HttpFields fields, ByteBuffer body) {
-            answered[0] = BufferUtil.toString(body);
+            result[0] = BufferUtil.toString(body);
         }
 
         @Override
-        public void onFailure(Failure how) {
-            answered[0] = how.name();
+        public void onFailure(Failure failure) {
+            result[0] = failure.name();
         }
     }
 
-    /** Without a buffer, what lies on a resting connection must be seen all the same before it is used again. */
+    /** Unread bytes on an idle connection must be detected although it has no buffer. */
     @Test
-    void aNodesRestingConnectionThatWasSentBytesIsNotUsedAgain() {
+    void idleNodeConnectionWithUnreadBytesIsNotReused() {
         List<UpstreamConnection> connections = new ArrayList<>();
         HeldEnd node = HeldEnd.open(end -> {
             connections.add(new UpstreamConnection(
-                    end, NodeConnectionPool.MOST_ANSWER, new ByteBudget(1 << 20), (c, free) -> {}));
+                    end, NodeConnectionPool.MAX_BUFFERED_ANSWER_BYTES, new ByteBudget(1 << 20), (c, free) -> {}));
             return connections.get(0);
         });
-        String[] answered = new String[1];
-        connections.get(0).send(new OneCall(answered));
+        String[] result = new String[1];
+        connections.get(0).send(new RecordingCall(result));
         node.put("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
-        assertEquals("done", answered[0]);
-        assertTrue(connections.get(0).quiet());
+        assertEquals("done", result[0]);
+        assertTrue(connections.get(0).closeUnlessQuiet());
         node.putUnread("H");
-        assertFalse(connections.get(0).quiet());
+        assertFalse(connections.get(0).closeUnlessQuiet());
         assertFalse(node.isOpen());
     }
 }
--- a/src/test/java/petrelstand/http/RehearsalTest.java
+++ b/src/test/java/petrelstand/http/JvmWarmUpTest.java
@@ -5,9 +5,9 @@
 import org.junit.jupiter.api.Test;
 import petrelstand.testing.Harness;
 
-class RehearsalTest {
+class JvmWarmUpTest {
     @Test
-    void theRehearsalServesWhatItPlays() {
+    void allWarmUpRequestsAreServed() {
         assertEquals(60, JvmWarmUp.run(new Harness().settings, 60));
     }
 }
