--- a/src/main/java/petrelstand/http/ClientConnection.java
+++ b/src/main/java/petrelstand/http/ClientConnection.java
@@ -159,7 +159,7 @@
     }
 
     /**
-     * Closes the connection to make room, unless a complete request has arrived meanwhile. A client with a partial
+     * Closes the connection to make room, unless a complete request turns out to have arrived. A client with a partial
      * request gets a 408 first.
      *
      * @return whether the connection is closed
--- a/src/main/java/petrelstand/http/HttpProtocol.java
+++ b/src/main/java/petrelstand/http/HttpProtocol.java
@@ -22,11 +22,11 @@
     public static final String TXN_HEADER = "X-Txn";
     /** Name of the plan under which a request is made. */
     public static final String PLAN_HEADER = "X-Qos-Policy";
-    /** Time for which the client still waits. */
+    /** Time in ms for which the client still waits. */
     public static final String REMAINING_MS_HEADER = "X-Remaining-Ms";
-    /** Size and shard of the requested data. */
+    /** Placement of the requested data: units, shard and hosts. */
     public static final String PLACEMENT_HEADER = "X-Placement";
-    /** 1 if the client repeats an earlier request. */
+    /** 1 if the request repeats an earlier one. */
     public static final String RESENT_HEADER = "X-Resent";
 
     public static final String IDEMPOTENCY_KEY_HEADER = "Idempotency-Key";
--- a/src/main/java/petrelstand/http/NodeConnectionPool.java
+++ b/src/main/java/petrelstand/http/NodeConnectionPool.java
@@ -260,7 +260,7 @@
             }
             done = true;
             timeout.cancel();
-            addresses.put(connection, call.address);
+            addressByConnection.put(connection, call.address);
             call.pendingConnection = null;
             call.sendOn(connection);
         }
@@ -300,15 +300,16 @@
         }
     }
 
-    private final Map<UpstreamConnection, String> addresses = new HashMap<>();
+    /** Node addresses of all established connections. */
+    private final Map<UpstreamConnection, String> addressByConnection = new HashMap<>();
 
     private void onConnectionChange(UpstreamConnection connection, boolean isIdle) {
-        String address = addresses.get(connection);
+        String address = addressByConnection.get(connection);
         if (isIdle) {
             connection.markIdle(clock.getAsLong());
             idleByAddress.computeIfAbsent(address, a -> new ArrayDeque<>()).addLast(connection);
             scheduleExpiry();
-        } else if (addresses.remove(connection) != null) {
+        } else if (addressByConnection.remove(connection) != null) {
             connectionCount--;
             ArrayDeque<UpstreamConnection> idle = idleByAddress.get(address);
             if (idle != null && idle.remove(connection) && idle.isEmpty()) {
