--- a/src/main/java/petrelstand/http/BodyBudgets.java
+++ b/src/main/java/petrelstand/http/BodyBudgets.java
@@ -3,21 +3,21 @@
 import petrelstand.lifecycle.MemoryLimits;
 
 /**
- * Bytes of bodies that a gateway's connections may keep: of requests being read, of those in work, of answers being
- * read and of answers being written. Each kind has its bound, and all together have one whatever the mixture.
+ * Budgets for the bytes of message bodies: of requests being read, of requests in progress, of answers being read and
+ * of answers being written. Each has its own limit, and all of them share a total.
  */
 public record BodyBudgets(
         ByteBudget incomingRequests,
         ByteBudget activeRequests,
         ByteBudget incomingAnswers,
         ByteBudget outgoingAnswers) {
-    /** What a plan allows. */
+    /** Creates the budgets of a memory plan. */
     public static BodyBudgets of(MemoryLimits plan) {
-        ByteBudget all = new ByteBudget(plan.bodyBytes());
+        ByteBudget total = new ByteBudget(plan.bodyBytes());
         return new BodyBudgets(
-                new ByteBudget(plan.requestReadBytes(), all),
-                new ByteBudget(plan.bodyBytes(), all),
-                new ByteBudget(plan.answerReadBytes(), all),
-                new ByteBudget(plan.answerWriteBytes(), all));
+                new ByteBudget(plan.requestReadBytes(), total),
+                new ByteBudget(plan.bodyBytes(), total),
+                new ByteBudget(plan.answerReadBytes(), total),
+                new ByteBudget(plan.answerWriteBytes(), total));
     }
 }
