--- a/src/main/java/petrelstand/cbor/CborReader.java
+++ b/src/main/java/petrelstand/cbor/CborReader.java
@@ -14,34 +14,34 @@
  * have. Whatever else comes is one IOException that says where.
  */
 public final class CborReader implements Closeable {
-    private static final CBORFactory CBOR = new CBORFactory();
+    private static final CBORFactory FACTORY = new CBORFactory();
 
     /** Reads one entry of a list. */
     public interface EntryReader<T> {
         T read() throws IOException;
     }
 
-    private final CBORParser from;
+    private final CBORParser parser;
 
     public CborReader(byte[] content) throws IOException {
-        from = CBOR.createParser(content);
+        parser = FACTORY.createParser(content);
     }
 
-    public void expect(JsonToken wanted) throws IOException {
-        JsonToken token = from.nextToken();
-        if (token != wanted) {
-            throw new IOException(token + " where " + wanted + " is wanted, byte "
-                    + from.currentTokenLocation().getByteOffset());
+    public void expect(JsonToken expected) throws IOException {
+        JsonToken token = parser.nextToken();
+        if (token != expected) {
+            throw new IOException(token + " where " + expected + " is wanted, byte "
+                    + parser.currentTokenLocation().getByteOffset());
         }
     }
 
     /** A number of 64 bits. */
     public long readLong() throws IOException {
         expect(JsonToken.VALUE_NUMBER_INT);
-        if (from.getNumberType() == JsonParser.NumberType.BIG_INTEGER) {
+        if (parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER) {
             throw new IOException("a number of more than 64 bits");
         }
-        return from.getLongValue();
+        return parser.getLongValue();
     }
 
     /** A number of 32 bits that is not negative. */
@@ -53,59 +53,59 @@
         return (int) value;
     }
 
-    public String readText(int most) throws IOException {
+    public String readText(int maxLength) throws IOException {
         expect(JsonToken.VALUE_STRING);
-        if (from.getTextLength() > most) {
-            throw new IOException("a text of more than " + most + " characters");
+        if (parser.getTextLength() > maxLength) {
+            throw new IOException("a text of more than " + maxLength + " characters");
         }
-        return from.getText();
+        return parser.getText();
     }
 
     public boolean readBoolean() throws IOException {
-        JsonToken token = from.nextToken();
+        JsonToken token = parser.nextToken();
         if (token != JsonToken.VALUE_TRUE && token != JsonToken.VALUE_FALSE) {
             throw new IOException(token + " where true or false is wanted");
         }
         return token == JsonToken.VALUE_TRUE;
     }
 
-    public byte[] readBytes(int most) throws IOException {
+    public byte[] readBytes(int maxLength) throws IOException {
         expect(JsonToken.VALUE_EMBEDDED_OBJECT);
-        byte[] bytes = from.getBinaryValue();
-        if (bytes.length > most) {
-            throw new IOException("more than " + most + " bytes");
+        byte[] bytes = parser.getBinaryValue();
+        if (bytes.length > maxLength) {
+            throw new IOException("more than " + maxLength + " bytes");
         }
         return bytes;
     }
 
     /** An array of arrays; each entry is read between its brackets. */
-    public <T> List<T> readList(int most, EntryReader<T> entry) throws IOException {
+    public <T> List<T> readList(int maxEntries, EntryReader<T> entryReader) throws IOException {
         List<T> list = new ArrayList<>();
         expect(JsonToken.START_ARRAY);
-        while (from.nextToken() == JsonToken.START_ARRAY) {
-            if (list.size() == most) {
-                throw new IOException("more than " + most + " entries");
+        while (parser.nextToken() == JsonToken.START_ARRAY) {
+            if (list.size() == maxEntries) {
+                throw new IOException("more than " + maxEntries + " entries");
             }
-            list.add(entry.read());
+            list.add(entryReader.read());
             expect(JsonToken.END_ARRAY);
         }
-        if (from.currentToken() != JsonToken.END_ARRAY) {
+        if (parser.currentToken() != JsonToken.END_ARRAY) {
             throw new IOException("an entry is a list");
         }
         return list;
     }
 
     /** An array of texts. */
-    public List<String> readTexts(int most, int mostLength) throws IOException {
+    public List<String> readTexts(int maxEntries, int maxLength) throws IOException {
         List<String> list = new ArrayList<>();
         expect(JsonToken.START_ARRAY);
-        while (from.nextToken() == JsonToken.VALUE_STRING) {
-            if (list.size() == most || from.getTextLength() > mostLength) {
-                throw new IOException("more texts than " + most + ", or one longer than " + mostLength);
+        while (parser.nextToken() == JsonToken.VALUE_STRING) {
+            if (list.size() == maxEntries || parser.getTextLength() > maxLength) {
+                throw new IOException("more texts than " + maxEntries + ", or one longer than " + maxLength);
             }
-            list.add(from.getText());
+            list.add(parser.getText());
         }
-        if (from.currentToken() != JsonToken.END_ARRAY) {
+        if (parser.currentToken() != JsonToken.END_ARRAY) {
             throw new IOException("an entry is a text");
         }
         return list;
@@ -113,13 +113,13 @@
 
     /** Nothing may follow. */
     public void expectEnd() throws IOException {
-        if (from.nextToken() != null) {
+        if (parser.nextToken() != null) {
             throw new IOException("more than a message");
         }
     }
 
     @Override
     public void close() throws IOException {
-        from.close();
+        parser.close();
     }
 }
--- a/src/main/java/petrelstand/fleet/AuthenticatedCodec.java
+++ b/src/main/java/petrelstand/fleet/AuthenticatedCodec.java
@@ -11,18 +11,18 @@
 public final class AuthenticatedCodec {
     private static final int KEY_BYTES = 32;
 
-    private final Seal seal = new Seal(List.of(new byte[KEY_BYTES]));
+    private final DatagramAuthenticator authenticator = new DatagramAuthenticator(List.of(new byte[KEY_BYTES]));
 
     /** The datagram of a message. */
     public byte[] encode(Envelope envelope) {
-        return seal.close(Codec.encode(envelope));
+        return authenticator.sign(MessageCodec.encode(envelope));
     }
 
     /** The message of a datagram that {@link #encode} made; an IOException says what is wrong with another. */
     public Envelope decode(byte[] datagram) throws IOException {
         try {
-            return Codec.decode(seal.open(ByteBuffer.wrap(datagram)));
-        } catch (Seal.Refused e) {
+            return MessageCodec.decode(authenticator.verify(ByteBuffer.wrap(datagram)));
+        } catch (DatagramAuthenticator.RefusedDatagramException e) {
             throw new IOException("refused: " + e.getMessage(), e);
         }
     }
--- a/src/main/java/petrelstand/fleet/Link.java
+++ b/src/main/java/petrelstand/fleet/DatagramTransport.java
@@ -22,40 +22,45 @@
  * for the loop in a bounded queue. Sending is done on the loop and never waits: what does not fit is lost, as datagrams
  * are.
  */
-final class Link implements Closeable {
+final class DatagramTransport implements Closeable {
     /** Messages that wait for a loop that stands still; more are dropped and counted. */
-    static final int MOST_WAITING = 512;
+    static final int MAX_QUEUED_MESSAGES = 512;
 
-    private static final int MOST_ADDRESSES = 2048;
+    private static final int MAX_CACHED_ADDRESSES = 2048;
 
     private final DatagramChannel channel;
     private final Selector selector;
-    private final ArrayBlockingQueue<Envelope> waiting = new ArrayBlockingQueue<>(MOST_WAITING);
-    private final AtomicBoolean told = new AtomicBoolean();
+    private final ArrayBlockingQueue<Envelope> received = new ArrayBlockingQueue<>(MAX_QUEUED_MESSAGES);
+    private final AtomicBoolean deliveryScheduled = new AtomicBoolean();
     private final Executor loop;
-    private final Consumer<Envelope> to;
-    private final Consumer<String> count;
+    private final Consumer<Envelope> messageHandler;
+    private final Consumer<String> incrementCounter;
     private final Map<String, InetSocketAddress> addresses = new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, InetSocketAddress> eldest) {
-            return size() > MOST_ADDRESSES;
+            return size() > MAX_CACHED_ADDRESSES;
         }
     };
     /** Takes contents about rules, on this link's thread, or null: then they are no fleet's. */
-    private volatile Consumer<byte[]> rules;
+    private volatile Consumer<byte[]> rulesHandler;
 
-    private volatile Seal incoming;
-    private Seal outgoing;
+    private volatile DatagramAuthenticator incomingAuthenticator;
+    private DatagramAuthenticator outgoingAuthenticator;
 
     /** Binds; messages and the names of counters are handed over on the loop. */
-    Link(String listen, List<byte[]> keys, Executor loop, Consumer<Envelope> to, Consumer<String> count)
+    DatagramTransport(
+            String listen,
+            List<byte[]> keys,
+            Executor loop,
+            Consumer<Envelope> messageHandler,
+            Consumer<String> incrementCounter)
             throws IOException {
         this.loop = loop;
-        this.to = to;
-        this.count = count;
-        keys(keys);
+        this.messageHandler = messageHandler;
+        this.incrementCounter = incrementCounter;
+        setKeys(keys);
         channel = DatagramChannel.open();
         try {
             channel.bind(Addresses.parse(listen));
@@ -70,33 +75,33 @@
 
     /** Begins to take what comes. */
     void start() {
-        Thread thread = new Thread(this::take, "fleet");
+        Thread thread = new Thread(this::receiveLoop, "fleet");
         thread.setDaemon(true);
         thread.start();
     }
 
     /** Takes other keys, from the next message on. On the loop. */
-    void keys(List<byte[]> keys) {
-        incoming = new Seal(keys);
-        outgoing = new Seal(keys);
+    void setKeys(List<byte[]> keys) {
+        incomingAuthenticator = new DatagramAuthenticator(keys);
+        outgoingAuthenticator = new DatagramAuthenticator(keys);
     }
 
     /** Sends, on the loop; returns the datagram's bytes, or 0 where it was lost here. */
     int send(String address, Envelope envelope) {
-        return send(address, Seal.MEMBERS, Codec.encode(envelope));
+        return send(address, DatagramAuthenticator.MEMBERSHIP_MAGIC, MessageCodec.encode(envelope));
     }
 
     /** Takes contents about rules from now on, on a thread of its own: to be handed on at once. */
-    void rules(Consumer<byte[]> to) {
-        rules = to;
+    void setRulesHandler(Consumer<byte[]> handler) {
+        rulesHandler = handler;
     }
 
     /** Sends a content, on the loop; returns the datagram's bytes, or 0 where it was lost here. */
-    int send(String address, int form, byte[] content) {
+    int send(String address, int magic, byte[] content) {
         try {
-            byte[] datagram = outgoing.close(form, content);
-            if (datagram.length > Seal.MOST) {
-                count.accept("fleet.too_long");
+            byte[] datagram = outgoingAuthenticator.sign(magic, content);
+            if (datagram.length > DatagramAuthenticator.MAX_DATAGRAM_BYTES) {
+                incrementCounter.accept("fleet.too_long");
                 return 0;
             }
             InetSocketAddress target = addresses.get(address);
@@ -106,13 +111,13 @@
             }
             return channel.send(ByteBuffer.wrap(datagram), target);
         } catch (IOException | IllegalArgumentException e) {
-            count.accept("fleet.not_sent");
+            incrementCounter.accept("fleet.not_sent");
             return 0;
         }
     }
 
-    private void take() {
-        ByteBuffer buffer = ByteBuffer.allocateDirect(Seal.MOST + 1);
+    private void receiveLoop() {
+        ByteBuffer buffer = ByteBuffer.allocateDirect(DatagramAuthenticator.MAX_DATAGRAM_BYTES + 1);
         while (channel.isOpen()) {
             try {
                 selector.select();
@@ -123,7 +128,7 @@
                         break;
                     }
                     buffer.flip();
-                    taken(buffer);
+                    handleDatagram(buffer);
                 }
             } catch (IOException | java.nio.channels.ClosedSelectorException e) {
                 // A peer's refusal shows as a fault of the next receive; the closed channel ends the thread.
@@ -131,54 +136,55 @@
         }
     }
 
-    private void taken(ByteBuffer datagram) {
-        String refused;
+    private void handleDatagram(ByteBuffer datagram) {
+        String counterName;
         try {
-            int form = datagram.remaining() < Integer.BYTES ? 0 : Seal.form(datagram);
-            byte[] content = incoming.open(datagram);
-            Consumer<byte[]> ruled = rules;
-            if (form == Seal.RULES) {
-                if (ruled == null) {
-                    throw new Seal.Refused("rules");
+            int magic = datagram.remaining() < Integer.BYTES ? 0 : DatagramAuthenticator.magic(datagram);
+            byte[] content = incomingAuthenticator.verify(datagram);
+            Consumer<byte[]> handler = rulesHandler;
+            if (magic == DatagramAuthenticator.RULES_MAGIC) {
+                if (handler == null) {
+                    throw new DatagramAuthenticator.RefusedDatagramException("rules");
                 }
-                ruled.accept(content);
+                handler.accept(content);
                 return;
             }
-            Envelope envelope = Codec.decode(content);
-            if (waiting.offer(envelope)) {
-                if (told.compareAndSet(false, true)) {
-                    loop.execute(this::hand);
+            Envelope envelope = MessageCodec.decode(content);
+            if (received.offer(envelope)) {
+                if (deliveryScheduled.compareAndSet(false, true)) {
+                    loop.execute(this::deliverReceived);
                 }
                 return;
             }
-            refused = "fleet.refused.full";
-        } catch (Seal.Refused e) {
-            refused = "fleet.refused." + e.getMessage();
+            counterName = "fleet.refused.full";
+        } catch (DatagramAuthenticator.RefusedDatagramException e) {
+            counterName = "fleet.refused." + e.getMessage();
         } catch (IOException | RuntimeException e) {
-            refused = "fleet.refused.malformed";
+            counterName = "fleet.refused.malformed";
         }
-        String name = refused;
-        if (drops.incrementAndGet() <= MOST_WAITING) {
+        String refusalCounter = counterName;
+        if (pendingRefusalCounts.incrementAndGet() <= MAX_QUEUED_MESSAGES) {
             loop.execute(() -> {
-                drops.decrementAndGet();
-                count.accept(name);
+                pendingRefusalCounts.decrementAndGet();
+                incrementCounter.accept(refusalCounter);
             });
         } else {
-            drops.decrementAndGet();
+            pendingRefusalCounts.decrementAndGet();
         }
     }
 
     /** Refusals on their way to be counted: a flood of them must not fill the loop's queue. */
-    private final java.util.concurrent.atomic.AtomicInteger drops = new java.util.concurrent.atomic.AtomicInteger();
+    private final java.util.concurrent.atomic.AtomicInteger pendingRefusalCounts =
+            new java.util.concurrent.atomic.AtomicInteger();
 
-    private void hand() {
-        told.set(false);
-        for (int i = 0; i < MOST_WAITING; i++) {
-            Envelope envelope = waiting.poll();
+    private void deliverReceived() {
+        deliveryScheduled.set(false);
+        for (int i = 0; i < MAX_QUEUED_MESSAGES; i++) {
+            Envelope envelope = received.poll();
             if (envelope == null) {
                 return;
             }
-            to.accept(envelope);
+            messageHandler.accept(envelope);
         }
     }
 
--- a/src/main/java/petrelstand/fleet/FleetMetrics.java
+++ b/src/main/java/petrelstand/fleet/FleetMetrics.java
@@ -16,7 +16,7 @@
 
 /** The fleet's figures in the Prometheus text form, by its Java client's model and writer; no member is a label. */
 public final class FleetMetrics {
-    private static final String COUNTED = "fleet.";
+    private static final String COUNTER_PREFIX = "fleet.";
 
     private FleetMetrics() {}
 
@@ -30,26 +30,30 @@
                         .labels(Labels.of("state", state))
                         .value(count)
                         .build()));
-        FleetVisibility standing = fleet.membership().visibility();
+        FleetVisibility visibility = fleet.membership().visibility();
         GaugeSnapshot.Builder reach = GaugeSnapshot.builder()
                 .name("petrelstand_fleet_reach")
                 .help("1 for the part of the agreed size that this gateway sees");
-        for (FleetVisibility.Reach one : FleetVisibility.Reach.values()) {
+        for (FleetVisibility.Reach level : FleetVisibility.Reach.values()) {
             reach.dataPoint(GaugeDataPointSnapshot.builder()
-                    .labels(Labels.of("reach", one.name().toLowerCase(Locale.ROOT)))
-                    .value(one == standing.reach() ? 1 : 0)
+                    .labels(Labels.of("reach", level.name().toLowerCase(Locale.ROOT)))
+                    .value(level == visibility.reach() ? 1 : 0)
                     .build());
         }
         CounterSnapshot.Builder events = CounterSnapshot.builder()
                 .name("petrelstand_fleet_events")
                 .help("Messages and events of membership, by kind");
-        fleet.counters().text().lines().filter(line -> line.startsWith(COUNTED)).forEach(line -> {
-            int space = line.indexOf(' ');
-            events.dataPoint(CounterDataPointSnapshot.builder()
-                    .labels(Labels.of("kind", line.substring(COUNTED.length(), space)))
-                    .value(Double.parseDouble(line.substring(space + 1)))
-                    .build());
-        });
+        fleet.counters()
+                .text()
+                .lines()
+                .filter(line -> line.startsWith(COUNTER_PREFIX))
+                .forEach(line -> {
+                    int space = line.indexOf(' ');
+                    events.dataPoint(CounterDataPointSnapshot.builder()
+                            .labels(Labels.of("kind", line.substring(COUNTER_PREFIX.length(), space)))
+                            .value(Double.parseDouble(line.substring(space + 1)))
+                            .build());
+                });
         CounterSnapshot bytes = CounterSnapshot.builder()
                 .name("petrelstand_fleet_sent_bytes")
                 .help("Bytes of datagrams sent to other members")
--- a/src/main/java/petrelstand/fleet/FleetService.java
+++ b/src/main/java/petrelstand/fleet/FleetService.java
@@ -33,9 +33,9 @@
  */
 public final class FleetService implements Membership.Callbacks {
     /** A folder that has not answered by then is done without. */
-    static final long OPEN_MS = 1_000;
+    static final long FOLDER_TIMEOUT_MS = 1_000;
 
-    private static final long WALL_US = 1000;
+    private static final long MICROS_PER_MILLI = 1000;
 
     /** Makes the module; the usual one, but for tests that plant a defect in theirs. */
     public interface MembershipFactory {
@@ -44,14 +44,14 @@
                 String fleet,
                 Member self,
                 List<String> seeds,
-                int size,
+                int fleetSize,
                 MembershipTiming timing,
                 long seed,
-                Membership.Callbacks actions);
+                Membership.Callbacks callbacks);
     }
 
-    private static MembershipFactory maker = Membership::new;
-    private static LongSupplier wallMs = System::currentTimeMillis;
+    private static MembershipFactory membershipFactory = Membership::new;
+    private static LongSupplier wallClockMs = System::currentTimeMillis;
 
     private final FleetConfig config;
     private final String name;
@@ -61,19 +61,19 @@
     private final Executor loop;
     private final Counters counters;
     private final Consumer<String> log;
-    private Link link;
-    private History history;
+    private DatagramTransport transport;
+    private HistoryWriter history;
     private Membership membership;
     private long incarnation;
     private DiskFolder folder;
-    private Runnable atLeft;
+    private Runnable onLeft;
     private volatile long viewVersion;
     private long bytesSent;
 
     /** A member as the operator's file says; its name is the gateway's where the file gives none. */
     public FleetService(
             FleetConfig config,
-            String gateway,
+            String gatewayName,
             long seed,
             Timers timers,
             LongSupplier nowUs,
@@ -81,7 +81,7 @@
             Counters counters,
             Consumer<String> log) {
         this.config = config;
-        this.name = config.name() == null ? gateway : config.name();
+        this.name = config.name() == null ? gatewayName : config.name();
         this.seed = seed;
         this.timers = timers;
         this.nowUs = nowUs;
@@ -91,9 +91,9 @@
     }
 
     /** For the laboratory and tests, before a start: another module, and a wall clock that is off. */
-    public static void overrideForTesting(MembershipFactory module, LongSupplier wall) {
-        maker = module;
-        wallMs = wall;
+    public static void overrideForTesting(MembershipFactory factory, LongSupplier clockMs) {
+        membershipFactory = factory;
+        wallClockMs = clockMs;
     }
 
     /**
@@ -101,23 +101,24 @@
      */
     public void open() throws IOException {
         try {
-            link = new Link(config.listen(), config.keys(), loop, this::receive, this::incrementCounter);
+            transport =
+                    new DatagramTransport(config.listen(), config.keys(), loop, this::receive, this::incrementCounter);
         } catch (IOException e) {
             throw new IOException("cannot listen on " + config.listen() + " for the fleet: " + e.getMessage(), e);
         }
-        incarnation = wallMs.getAsLong() * WALL_US;
+        incarnation = wallClockMs.getAsLong() * MICROS_PER_MILLI;
         if (config.folder() != null) {
-            FutureTask<Long> kept = new FutureTask<>(() -> {
+            FutureTask<Long> keptIncarnation = new FutureTask<>(() -> {
                 folder = new DiskFolder(config.folder());
                 return Incarnations.begin(folder, incarnation, log);
             });
-            Thread thread = new Thread(kept, "fleet-folder");
+            Thread thread = new Thread(keptIncarnation, "fleet-folder");
             thread.setDaemon(true);
             thread.start();
             try {
-                incarnation = kept.get(OPEN_MS, TimeUnit.MILLISECONDS);
+                incarnation = keptIncarnation.get(FOLDER_TIMEOUT_MS, TimeUnit.MILLISECONDS);
             } catch (TimeoutException e) {
-                log.accept("the folder did not answer in " + OPEN_MS + " ms; the incarnation is not kept");
+                log.accept("the folder did not answer in " + FOLDER_TIMEOUT_MS + " ms; the incarnation is not kept");
             } catch (ExecutionException e) {
                 log.accept("the incarnation is not kept: " + e.getCause().getMessage());
             } catch (InterruptedException e) {
@@ -125,7 +126,7 @@
             }
         }
         if (config.history() != null) {
-            history = new History(config.history(), log);
+            history = new HistoryWriter(config.history(), log);
         }
     }
 
@@ -139,22 +140,22 @@
                 config.advertise(),
                 MemberState.JOINING,
                 "",
-                wallMs.getAsLong(),
+                wallClockMs.getAsLong(),
                 build == null ? "unpacked" : build,
                 config.abilities());
-        membership = maker.create(
+        membership = membershipFactory.create(
                 nowUs.getAsLong(), config.fleet(), self, config.seeds(), config.size(), config.timing(), seed, this);
         log.accept("joining " + config.fleet() + " as " + name + ", incarnation " + incarnation + ", on "
                 + config.listen());
-        recordEvent("started", about(self));
-        link.start();
+        recordEvent("started", memberJson(self));
+        transport.start();
         tick();
     }
 
     private void tick() {
         membership.tick(nowUs.getAsLong());
         if (membership.hasLeft()) {
-            left();
+            finishLeaving();
         } else {
             timers.at(nowUs.getAsLong() + MembershipTiming.TICK_INTERVAL_US, this::tick);
         }
@@ -175,15 +176,15 @@
     }
 
     /** Goes on once the others are told. */
-    public void afterLeaving(Runnable then) {
+    public void afterLeaving(Runnable action) {
         if (membership == null || membership.hasLeft()) {
-            then.run();
+            action.run();
         } else {
-            atLeft = then;
+            onLeft = action;
         }
     }
 
-    private void left() {
+    private void finishLeaving() {
         recordEvent("ended", new JsonObject());
         if (history != null) {
             try {
@@ -192,31 +193,31 @@
                 Thread.currentThread().interrupt();
             }
         }
-        if (atLeft != null) {
-            atLeft.run();
+        if (onLeft != null) {
+            onLeft.run();
         }
     }
 
     /** Takes what may change while it runs: the keys. */
     public void reload(FleetConfig changed) {
-        link.keys(changed.keys());
-        boolean other = !changed.listen().equals(config.listen())
+        transport.setKeys(changed.keys());
+        boolean needsRestart = !changed.listen().equals(config.listen())
                 || !changed.seeds().equals(config.seeds())
                 || !changed.fleet().equals(config.fleet())
                 || changed.size() != config.size();
         log.accept("the keys were read anew, " + changed.keys().size() + " are good"
-                + (other ? "; only a restart takes the rest of [fleet]" : ""));
+                + (needsRestart ? "; only a restart takes the rest of [fleet]" : ""));
     }
 
     /** Takes what comes about rules from now on, on the link's thread; after {@link #open}. */
-    public void setRulesHandler(Consumer<byte[]> to) {
-        link.rules(to);
+    public void setRulesHandler(Consumer<byte[]> handler) {
+        transport.setRulesHandler(handler);
     }
 
     /** Sends a content about rules, on the loop; it may get lost. */
     public void sendRulesMessage(String address, byte[] content) {
         counters.add("rules.sent");
-        bytesSent += link.send(address, Seal.RULES, content);
+        bytesSent += transport.send(address, DatagramAuthenticator.RULES_MAGIC, content);
     }
 
     /** Where a member is reached, also one that is held to be gone: it may be there all the same; null if unknown. */
@@ -239,7 +240,7 @@
             if (!line.has("process")) {
                 line.addProperty("process", name);
             }
-            history.add(event, line);
+            history.append(event, line);
         }
     }
 
@@ -257,17 +258,17 @@
     @Override
     public void send(String address, Envelope message) {
         counters.add("fleet.sent");
-        bytesSent += link.send(address, message);
+        bytesSent += transport.send(address, message);
     }
 
     @Override
     public void onViewChanged(ViewChange change) {
         viewVersion = change.viewVersion();
         Member member = change.member();
-        String to = member.state().name().toLowerCase(java.util.Locale.ROOT);
-        log.accept((member.name().equals(name) ? "this gateway" : "member " + member.name()) + ": " + to + ", "
+        String newState = member.state().name().toLowerCase(java.util.Locale.ROOT);
+        log.accept((member.name().equals(name) ? "this gateway" : "member " + member.name()) + ": " + newState + ", "
                 + member.address() + ", " + change.cause() + "; view " + change.viewVersion());
-        JsonObject line = about(member);
+        JsonObject line = memberJson(member);
         line.addProperty("version", change.viewVersion());
         line.addProperty(
                 "from",
@@ -276,7 +277,7 @@
         recordEvent("view", line);
     }
 
-    private JsonObject about(Member member) {
+    private JsonObject memberJson(Member member) {
         JsonObject line = new JsonObject();
         line.addProperty("process", name);
         line.addProperty("member", member.name());
@@ -288,36 +289,36 @@
     }
 
     @Override
-    public void onVisibilityChanged(FleetVisibility standing) {
+    public void onVisibilityChanged(FleetVisibility visibility) {
         counters.add("fleet.standing");
-        log.accept("sees " + standing.visibleMembers() + " of " + standing.agreedSize() + ": "
-                + standing.reach().name().toLowerCase(java.util.Locale.ROOT));
+        log.accept("sees " + visibility.visibleMembers() + " of " + visibility.agreedSize() + ": "
+                + visibility.reach().name().toLowerCase(java.util.Locale.ROOT));
         JsonObject line = new JsonObject();
-        line.addProperty("reach", standing.reach().name());
-        line.addProperty("seen", standing.visibleMembers());
-        line.addProperty("of", standing.agreedSize());
+        line.addProperty("reach", visibility.reach().name());
+        line.addProperty("seen", visibility.visibleMembers());
+        line.addProperty("of", visibility.agreedSize());
         line.addProperty("digest", membership == null ? "" : Long.toHexString(membership.digest()));
         recordEvent("standing", line);
     }
 
     @Override
-    public void onStall(long us) {
+    public void onStall(long durationUs) {
         JsonObject line = new JsonObject();
-        line.addProperty("us", us);
+        line.addProperty("us", durationUs);
         recordEvent("stalled", line);
     }
 
     @Override
-    public void incrementCounter(String what) {
-        counters.add(what);
+    public void incrementCounter(String counterName) {
+        counters.add(counterName);
     }
 
     @Override
     public void logMessage(String line) {
         log.accept(line);
-        JsonObject said = new JsonObject();
-        said.addProperty("line", line);
-        recordEvent("said", said);
+        JsonObject fields = new JsonObject();
+        fields.addProperty("line", line);
+        recordEvent("said", fields);
     }
 
     // ---- Pages ----
@@ -330,38 +331,38 @@
         page.addProperty("name", name);
         page.addProperty("version", membership.viewVersion());
         page.addProperty("digest", String.format("%016x", membership.digest()));
-        JsonArray parts = new JsonArray();
-        membership.digestBuckets().forEach(part -> parts.add(String.format("%016x", part)));
-        page.add("parts", parts);
-        FleetVisibility standing = membership.visibility();
-        JsonObject reach = new JsonObject();
-        reach.addProperty("reach", standing.reach().name().toLowerCase(java.util.Locale.ROOT));
-        reach.addProperty("seen", standing.visibleMembers());
-        reach.addProperty("of", standing.agreedSize());
-        reach.addProperty("for_ms", (now - standing.sinceUs()) / 1000);
-        page.add("standing", reach);
+        JsonArray buckets = new JsonArray();
+        membership.digestBuckets().forEach(bucket -> buckets.add(String.format("%016x", bucket)));
+        page.add("parts", buckets);
+        FleetVisibility visibility = membership.visibility();
+        JsonObject visibilityJson = new JsonObject();
+        visibilityJson.addProperty("reach", visibility.reach().name().toLowerCase(java.util.Locale.ROOT));
+        visibilityJson.addProperty("seen", visibility.visibleMembers());
+        visibilityJson.addProperty("of", visibility.agreedSize());
+        visibilityJson.addProperty("for_ms", (now - visibility.sinceUs()) / 1000);
+        page.add("standing", visibilityJson);
         JsonArray members = new JsonArray();
-        for (Membership.MemberStatus line : membership.members()) {
-            Member member = line.member();
-            JsonObject one = new JsonObject();
-            one.addProperty("name", member.name());
-            one.addProperty("state", member.state().name().toLowerCase(java.util.Locale.ROOT));
-            one.addProperty("address", member.address());
-            one.addProperty("incarnation", member.incarnation());
-            one.addProperty("life", String.format("%016x", member.bootId()));
-            one.addProperty("for_ms", (now - line.stateSinceUs()) / 1000);
-            one.addProperty("cause", line.cause());
-            one.addProperty("watched_here", line.watched());
-            if (line.watched()) {
-                one.addProperty("silent_ms", (now - line.lastHeardUs()) / 1000);
-                one.addProperty("through_others", line.heardThroughRelay());
+        for (Membership.MemberStatus status : membership.members()) {
+            Member member = status.member();
+            JsonObject memberJson = new JsonObject();
+            memberJson.addProperty("name", member.name());
+            memberJson.addProperty("state", member.state().name().toLowerCase(java.util.Locale.ROOT));
+            memberJson.addProperty("address", member.address());
+            memberJson.addProperty("incarnation", member.incarnation());
+            memberJson.addProperty("life", String.format("%016x", member.bootId()));
+            memberJson.addProperty("for_ms", (now - status.stateSinceUs()) / 1000);
+            memberJson.addProperty("cause", status.cause());
+            memberJson.addProperty("watched_here", status.watched());
+            if (status.watched()) {
+                memberJson.addProperty("silent_ms", (now - status.lastHeardUs()) / 1000);
+                memberJson.addProperty("through_others", status.heardThroughRelay());
             }
-            one.addProperty("program", member.programVersion());
-            one.addProperty("started_ms", member.startMs());
-            JsonArray can = new JsonArray();
-            member.abilities().forEach(can::add);
-            one.add("can", can);
-            members.add(one);
+            memberJson.addProperty("program", member.programVersion());
+            memberJson.addProperty("started_ms", member.startMs());
+            JsonArray abilities = new JsonArray();
+            member.abilities().forEach(abilities::add);
+            memberJson.add("can", abilities);
+            members.add(memberJson);
         }
         page.add("members", members);
         return page.toString();
@@ -369,15 +370,15 @@
 
     /** Figures for metrics: members by state, the standing, and bytes sent. */
     public Map<String, Double> memberCountsByState() {
-        Map<String, Double> figures = new java.util.TreeMap<>();
+        Map<String, Double> counts = new java.util.TreeMap<>();
         for (MemberState state : MemberState.values()) {
-            figures.put(state.name().toLowerCase(java.util.Locale.ROOT), 0.0);
+            counts.put(state.name().toLowerCase(java.util.Locale.ROOT), 0.0);
         }
         membership
                 .members()
-                .forEach(line -> figures.merge(
-                        line.member().state().name().toLowerCase(java.util.Locale.ROOT), 1.0, Double::sum));
-        return figures;
+                .forEach(status -> counts.merge(
+                        status.member().state().name().toLowerCase(java.util.Locale.ROOT), 1.0, Double::sum));
+        return counts;
     }
 
     /** Bytes of datagrams sent. */
--- a/src/main/java/petrelstand/fleet/History.java
+++ b/src/main/java/petrelstand/fleet/HistoryWriter.java
@@ -16,22 +16,22 @@
  * afterwards. Written by a thread of its own; lines that a slow disk leaves no room for are dropped and counted in the
  * next one. A file is appended to: several lives of one gateway follow each other in it.
  */
-final class History {
-    private static final int MOST_WAITING = 4096;
+final class HistoryWriter {
+    private static final int MAX_QUEUED_LINES = 4096;
 
-    private final ArrayBlockingQueue<String> waiting = new ArrayBlockingQueue<>(MOST_WAITING);
+    private final ArrayBlockingQueue<String> queue = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
     private final AtomicLong dropped = new AtomicLong();
 
-    History(Path file, Consumer<String> log) throws IOException {
-        BufferedWriter to = Files.newBufferedWriter(
+    HistoryWriter(Path file, Consumer<String> log) throws IOException {
+        BufferedWriter writer = Files.newBufferedWriter(
                 file, StandardCharsets.UTF_8, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
         Thread thread = new Thread(
                 () -> {
-                    try (to) {
+                    try (writer) {
                         while (true) {
-                            to.write(waiting.take());
-                            if (waiting.isEmpty()) {
-                                to.flush();
+                            writer.write(queue.take());
+                            if (queue.isEmpty()) {
+                                writer.flush();
                             }
                         }
                     } catch (IOException e) {
@@ -47,24 +47,24 @@
     }
 
     /** Adds a line; on the loop, never waits. */
-    void add(String event, JsonObject more) {
+    void append(String event, JsonObject fields) {
         JsonObject line = new JsonObject();
         line.addProperty("event", event);
         line.addProperty("mono_us", System.nanoTime() / 1000);
         line.addProperty("wall_ms", System.currentTimeMillis());
-        more.entrySet().forEach(entry -> line.add(entry.getKey(), entry.getValue()));
-        long lost = dropped.getAndSet(0);
-        if (lost > 0) {
-            line.addProperty("dropped", lost);
+        fields.entrySet().forEach(entry -> line.add(entry.getKey(), entry.getValue()));
+        long droppedLines = dropped.getAndSet(0);
+        if (droppedLines > 0) {
+            line.addProperty("dropped", droppedLines);
         }
-        if (!waiting.offer(line + "\n")) {
-            dropped.addAndGet(lost + 1);
+        if (!queue.offer(line + "\n")) {
+            dropped.addAndGet(droppedLines + 1);
         }
     }
 
     /** Waits a little until all is written; for the end. */
     void flush() throws InterruptedException {
-        for (int i = 0; i < 50 && !waiting.isEmpty(); i++) {
+        for (int i = 0; i < 50 && !queue.isEmpty(); i++) {
             Thread.sleep(2);
         }
     }
--- a/src/main/java/petrelstand/fleet/RulesClient.java
+++ b/src/main/java/petrelstand/fleet/RulesClient.java
@@ -22,22 +22,22 @@
  * thread.
  */
 public final class RulesClient implements Closeable {
-    private static final String NAME = "asker";
-    private static final int AGAIN_MS = 200;
+    private static final String SENDER_NAME = "asker";
+    private static final int RETRY_INTERVAL_MS = 200;
 
     private final String fleet;
     private final List<InetSocketAddress> gateways;
-    private final Seal seal;
+    private final DatagramAuthenticator authenticator;
     private final DatagramSocket socket;
-    private final String own;
+    private final String ownAddress;
 
     /** Speaks from a free port of an address by which the gateways reach this machine. */
-    public RulesClient(String fleet, List<byte[]> keys, List<String> gateways, String own) throws IOException {
+    public RulesClient(String fleet, List<byte[]> keys, List<String> gateways, String ownHost) throws IOException {
         this.fleet = fleet;
         this.gateways = gateways.stream().map(Addresses::parse).toList();
-        this.seal = new Seal(keys);
-        this.socket = new DatagramSocket(0, InetAddress.getByName(own));
-        this.own = own + ":" + socket.getLocalPort();
+        this.authenticator = new DatagramAuthenticator(keys);
+        this.socket = new DatagramSocket(0, InetAddress.getByName(ownHost));
+        this.ownAddress = ownHost + ":" + socket.getLocalPort();
     }
 
     /**
@@ -45,39 +45,42 @@
      *
      * @return the version, or the fault; null where nobody who leads answered in time: it may have been taken
      */
-    public Talk.Taken propose(long base, String who, String why, String text, long patienceMs) throws IOException {
+    public Talk.Taken propose(long base, String who, String why, String text, long timeoutMs) throws IOException {
         List<String> pieces = Command.pieces(text);
-        long id = new SecureRandom().nextLong();
+        long requestId = new SecureRandom().nextLong();
         long wallMs = System.currentTimeMillis();
-        long untilNs = System.nanoTime() + patienceMs * 1_000_000;
-        int next = 0;
-        while (System.nanoTime() < untilNs) {
-            Talk.Taken taken =
-                    ask(new Talk.Offer(id, base, who, why, wallMs, next, pieces.size(), pieces.get(next)), id);
-            if (taken != null && taken.next() < 0) {
-                return taken;
+        long deadlineNs = System.nanoTime() + timeoutMs * 1_000_000;
+        int nextPiece = 0;
+        while (System.nanoTime() < deadlineNs) {
+            Talk.Taken reply = sendAndAwaitReply(
+                    new Talk.Offer(requestId, base, who, why, wallMs, nextPiece, pieces.size(), pieces.get(nextPiece)),
+                    requestId);
+            if (reply != null && reply.next() < 0) {
+                return reply;
             }
-            next = taken == null || taken.next() >= pieces.size() ? 0 : taken.next();
+            nextPiece = reply == null || reply.next() >= pieces.size() ? 0 : reply.next();
         }
         return null;
     }
 
     /** Orders; the answer, or null where nobody who leads answered in time. */
-    public Talk.Taken order(String verb, long version, String name, String who, String why, long patienceMs)
+    public Talk.Taken order(String verb, long version, String name, String who, String why, long timeoutMs)
             throws IOException {
-        long id = new SecureRandom().nextLong();
-        long untilNs = System.nanoTime() + patienceMs * 1_000_000;
-        while (System.nanoTime() < untilNs) {
-            Talk.Taken taken = ask(new Talk.Order(id, verb, version, name, who, why), id);
-            if (taken != null) {
-                return taken;
+        long requestId = new SecureRandom().nextLong();
+        long deadlineNs = System.nanoTime() + timeoutMs * 1_000_000;
+        while (System.nanoTime() < deadlineNs) {
+            Talk.Taken reply = sendAndAwaitReply(new Talk.Order(requestId, verb, version, name, who, why), requestId);
+            if (reply != null) {
+                return reply;
             }
         }
         return null;
     }
 
-    private Talk.Taken ask(Talk talk, long id) throws IOException {
-        byte[] datagram = seal.close(Seal.RULES, Wire.encode(new Parcel(fleet, NAME, own, 0, 0, null, talk)));
+    private Talk.Taken sendAndAwaitReply(Talk request, long requestId) throws IOException {
+        byte[] datagram = authenticator.sign(
+                DatagramAuthenticator.RULES_MAGIC,
+                Wire.encode(new Parcel(fleet, SENDER_NAME, ownAddress, 0, 0, null, request)));
         for (InetSocketAddress gateway : gateways) {
             try {
                 socket.send(new DatagramPacket(datagram, datagram.length, gateway));
@@ -85,20 +88,22 @@
                 // One that is not there refuses; the others are asked all the same.
             }
         }
-        byte[] buffer = new byte[Seal.MOST + 1];
-        long untilNs = System.nanoTime() + AGAIN_MS * 1_000_000L;
-        for (long leftMs = AGAIN_MS; leftMs > 0; leftMs = (untilNs - System.nanoTime()) / 1_000_000) {
-            socket.setSoTimeout((int) leftMs);
-            DatagramPacket answer = new DatagramPacket(buffer, buffer.length);
+        byte[] buffer = new byte[DatagramAuthenticator.MAX_DATAGRAM_BYTES + 1];
+        long deadlineNs = System.nanoTime() + RETRY_INTERVAL_MS * 1_000_000L;
+        for (long remainingMs = RETRY_INTERVAL_MS;
+                remainingMs > 0;
+                remainingMs = (deadlineNs - System.nanoTime()) / 1_000_000) {
+            socket.setSoTimeout((int) remainingMs);
+            DatagramPacket packet = new DatagramPacket(buffer, buffer.length);
             try {
-                socket.receive(answer);
-                Parcel parcel = Wire.decode(seal.open(ByteBuffer.wrap(buffer, 0, answer.getLength())));
-                if (parcel.talk() instanceof Talk.Taken taken && taken.id() == id) {
-                    return taken;
+                socket.receive(packet);
+                Parcel parcel = Wire.decode(authenticator.verify(ByteBuffer.wrap(buffer, 0, packet.getLength())));
+                if (parcel.talk() instanceof Talk.Taken reply && reply.id() == requestId) {
+                    return reply;
                 }
             } catch (SocketTimeoutException e) {
                 return null;
-            } catch (IOException | Seal.Refused e) {
+            } catch (IOException | DatagramAuthenticator.RefusedDatagramException e) {
                 // Not an answer; the next one may be.
             }
         }
--- a/src/main/java/petrelstand/members/AntiEntropy.java
+++ b/src/main/java/petrelstand/members/AntiEntropy.java
@@ -8,83 +8,83 @@
 /** Finds by digests where two views differ, and exchanges the claims there: what rumours have missed is made up. */
 final class AntiEntropy {
     /** How long a difference of digests may last before the parts are compared: news under way ends it before. */
-    static final long DIFFER_US = 700_000;
+    static final long MISMATCH_GRACE_US = 700_000;
     /** A process begins comparisons no more often than that: each may be answered by the whole view. */
-    static final long LEAST_COMPARE_US = 350_000;
+    static final long MIN_COMPARE_INTERVAL_US = 350_000;
 
     private static final long NEVER = Long.MAX_VALUE;
 
     private final MembershipView view;
     private final Outbox outbox;
-    private final Membership.Callbacks actions;
+    private final Membership.Callbacks callbacks;
     private long differsSinceUs = NEVER;
-    private long comparedUs;
+    private long lastCompareUs;
 
-    AntiEntropy(long nowUs, MembershipView view, Outbox outbox, Membership.Callbacks actions) {
-        this.comparedUs = nowUs - LEAST_COMPARE_US;
+    AntiEntropy(long nowUs, MembershipView view, Outbox outbox, Membership.Callbacks callbacks) {
+        this.lastCompareUs = nowUs - MIN_COMPARE_INTERVAL_US;
         this.view = view;
         this.outbox = outbox;
-        this.actions = actions;
+        this.callbacks = callbacks;
     }
 
     /** Asks whoever is at an address to compare views. */
-    void request(String address) {
-        outbox.send(address, new DigestBuckets(view.digest().parts(), true));
+    void requestComparison(String address) {
+        outbox.send(address, new DigestBuckets(view.digest().bucketValues(), true));
     }
 
     /** A member told its digest: compares where they have differed for some time. */
-    void digestHeard(long nowUs, String address, long digest) {
+    void onDigest(long nowUs, String address, long digest) {
         if (digest == view.digest().value()) {
             differsSinceUs = NEVER;
         } else if (differsSinceUs == NEVER) {
             differsSinceUs = nowUs;
-        } else if (nowUs - differsSinceUs >= DIFFER_US) {
+        } else if (nowUs - differsSinceUs >= MISMATCH_GRACE_US) {
             differsSinceUs = nowUs;
-            actions.incrementCounter("fleet.compared");
-            request(address);
+            callbacks.incrementCounter("fleet.compared");
+            requestComparison(address);
         }
     }
 
     /** A member that is new or was away told its digest: compares at once where they differ. */
-    void digestOfNewcomer(long nowUs, String address, long digest) {
-        if (digest != view.digest().value() && nowUs - comparedUs >= LEAST_COMPARE_US) {
-            comparedUs = nowUs;
-            request(address);
+    void onNewcomerDigest(long nowUs, String address, long digest) {
+        if (digest != view.digest().value() && nowUs - lastCompareUs >= MIN_COMPARE_INTERVAL_US) {
+            lastCompareUs = nowUs;
+            requestComparison(address);
         }
     }
 
     /** Sends what is held here where another's digest differs from this one's. */
-    void compare(String address, DigestBuckets digests) {
-        if (digests.buckets().size() != Message.BUCKETS || view.joining()) {
+    void sendDifferences(String address, DigestBuckets received) {
+        if (received.buckets().size() != Message.DIGEST_BUCKET_COUNT || view.isJoining()) {
             return;
         }
-        List<Long> own = view.digest().parts();
-        List<Member> differ = differing(own, digests.buckets());
+        List<Long> ownBuckets = view.digest().bucketValues();
+        List<Member> differing = membersInDifferingBuckets(ownBuckets, received.buckets());
         // What is left out here is found by the next comparison; answers to joiners and pings go before it.
-        for (int i = 0; i < differ.size() && outbox.hasSpare(); ) {
-            int many = Message.fits(differ, i);
-            outbox.send(address, new Gossip(differ.subList(i, i + many)));
-            i += many;
+        for (int i = 0; i < differing.size() && outbox.hasBulkBudget(); ) {
+            int count = Message.countFitting(differing, i);
+            outbox.send(address, new Gossip(differing.subList(i, i + count)));
+            i += count;
         }
-        if (digests.answer()) {
-            outbox.send(address, new DigestBuckets(own, false));
+        if (received.replyRequested()) {
+            outbox.send(address, new DigestBuckets(ownBuckets, false));
         }
     }
 
     /** Those that are there first: what is gone only ends a difference where the other still holds it to be there. */
-    private List<Member> differing(List<Long> own, List<Long> other) {
-        List<Member> all = new ArrayList<>(List.of(view.self()));
-        view.peers().forEach(peer -> all.add(peer.member));
-        List<Member> differ = new ArrayList<>();
-        for (Member member : all) {
-            int bucket = ViewDigest.bucket(member);
-            if (!own.get(bucket).equals(other.get(bucket))) {
-                differ.add(member);
+    private List<Member> membersInDifferingBuckets(List<Long> ownBuckets, List<Long> otherBuckets) {
+        List<Member> members = new ArrayList<>(List.of(view.self()));
+        view.peers().forEach(peer -> members.add(peer.member));
+        List<Member> differing = new ArrayList<>();
+        for (Member member : members) {
+            int bucket = ViewDigest.bucketOf(member);
+            if (!ownBuckets.get(bucket).equals(otherBuckets.get(bucket))) {
+                differing.add(member);
             }
         }
-        differ.sort((a, b) -> a.state() != b.state()
+        differing.sort((a, b) -> a.state() != b.state()
                 ? a.state().compareTo(b.state())
                 : a.name().compareTo(b.name()));
-        return differ;
+        return differing;
     }
 }
--- a/src/main/java/petrelstand/members/Dissemination.java
+++ b/src/main/java/petrelstand/members/Dissemination.java
@@ -12,118 +12,118 @@
     /** Members that news is told to in a round, and how often a round comes while there is news. */
     static final int FAN_OUT = 3;
 
-    static final long ROUND_US = 100_000;
+    static final long ROUND_INTERVAL_US = 100_000;
     /** With more rumours than that those told least go first. */
-    private static final int MOST_IN_TURN = 6;
+    private static final int MAX_UNSORTED_UPDATES = 6;
 
     /** News with how often it is still to be told. */
-    private static final class Rumour {
+    private static final class QueuedUpdate {
         final Member member;
-        int left;
+        int remainingSends;
 
-        Rumour(Member member, int left) {
+        QueuedUpdate(Member member, int remainingSends) {
             this.member = member;
-            this.left = left;
+            this.remainingSends = remainingSends;
         }
     }
 
     private final MembershipView view;
-    private final ProvenLives proven;
+    private final VerifiedProcesses verified;
     private final Outbox outbox;
     private final SplittableRandom random;
-    private final LinkedHashMap<String, Rumour> rumours = new LinkedHashMap<>();
+    private final LinkedHashMap<String, QueuedUpdate> queue = new LinkedHashMap<>();
     private long nextRoundUs;
 
-    Dissemination(MembershipView view, ProvenLives proven, Outbox outbox, SplittableRandom random) {
+    Dissemination(MembershipView view, VerifiedProcesses verified, Outbox outbox, SplittableRandom random) {
         this.view = view;
-        this.proven = proven;
+        this.verified = verified;
         this.outbox = outbox;
         this.random = random;
     }
 
-    int size() {
-        return rumours.size();
+    int queueSize() {
+        return queue.size();
     }
 
     void clear() {
-        rumours.clear();
+        queue.clear();
     }
 
-    void forget(String name) {
-        rumours.remove(name);
+    void remove(String name) {
+        queue.remove(name);
     }
 
     /** Begins to tell a claim; it takes the place of what was told of the member, but for a second accuser's. */
-    void spread(Member member) {
-        int times = FAN_OUT * (Integer.SIZE - Integer.numberOfLeadingZeros(view.others() + 2));
-        String key = isSecondAccusation(member) ? member.name() + "\0" + member.accuser() : member.name();
-        rumours.remove(key);
-        rumours.put(key, new Rumour(member, times));
+    void enqueue(Member member) {
+        int sends = FAN_OUT * (Integer.SIZE - Integer.numberOfLeadingZeros(view.presentPeerCount() + 2));
+        String key = isAdditionalAccusation(member) ? member.name() + "\0" + member.accuser() : member.name();
+        queue.remove(key);
+        queue.put(key, new QueuedUpdate(member, sends));
     }
 
-    private boolean isSecondAccusation(Member member) {
-        Rumour told = rumours.get(member.name());
+    private boolean isAdditionalAccusation(Member member) {
+        QueuedUpdate queued = queue.get(member.name());
         return member.state() == MemberState.SUSPECT
-                && told != null
-                && !told.member.accuser().equals(member.accuser());
+                && queued != null
+                && !queued.member.accuser().equals(member.accuser());
     }
 
     /** What a message to a peer takes along: first what is claimed of itself, so that it can refute it. */
-    List<Member> newsFor(Peer peer) {
-        if (view.joining()) {
+    List<Member> updatesFor(Peer peer) {
+        if (view.isJoining()) {
             return List.of();
         }
-        List<Member> news = new ArrayList<>();
+        List<Member> updates = new ArrayList<>();
         if (peer != null && peer.member.state() != MemberState.ALIVE) {
-            news.add(peer.member);
+            updates.add(peer.member);
         }
-        take(news);
-        return news;
+        appendQueued(updates);
+        return updates;
     }
 
     /** Fills a message up with rumours. */
-    private void take(List<Member> news) {
-        List<Map.Entry<String, Rumour>> queue = new ArrayList<>(rumours.entrySet());
-        if (queue.size() > MOST_IN_TURN) {
-            queue.sort((a, b) -> Integer.compare(b.getValue().left, a.getValue().left));
+    private void appendQueued(List<Member> updates) {
+        List<Map.Entry<String, QueuedUpdate>> entries = new ArrayList<>(queue.entrySet());
+        if (entries.size() > MAX_UNSORTED_UPDATES) {
+            entries.sort((a, b) -> Integer.compare(b.getValue().remainingSends, a.getValue().remainingSends));
         }
-        int bytes = news.stream().mapToInt(Message::size).sum();
-        for (Map.Entry<String, Rumour> entry : queue) {
+        int bytes = updates.stream().mapToInt(Message::maxEncodedBytes).sum();
+        for (Map.Entry<String, QueuedUpdate> entry : entries) {
             Member member = entry.getValue().member;
-            bytes += Message.size(member);
-            if (news.size() >= Message.MOST_NEWS || bytes > Message.MOST_NEWS_BYTES) {
+            bytes += Message.maxEncodedBytes(member);
+            if (updates.size() >= Message.MAX_UPDATES || bytes > Message.MAX_UPDATES_BYTES) {
                 break;
             }
-            news.add(member);
-            if (--entry.getValue().left <= 0) {
-                rumours.remove(entry.getKey());
+            updates.add(member);
+            if (--entry.getValue().remainingSends <= 0) {
+                queue.remove(entry.getKey());
             }
         }
     }
 
     /** Tells a round where one is due. */
     void tick(long nowUs) {
-        if (nowUs >= nextRoundUs && !rumours.isEmpty()) {
-            tellRound(nowUs);
+        if (nowUs >= nextRoundUs && !queue.isEmpty()) {
+            sendRound(nowUs);
         }
     }
 
     /** Tells a few members drawn; those proven go first: who has not proven this process takes no news from it. */
-    void tellRound(long nowUs) {
-        List<Peer> known = new ArrayList<>();
-        List<Peer> strangers = new ArrayList<>();
+    void sendRound(long nowUs) {
+        List<Peer> verifiedPeers = new ArrayList<>();
+        List<Peer> unverifiedPeers = new ArrayList<>();
         for (Peer peer : view.rings().members()) {
-            if (!peer.unreached) {
-                (proven.contains(peer.member.bootId()) ? known : strangers).add(peer);
+            if (!peer.unreachable) {
+                (verified.contains(peer.member.bootId()) ? verifiedPeers : unverifiedPeers).add(peer);
             }
         }
-        for (int i = 0; i < FAN_OUT && known.size() + strangers.size() > 0 && !rumours.isEmpty(); i++) {
-            List<Peer> among = known.isEmpty() ? strangers : known;
-            Peer to = among.remove(random.nextInt(among.size()));
-            List<Member> news = new ArrayList<>();
-            take(news);
-            outbox.send(to.address(), new Gossip(news));
+        for (int i = 0; i < FAN_OUT && verifiedPeers.size() + unverifiedPeers.size() > 0 && !queue.isEmpty(); i++) {
+            List<Peer> candidates = verifiedPeers.isEmpty() ? unverifiedPeers : verifiedPeers;
+            Peer target = candidates.remove(random.nextInt(candidates.size()));
+            List<Member> updates = new ArrayList<>();
+            appendQueued(updates);
+            outbox.send(target.address(), new Gossip(updates));
         }
-        nextRoundUs = nowUs + ROUND_US;
+        nextRoundUs = nowUs + ROUND_INTERVAL_US;
     }
 }
--- a/src/main/java/petrelstand/members/FailureDetector.java
+++ b/src/main/java/petrelstand/members/FailureDetector.java
@@ -9,7 +9,7 @@
 /** Probes the members that this process watches, directly and through relays, and accuses those that stay silent. */
 final class FailureDetector {
     /** Others asked to probe a silent member. */
-    static final int RELAYS = 2;
+    static final int RELAYS_PER_PROBE = 2;
 
     private final MembershipTiming timing;
     private final MembershipView view;
@@ -34,16 +34,16 @@
 
     /** Probes whom it is due to probe. */
     void tick(long nowUs, boolean isolated) {
-        Set<Peer> subjects = view.rings().subjects(nowUs, silentUs());
-        for (Peer peer : subjects) {
+        Set<Peer> targets = view.rings().watchTargets(nowUs, silenceThresholdUs());
+        for (Peer peer : targets) {
             if (watched.add(peer)) {
                 peer.watched = true;
-                peer.heardUs = nowUs;
+                peer.lastHeardUs = nowUs;
                 peer.nextPingUs = nowUs + (long) (random.nextDouble() * timing.pingIntervalUs());
             }
         }
         for (Peer peer : List.copyOf(watched)) {
-            peer.watched = subjects.contains(peer) || peer.present() && nowUs < peer.checkUntilUs;
+            peer.watched = targets.contains(peer) || peer.isPresent() && nowUs < peer.checkUntilUs;
             if (peer.watched) {
                 probe(nowUs, peer, isolated);
             } else {
@@ -53,18 +53,18 @@
     }
 
     /** Two pings without an answer. */
-    private long silentUs() {
+    private long silenceThresholdUs() {
         return 2 * timing.pingIntervalUs();
     }
 
     private void probe(long nowUs, Peer peer, boolean isolated) {
-        long silentUs = nowUs - peer.heardUs;
+        long silentUs = nowUs - peer.lastHeardUs;
         if (nowUs >= peer.nextPingUs) {
             prober.probe(peer);
-            long everyUs =
+            long intervalUs =
                     silentUs > timing.pingIntervalUs() * 3 / 2 ? timing.pingIntervalUs() / 2 : timing.pingIntervalUs();
-            peer.nextPingUs = nowUs + (long) (everyUs * (0.9 + 0.2 * random.nextDouble()));
-            if (silentUs >= silentUs() || peer.relayed) {
+            peer.nextPingUs = nowUs + (long) (intervalUs * (0.9 + 0.2 * random.nextDouble()));
+            if (silentUs >= silenceThresholdUs() || peer.heardThroughRelay) {
                 probeIndirectly(nowUs, peer);
             }
         }
@@ -76,14 +76,15 @@
     /** Asks a few relays, drawn among those heard of late: they are the likeliest to hear an answer. */
     private void probeIndirectly(long nowUs, Peer peer) {
         List<Peer> relays = relaysFor(peer);
-        int fresh = 0;
-        while (fresh < relays.size() && nowUs - relays.get(fresh).heardUs < silentUs()) {
-            fresh++;
+        int recentlyHeardCount = 0;
+        while (recentlyHeardCount < relays.size()
+                && nowUs - relays.get(recentlyHeardCount).lastHeardUs < silenceThresholdUs()) {
+            recentlyHeardCount++;
         }
-        int among = Math.max(Math.min(RELAYS, relays.size()), fresh);
-        for (int i = 0; i < RELAYS && among > 0; i++) {
-            Peer relay = relays.remove(random.nextInt(among--));
-            prober.probeThrough(relay, peer);
+        int candidateCount = Math.max(Math.min(RELAYS_PER_PROBE, relays.size()), recentlyHeardCount);
+        for (int i = 0; i < RELAYS_PER_PROBE && candidateCount > 0; i++) {
+            Peer relay = relays.remove(random.nextInt(candidateCount--));
+            prober.probeThroughRelay(relay, peer);
         }
     }
 
@@ -91,12 +92,12 @@
     private List<Peer> relaysFor(Peer peer) {
         List<Peer> relays = new ArrayList<>();
         for (Peer other : view.peers()) {
-            if (other != peer && other.member.state() == MemberState.ALIVE && !other.unreached) {
+            if (other != peer && other.member.state() == MemberState.ALIVE && !other.unreachable) {
                 relays.add(other);
             }
         }
-        relays.sort((a, b) -> a.heardUs != b.heardUs
-                ? Long.compare(b.heardUs, a.heardUs)
+        relays.sort((a, b) -> a.lastHeardUs != b.lastHeardUs
+                ? Long.compare(b.lastHeardUs, a.lastHeardUs)
                 : a.name().compareTo(b.name()));
         return relays;
     }
@@ -109,6 +110,6 @@
         peer.checkUntilUs = nowUs + timing.failAfterUs() + timing.suspectAfterUs();
         peer.nextPingUs = nowUs;
         peer.watched = watched.add(peer);
-        peer.heardUs = Math.min(peer.heardUs, nowUs - timing.suspectAfterUs() + silentUs());
+        peer.lastHeardUs = Math.min(peer.lastHeardUs, nowUs - timing.suspectAfterUs() + silenceThresholdUs());
     }
 }
--- a/src/main/java/petrelstand/members/FleetVisibility.java
+++ b/src/main/java/petrelstand/members/FleetVisibility.java
@@ -17,10 +17,10 @@
         NOBODY
     }
 
-    static Reach reach(int seen, int of) {
-        if (seen >= of && seen > 0) {
+    static Reach reachOf(int visibleMembers, int agreedSize) {
+        if (visibleMembers >= agreedSize && visibleMembers > 0) {
             return Reach.WHOLE;
         }
-        return 2 * seen > of ? Reach.MAJORITY : seen > 1 ? Reach.MINORITY : Reach.NOBODY;
+        return 2 * visibleMembers > agreedSize ? Reach.MAJORITY : visibleMembers > 1 ? Reach.MINORITY : Reach.NOBODY;
     }
 }
--- a/src/main/java/petrelstand/members/JoinProtocol.java
+++ b/src/main/java/petrelstand/members/JoinProtocol.java
@@ -12,56 +12,56 @@
 import petrelstand.members.Message.Envelope;
 import petrelstand.members.Message.JoinRequest;
 import petrelstand.members.Message.JoinResponse;
-import petrelstand.members.PendingQuestions.Purpose;
-import petrelstand.members.PendingQuestions.Question;
+import petrelstand.members.PendingRequests.PendingRequest;
+import petrelstand.members.PendingRequests.Purpose;
 
 /** How a process joins, admits others, and goes on trying seeds and failed members once it is a member. */
 final class JoinProtocol {
     /** Members named to a newcomer. */
-    static final int NAMED = 6;
+    static final int MAX_SAMPLE_MEMBERS = 6;
 
     /** Seeds, or members known before, tried at a time. */
-    private static final int TRIED_AT_A_TIME = 2;
+    private static final int ADDRESSES_PER_RETRY = 2;
 
     private final MembershipTiming timing;
     private final SplittableRandom random;
-    private final Parts parts;
+    private final MembershipComponents components;
     private final MembershipView view;
     private final LongConsumer raiseIncarnation;
-    private final Membership.Callbacks actions;
+    private final Membership.Callbacks callbacks;
     private final Set<String> seeds;
     /** Where members were before this process was away. */
-    private final Set<String> former = new LinkedHashSet<>();
+    private final Set<String> formerAddresses = new LinkedHashSet<>();
 
     private long nextRetryUs;
-    private int turn;
+    private int nextAddressIndex;
 
     JoinProtocol(
             Collection<String> seeds,
             MembershipTiming timing,
             SplittableRandom random,
-            Parts parts,
+            MembershipComponents components,
             LongConsumer raiseIncarnation,
-            Membership.Callbacks actions) {
+            Membership.Callbacks callbacks) {
         this.seeds = new LinkedHashSet<>(seeds);
-        this.seeds.remove(parts.view().self().address());
+        this.seeds.remove(components.view().self().address());
         this.timing = timing;
         this.random = random;
-        this.parts = parts;
-        this.view = parts.view();
+        this.components = components;
+        this.view = components.view();
         this.raiseIncarnation = raiseIncarnation;
-        this.actions = actions;
+        this.callbacks = callbacks;
     }
 
     /** Members were at these addresses, and may be there still. */
-    void rememberFormer(Collection<String> addresses) {
-        former.clear();
-        former.addAll(addresses);
+    void rememberFormerAddresses(Collection<String> addresses) {
+        formerAddresses.clear();
+        formerAddresses.addAll(addresses);
     }
 
     /** Joins anew, at once. */
     void restart(long nowUs) {
-        parts.nameClaim().restart();
+        components.nameOwnership().restart();
         nextRetryUs = nowUs;
     }
 
@@ -75,134 +75,139 @@
 
     /** Joining asks seeds and members known; a member tries seeds that are none and one that failed. */
     private void retry(long nowUs) {
-        view.forgetOldTombstones(nowUs);
-        boolean joining = view.joining();
+        view.removeExpiredTombstones(nowUs);
+        boolean joining = view.isJoining();
         List<String> targets = retryTargets(joining);
         for (String address : targets) {
             if (joining) {
-                long nonce = parts.pending().add(Purpose.JOIN, "", address, 0);
-                parts.outbox().send(address, new JoinRequest(nonce, view.self()));
+                long nonce = components.pending().add(Purpose.JOIN, "", address, 0);
+                components.outbox().send(address, new JoinRequest(nonce, view.self()));
             } else {
-                parts.prober().challengeAt(address);
+                components.prober().challengeAddress(address);
             }
         }
-        if (joining && !parts.departure().begun() && parts.nameClaim().mayTakeUnanswered(targets.isEmpty())) {
-            enter(nowUs, "nobody answers");
+        if (joining
+                && !components.leaveProtocol().hasBegun()
+                && components.nameOwnership().mayTakeNameUnanswered(targets.isEmpty())) {
+            becomeMember(nowUs, "nobody answers");
         }
     }
 
     private List<String> retryTargets(boolean joining) {
-        Set<String> known = new LinkedHashSet<>(seeds);
+        Set<String> knownAddresses = new LinkedHashSet<>(seeds);
         if (joining) {
-            known.addAll(former);
+            knownAddresses.addAll(formerAddresses);
         }
-        Set<String> present = new HashSet<>();
-        List<String> gone = new ArrayList<>();
+        Set<String> presentAddresses = new HashSet<>();
+        List<String> goneAddresses = new ArrayList<>();
         for (Peer peer : view.peers()) {
-            (peer.present() && !peer.unreached && !joining ? present : gone).add(peer.address());
+            (peer.isPresent() && !peer.unreachable && !joining ? presentAddresses : goneAddresses).add(peer.address());
         }
-        List<String> tried = new ArrayList<>(known);
-        tried.removeAll(present);
-        gone.removeAll(tried);
-        gone.remove(view.self().address());
-        Collections.sort(gone);
+        List<String> candidates = new ArrayList<>(knownAddresses);
+        candidates.removeAll(presentAddresses);
+        goneAddresses.removeAll(candidates);
+        goneAddresses.remove(view.self().address());
+        Collections.sort(goneAddresses);
         List<String> targets = new ArrayList<>();
-        for (int i = 0; i < TRIED_AT_A_TIME && !tried.isEmpty(); i++) {
-            targets.add(tried.remove(Math.floorMod(turn++, tried.size())));
+        for (int i = 0; i < ADDRESSES_PER_RETRY && !candidates.isEmpty(); i++) {
+            targets.add(candidates.remove(Math.floorMod(nextAddressIndex++, candidates.size())));
         }
-        if (!gone.isEmpty()) {
-            targets.add(gone.get(random.nextInt(gone.size())));
+        if (!goneAddresses.isEmpty()) {
+            targets.add(goneAddresses.get(random.nextInt(goneAddresses.size())));
         }
         return targets;
     }
 
     /** Another process asks whether its name is free. */
-    void answer(Envelope from, JoinRequest join) {
-        Member other = join.self();
-        if (!other.name().equals(from.senderName()) || other.bootId() != from.senderBootId()) {
-            actions.incrementCounter("fleet.refused.claim");
+    void handleJoinRequest(Envelope envelope, JoinRequest request) {
+        Member joiner = request.joiner();
+        if (!joiner.name().equals(envelope.senderName()) || joiner.bootId() != envelope.senderBootId()) {
+            callbacks.incrementCounter("fleet.refused.claim");
             return;
         }
-        Peer peer = view.peer(other.name());
+        Peer peer = view.peer(joiner.name());
         Member holder = peer == null ? null : peer.member;
-        boolean taken = peer != null && isHeldFrom(peer, other);
-        parts.outbox().send(from.senderAddress(), new JoinResponse(join.nonce(), !taken, holder, drawnMembers()));
-        if (taken) {
-            actions.incrementCounter("fleet.refused.name");
+        boolean nameTaken = peer != null && isOwnedByAnotherProcess(peer, joiner);
+        components
+                .outbox()
+                .send(envelope.senderAddress(), new JoinResponse(request.nonce(), !nameTaken, holder, sampleMembers()));
+        if (nameTaken) {
+            callbacks.incrementCounter("fleet.refused.name");
         }
     }
 
     /** Whether a name is another process's; a new life at the same address is a restart. */
-    private static boolean isHeldFrom(Peer holder, Member other) {
-        return holder.present()
-                && !holder.unreached
-                && holder.member.bootId() != other.bootId()
-                && !holder.address().equals(other.address());
+    private static boolean isOwnedByAnotherProcess(Peer holder, Member joiner) {
+        return holder.isPresent()
+                && !holder.unreachable
+                && holder.member.bootId() != joiner.bootId()
+                && !holder.address().equals(joiner.address());
     }
 
     /** Some members that are there, drawn. */
-    private List<Member> drawnMembers() {
-        List<Peer> there = new ArrayList<>(view.rings().members());
-        List<Member> drawn = new ArrayList<>();
-        while (drawn.size() < NAMED && !there.isEmpty()) {
-            Peer peer = there.remove(random.nextInt(there.size()));
-            if (!peer.unreached) {
-                drawn.add(peer.member);
+    private List<Member> sampleMembers() {
+        List<Peer> candidates = new ArrayList<>(view.rings().members());
+        List<Member> sample = new ArrayList<>();
+        while (sample.size() < MAX_SAMPLE_MEMBERS && !candidates.isEmpty()) {
+            Peer peer = candidates.remove(random.nextInt(candidates.size()));
+            if (!peer.unreachable) {
+                sample.add(peer.member);
             }
         }
-        return drawn.subList(0, Message.fits(drawn, 0));
+        return sample.subList(0, Message.countFitting(sample, 0));
     }
 
     /** A member has answered whether this process's name is free. */
-    void answered(long nowUs, Envelope from, JoinResponse answer) {
-        Question question = parts.pending().take(answer.nonce());
-        if (question == null || question.purpose() != Purpose.JOIN) {
-            actions.incrementCounter("fleet.refused.late");
+    void handleJoinResponse(long nowUs, Envelope envelope, JoinResponse response) {
+        PendingRequest request = components.pending().remove(response.nonce());
+        if (request == null || request.purpose() != Purpose.JOIN) {
+            callbacks.incrementCounter("fleet.refused.late");
             return;
         }
-        parts.proven().proveOnce(from.senderBootId(), from.sequence());
-        parts.health().heardAny(nowUs);
-        if (!view.joining() || parts.departure().begun()) {
+        components.verified().addIfAbsent(envelope.senderBootId(), envelope.sequence());
+        components.health().recordHeard(nowUs);
+        if (!view.isJoining() || components.leaveProtocol().hasBegun()) {
             return;
         }
-        Member holder = answer.holder();
-        if (!answer.welcome() && holder != null) {
-            parts.nameClaim().stepBack(nowUs, holder);
+        Member holder = response.nameHolder();
+        if (!response.accepted() && holder != null) {
+            components.nameOwnership().yieldName(nowUs, holder);
             return;
         }
-        if (holder != null && isFormerLife(holder)) {
+        if (holder != null && isFormerProcess(holder)) {
             raiseIncarnation.accept(holder.incarnation());
         }
-        enter(nowUs, "welcomed by " + from.senderName());
-        answer.some().forEach(member -> parts.claims().learn(nowUs, member, from.senderName()));
-        fetchView(from, answer.some());
+        becomeMember(nowUs, "welcomed by " + envelope.senderName());
+        response.sampleMembers()
+                .forEach(member -> components.updateProcessor().process(nowUs, member, envelope.senderName()));
+        fetchView(envelope, response.sampleMembers());
     }
 
     /** Whether a claim is on this process's name but not on its life as it is. */
-    private boolean isFormerLife(Member holder) {
+    private boolean isFormerProcess(Member holder) {
         Member self = view.self();
         boolean differs = holder.bootId() != self.bootId() || holder.state() != MemberState.ALIVE;
         return holder.name().equals(self.name()) && differs;
     }
 
     /** What is known is asked of any member: a fleet that starts at once would ask it all of its seeds. */
-    private void fetchView(Envelope from, List<Member> members) {
-        if (members.isEmpty()) {
-            parts.antiEntropy().request(from.senderAddress());
+    private void fetchView(Envelope envelope, List<Member> sample) {
+        if (sample.isEmpty()) {
+            components.antiEntropy().requestComparison(envelope.senderAddress());
         } else {
-            Member one = members.get(random.nextInt(members.size()));
-            parts.prober().challenge(one.name(), one.address());
+            Member member = sample.get(random.nextInt(sample.size()));
+            components.prober().challenge(member.name(), member.address());
         }
     }
 
-    private void enter(long nowUs, String cause) {
-        parts.nameClaim().won();
-        view.becomes(nowUs, MemberState.ALIVE, cause);
-        parts.health().heardAny(nowUs);
+    private void becomeMember(long nowUs, String cause) {
+        components.nameOwnership().markAcquired();
+        view.changeOwnState(nowUs, MemberState.ALIVE, cause);
+        components.health().recordHeard(nowUs);
         view.resetObservations(nowUs);
-        parts.detector().clear();
-        former.clear();
-        parts.dissemination().spread(view.self());
-        view.updateStanding(nowUs);
+        components.detector().clear();
+        formerAddresses.clear();
+        components.dissemination().enqueue(view.self());
+        view.updateVisibility(nowUs);
     }
 }
--- a/src/main/java/petrelstand/members/LocalHealth.java
+++ b/src/main/java/petrelstand/members/LocalHealth.java
@@ -4,31 +4,31 @@
 final class LocalHealth {
     private final MembershipTiming timing;
     private final MembershipView view;
-    private long heardAnyUs;
+    private long lastHeardUs;
 
     LocalHealth(long nowUs, MembershipTiming timing, MembershipView view) {
-        this.heardAnyUs = nowUs;
+        this.lastHeardUs = nowUs;
         this.timing = timing;
         this.view = view;
     }
 
     /** Somebody is heard. */
-    void heardAny(long nowUs) {
-        heardAnyUs = nowUs;
+    void recordHeard(long nowUs) {
+        lastHeardUs = nowUs;
     }
 
     /** This process stood still for a time in which it could hear nobody. */
-    void excuse(long nowUs, long stoodUs) {
-        heardAnyUs = Math.min(nowUs, heardAnyUs + stoodUs);
+    void discountStall(long nowUs, long stallUs) {
+        lastHeardUs = Math.min(nowUs, lastHeardUs + stallUs);
     }
 
     /** Whether this process hears nobody. */
-    boolean isolated(long nowUs) {
-        return view.others() > 0 && nowUs - heardAnyUs >= timing.isolatedUs();
+    boolean isIsolated(long nowUs) {
+        return view.presentPeerCount() > 0 && nowUs - lastHeardUs >= timing.isolationThresholdUs();
     }
 
     /** Whether nobody was heard for as long as a silent member takes to fail. */
-    boolean isolatedForGood(long nowUs) {
-        return nowUs - heardAnyUs >= timing.suspectAfterUs() + timing.failAfterUs();
+    boolean isIsolatedPastFailTimeout(long nowUs) {
+        return nowUs - lastHeardUs >= timing.suspectAfterUs() + timing.failAfterUs();
     }
 }
--- a/src/main/java/petrelstand/members/BoundedTable.java
+++ b/src/main/java/petrelstand/members/LruMap.java
@@ -4,20 +4,20 @@
 import java.util.Map;
 
 /** A table of at most so many entries; the one longest unused goes first. */
-final class BoundedTable<V> extends LinkedHashMap<Long, V> {
+final class LruMap<V> extends LinkedHashMap<Long, V> {
     private static final long serialVersionUID = 1;
-    private static final int START_CAPACITY = 16;
+    private static final int INITIAL_CAPACITY = 16;
     private static final float LOAD_FACTOR = 0.75f;
 
-    private final int most;
+    private final int maxEntries;
 
-    BoundedTable(int most) {
-        super(START_CAPACITY, LOAD_FACTOR, true);
-        this.most = most;
+    LruMap(int maxEntries) {
+        super(INITIAL_CAPACITY, LOAD_FACTOR, true);
+        this.maxEntries = maxEntries;
     }
 
     @Override
     protected boolean removeEldestEntry(Map.Entry<Long, V> eldest) {
-        return size() > most;
+        return size() > maxEntries;
     }
 }
--- a/src/main/java/petrelstand/members/Member.java
+++ b/src/main/java/petrelstand/members/Member.java
@@ -32,15 +32,15 @@
         abilities = List.copyOf(abilities);
     }
 
-    Member as(MemberState changed, String whose) {
-        return new Member(name, bootId, incarnation, address, changed, whose, startMs, programVersion, abilities);
+    Member withState(MemberState newState, String newAccuser) {
+        return new Member(name, bootId, incarnation, address, newState, newAccuser, startMs, programVersion, abilities);
     }
 
-    Member raised(long to) {
-        return new Member(name, bootId, to, address, state, accuser, startMs, programVersion, abilities);
+    Member withIncarnation(long newIncarnation) {
+        return new Member(name, bootId, newIncarnation, address, state, accuser, startMs, programVersion, abilities);
     }
 
-    boolean sameLife(Member other) {
+    boolean isSameProcess(Member other) {
         return bootId == other.bootId && name.equals(other.name);
     }
 }
--- a/src/main/java/petrelstand/members/Membership.java
+++ b/src/main/java/petrelstand/members/Membership.java
@@ -19,13 +19,13 @@
  */
 public class Membership {
     /** Members known, those that are gone among them. */
-    public static final int MAX_MEMBERS = MembershipView.MOST_MEMBERS;
+    public static final int MAX_MEMBERS = MembershipView.MAX_MEMBERS;
     /** Lives whose messages are taken: those that answered a nonce of this process. */
-    static final int MOST_PROVEN = ProvenLives.MOST;
+    static final int MAX_VERIFIED_PROCESSES = VerifiedProcesses.MAX_ENTRIES;
     /** Questions out at a time. */
-    static final int MOST_ASKED = PendingQuestions.MOST;
+    static final int MAX_PENDING_REQUESTS = PendingRequests.MAX_ENTRIES;
     /** Messages a second that this process sends at most, over a second and in the long run. */
-    static final double MOST_SENT = Outbox.MOST_SENT;
+    static final double MAX_MESSAGES_PER_SECOND = Outbox.MAX_MESSAGES_PER_SECOND;
 
     /** What the process does for this module. */
     public interface Callbacks {
@@ -36,13 +36,13 @@
         void onViewChanged(ViewChange change);
 
         /** What this gateway sees of the fleet has changed. */
-        void onVisibilityChanged(FleetVisibility standing);
+        void onVisibilityChanged(FleetVisibility visibility);
 
         /** This process did not run for so long, without having been asked to. */
-        void onStall(long us);
+        void onStall(long durationUs);
 
         /** Something happened that is counted; names are few and fixed. */
-        void incrementCounter(String what);
+        void incrementCounter(String name);
 
         /** Something that an operator should read. */
         void logMessage(String line);
@@ -58,19 +58,19 @@
             boolean watched) {}
 
     private final MembershipTiming timing;
-    private final Callbacks actions;
-    private final MembershipView members;
-    private final ProvenLives proven = new ProvenLives();
-    private final PendingQuestions pending;
+    private final Callbacks callbacks;
+    private final MembershipView view;
+    private final VerifiedProcesses verified = new VerifiedProcesses();
+    private final PendingRequests pending;
     private final Outbox outbox;
     private final Dissemination dissemination;
     private final Suspicion suspicion;
     private final FailureDetector detector;
     private final LocalHealth health;
-    private final Departure departure;
-    private final JoinProtocol join;
-    private final Receiver receiver;
-    private long tickedUs;
+    private final LeaveProtocol leaveProtocol;
+    private final JoinProtocol joinProtocol;
+    private final MessageReceiver receiver;
+    private long lastTickUs;
 
     /**
      * A process that wants to be a member.
@@ -85,113 +85,114 @@
             String fleet,
             Member self,
             Collection<String> seeds,
-            int size,
+            int fleetSize,
             MembershipTiming timing,
             long seed,
-            Callbacks actions) {
+            Callbacks callbacks) {
         Objects.requireNonNull(fleet);
         this.timing = timing;
-        this.actions = actions;
-        this.tickedUs = nowUs;
+        this.callbacks = callbacks;
+        this.lastTickUs = nowUs;
         SplittableRandom random = new SplittableRandom(seed);
         WatchRings rings = new WatchRings(fleet, self.name());
-        members = new MembershipView(nowUs, self.as(MemberState.JOINING, ""), size, rings, proven, actions);
-        outbox = new Outbox(fleet, members, actions);
-        pending = new PendingQuestions(random);
-        dissemination = new Dissemination(members, proven, outbox, random);
-        Prober prober = new Prober(members, pending, dissemination, outbox);
-        suspicion = new Suspicion(timing, members, dissemination, actions);
-        detector = new FailureDetector(timing, members, prober, suspicion, random);
-        health = new LocalHealth(nowUs, timing, members);
-        departure = new Departure(members, dissemination, outbox);
-        AntiEntropy antiEntropy = new AntiEntropy(nowUs, members, outbox, actions);
-        NameClaim nameClaim = new NameClaim(members, dissemination, outbox, actions);
-        ClaimIntake claims = new ClaimIntake(
-                members,
+        view = new MembershipView(
+                nowUs, self.withState(MemberState.JOINING, ""), fleetSize, rings, verified, callbacks);
+        outbox = new Outbox(fleet, view, callbacks);
+        pending = new PendingRequests(random);
+        dissemination = new Dissemination(view, verified, outbox, random);
+        Prober prober = new Prober(view, pending, dissemination, outbox);
+        suspicion = new Suspicion(timing, view, dissemination, callbacks);
+        detector = new FailureDetector(timing, view, prober, suspicion, random);
+        health = new LocalHealth(nowUs, timing, view);
+        leaveProtocol = new LeaveProtocol(view, dissemination, outbox);
+        AntiEntropy antiEntropy = new AntiEntropy(nowUs, view, outbox, callbacks);
+        NameOwnership nameOwnership = new NameOwnership(view, dissemination, outbox, callbacks);
+        UpdateProcessor updateProcessor = new UpdateProcessor(
+                view,
                 dissemination,
                 suspicion,
                 detector,
-                nameClaim,
-                (claim, known) -> supersedes(claim, known),
-                above -> raise(above),
-                actions);
-        Parts parts = new Parts(
-                members,
-                proven,
+                nameOwnership,
+                (update, known) -> supersedes(update, known),
+                above -> raiseIncarnation(above),
+                callbacks);
+        MembershipComponents components = new MembershipComponents(
+                view,
+                verified,
                 pending,
                 prober,
                 outbox,
                 dissemination,
                 detector,
                 health,
-                departure,
+                leaveProtocol,
                 antiEntropy,
-                nameClaim,
-                claims);
-        join = new JoinProtocol(seeds, timing, random, parts, above -> raise(above), actions);
-        receiver = new Receiver(fleet, parts, join, actions);
+                nameOwnership,
+                updateProcessor);
+        joinProtocol = new JoinProtocol(seeds, timing, random, components, above -> raiseIncarnation(above), callbacks);
+        receiver = new MessageReceiver(fleet, components, joinProtocol, callbacks);
     }
 
     // ---- What others ask of this module ----
 
     /** This process as it is known. */
     public Member self() {
-        return members.self();
+        return view.self();
     }
 
     /** Grows with each change of the view; of this process alone. */
     public long viewVersion() {
-        return members.version();
+        return view.version();
     }
 
     /** The same wherever the same members are held to be there, in the same state and incarnation. */
     public long digest() {
-        return members.digest().value();
+        return view.digest().value();
     }
 
     /** The digest's parts: where two gateways' differ, their views differ in members of that part. */
     public List<Long> digestBuckets() {
-        return members.digest().parts();
+        return view.digest().bucketValues();
     }
 
     /** How much of the fleet is seen. */
     public FleetVisibility visibility() {
-        return members.standing();
+        return view.visibility();
     }
 
     /** The view, this process first, then by name; members that nobody was heard of while cut off show as failed. */
     public List<MemberStatus> members() {
-        return members.lines(tickedUs);
+        return view.memberStatuses(lastTickUs);
     }
 
     /** Addresses of the members that are there and reached, by name; this process is not among them. */
     public Map<String, String> reachableAddresses() {
-        return members.reached();
+        return view.reachableAddresses();
     }
 
     /** Where a member is or was reached; null where it is not known. This process's own is its own. */
     public String addressOf(String name) {
-        if (name.equals(members.self().name())) {
-            return members.self().address();
+        if (name.equals(view.self().name())) {
+            return view.self().address();
         }
-        Peer peer = members.peer(name);
+        Peer peer = view.peer(name);
         return peer == null ? null : peer.address();
     }
 
     /** Tells that this process will end; {@link #hasLeft} says when all is told. */
     public void leave(long nowUs) {
-        departure.begin(nowUs);
+        leaveProtocol.begin(nowUs);
     }
 
     /** Whether this process has left, as it was asked to. */
     public boolean hasLeft() {
-        return departure.ended();
+        return leaveProtocol.isFinished();
     }
 
     /** A message that came; who sent it has shown that it has the fleet's key. */
-    public void receive(long nowUs, Envelope from) {
-        if (!departure.ended()) {
-            receiver.receive(nowUs, from);
+    public void receive(long nowUs, Envelope envelope) {
+        if (!leaveProtocol.isFinished()) {
+            receiver.receive(nowUs, envelope);
         }
     }
 
@@ -199,97 +200,99 @@
 
     /** To be called every {@link MembershipTiming#TICK_INTERVAL_US}. */
     public void tick(long nowUs) {
-        long elapsedUs = nowUs - tickedUs;
+        long elapsedUs = nowUs - lastTickUs;
         outbox.refill(elapsedUs);
-        tickedUs = nowUs;
-        if (departure.ended()) {
+        lastTickUs = nowUs;
+        if (leaveProtocol.isFinished()) {
             return;
         }
-        noteStall(nowUs, elapsedUs - MembershipTiming.TICK_INTERVAL_US);
-        if (departure.due(nowUs)) {
-            departure.end(nowUs);
+        handleStall(nowUs, elapsedUs - MembershipTiming.TICK_INTERVAL_US);
+        if (leaveProtocol.isDue(nowUs)) {
+            leaveProtocol.finish(nowUs);
             return;
         }
-        join.tick(nowUs);
-        if (!members.joining()) {
+        joinProtocol.tick(nowUs);
+        if (!view.isJoining()) {
             detectFailures(nowUs);
         }
         dissemination.tick(nowUs);
     }
 
     private void detectFailures(long nowUs) {
-        boolean isolated = health.isolated(nowUs);
+        boolean isolated = health.isIsolated(nowUs);
         detector.tick(nowUs, isolated);
-        suspicion.decide(nowUs, isolated);
-        if (isolated && health.isolatedForGood(nowUs)) {
-            members.peers().stream()
-                    .filter(peer -> peer.present() && !peer.unreached)
-                    .forEach(peer -> members.markUnreached(nowUs, peer));
-            members.updateStanding(nowUs);
+        suspicion.failExpiredSuspects(nowUs, isolated);
+        if (isolated && health.isIsolatedPastFailTimeout(nowUs)) {
+            view.peers().stream()
+                    .filter(peer -> peer.isPresent() && !peer.unreachable)
+                    .forEach(peer -> view.markUnreachable(nowUs, peer));
+            view.updateVisibility(nowUs);
         }
     }
 
-    private void noteStall(long nowUs, long stoodUs) {
-        if (wasAway(stoodUs)) {
-            rejoin(nowUs, stoodUs);
-        } else if (stoodUs >= timing.stallUs()) {
-            actions.incrementCounter("fleet.stalls");
-            actions.onStall(stoodUs);
-            excuse(nowUs, stoodUs);
+    private void handleStall(long nowUs, long stallUs) {
+        if (requiresRejoin(stallUs)) {
+            rejoin(nowUs, stallUs);
+        } else if (stallUs >= timing.stallThresholdUs()) {
+            callbacks.incrementCounter("fleet.stalls");
+            callbacks.onStall(stallUs);
+            discountStall(nowUs, stallUs);
         }
     }
 
     /** Whether this process stood still for so long that others may have given it up. */
-    boolean wasAway(long stoodUs) {
-        return stoodUs >= timing.awayUs();
+    boolean requiresRejoin(long stallUs) {
+        return stallUs >= timing.rejoinThresholdUs();
     }
 
     /** This process stood still: nobody was silent meanwhile. Harm: who fell silent then is found so later. */
-    private void excuse(long nowUs, long stoodUs) {
-        for (Peer peer : members.peers()) {
-            peer.heardUs = Math.min(nowUs, peer.heardUs + stoodUs);
+    private void discountStall(long nowUs, long stallUs) {
+        for (Peer peer : view.peers()) {
+            peer.lastHeardUs = Math.min(nowUs, peer.lastHeardUs + stallUs);
             if (peer.member.state() == MemberState.SUSPECT) {
-                peer.sinceUs = Math.min(nowUs, peer.sinceUs + stoodUs);
+                peer.stateSinceUs = Math.min(nowUs, peer.stateSinceUs + stallUs);
             }
         }
-        health.excuse(nowUs, stoodUs);
+        health.discountStall(nowUs, stallUs);
     }
 
     /** Others may have given this process up, and all that it knows is old: nobody is there until it has joined. */
-    private void rejoin(long nowUs, long stoodUs) {
-        long stoodMs = stoodUs / 1000;
-        actions.incrementCounter("fleet.away");
-        actions.onStall(stoodUs);
-        actions.logMessage("away: this process stood still for " + stoodMs + " ms; joining anew");
-        join.rememberFormer(members.forgetPresent());
+    private void rejoin(long nowUs, long stallUs) {
+        long stallMs = stallUs / 1000;
+        callbacks.incrementCounter("fleet.away");
+        callbacks.onStall(stallUs);
+        callbacks.logMessage("away: this process stood still for " + stallMs + " ms; joining anew");
+        joinProtocol.rememberFormerAddresses(view.removePresentPeers());
         detector.clear();
         dissemination.clear();
         pending.clear();
-        if (!departure.begun()) {
-            members.becomes(nowUs, MemberState.JOINING, "stood still for " + stoodMs + " ms");
-            join.restart(nowUs);
+        if (!leaveProtocol.hasBegun()) {
+            view.changeOwnState(nowUs, MemberState.JOINING, "stood still for " + stallMs + " ms");
+            joinProtocol.restart(nowUs);
         }
-        health.heardAny(nowUs);
-        members.updateStanding(nowUs);
+        health.recordHeard(nowUs);
+        view.updateVisibility(nowUs);
     }
 
     // ---- Rules that the tests replace to plant a defect ----
 
     /** Raises this process's incarnation above one that was claimed. */
-    void raise(long above) {
-        members.raiseIncarnation(above);
+    void raiseIncarnation(long above) {
+        view.raiseIncarnation(above);
     }
 
     /** Whether a claim replaces another on the same name: a later incarnation, or of one life the later state. */
-    boolean supersedes(Member claim, Member known) {
-        if (claim.incarnation() != known.incarnation()) {
-            return claim.incarnation() > known.incarnation();
+    boolean supersedes(Member update, Member known) {
+        if (update.incarnation() != known.incarnation()) {
+            return update.incarnation() > known.incarnation();
         }
-        return claim.sameLife(known) ? claim.state().compareTo(known.state()) > 0 : claim.bootId() > known.bootId();
+        return update.isSameProcess(known)
+                ? update.state().compareTo(known.state()) > 0
+                : update.bootId() > known.bootId();
     }
 
     /** Lives, questions, members and rumours kept, for the test that each is bounded. */
-    List<Integer> kept() {
-        return List.of(proven.size(), pending.size(), members.peers().size(), dissemination.size());
+    List<Integer> tableSizes() {
+        return List.of(verified.size(), pending.size(), view.peers().size(), dissemination.queueSize());
     }
 }
--- a/src/main/java/petrelstand/members/Parts.java
+++ b/src/main/java/petrelstand/members/MembershipComponents.java
@@ -1,16 +1,16 @@
 package petrelstand.members;
 
 /** The parts of one process's membership, as its protocols share them. */
-record Parts(
+record MembershipComponents(
         MembershipView view,
-        ProvenLives proven,
-        PendingQuestions pending,
+        VerifiedProcesses verified,
+        PendingRequests pending,
         Prober prober,
         Outbox outbox,
         Dissemination dissemination,
         FailureDetector detector,
         LocalHealth health,
-        Departure departure,
+        LeaveProtocol leaveProtocol,
         AntiEntropy antiEntropy,
-        NameClaim nameClaim,
-        ClaimIntake claims) {}
+        NameOwnership nameOwnership,
+        UpdateProcessor updateProcessor) {}
--- a/src/main/java/petrelstand/members/MembershipTiming.java
+++ b/src/main/java/petrelstand/members/MembershipTiming.java
@@ -25,17 +25,17 @@
     }
 
     /** A tick later than this means that this process stood still: it doubts itself before it accuses. */
-    long stallUs() {
+    long stallThresholdUs() {
         return 4 * TICK_INTERVAL_US;
     }
 
     /** After standing still for so long others may hold this process to be failed: it joins anew. */
-    long awayUs() {
+    long rejoinThresholdUs() {
         return suspectAfterUs + failAfterUs / 2;
     }
 
     /** Nobody heard for so long: this process takes itself for the one that is cut off. */
-    long isolatedUs() {
+    long isolationThresholdUs() {
         return suspectAfterUs - pingIntervalUs;
     }
 }
--- a/src/main/java/petrelstand/members/MembershipView.java
+++ b/src/main/java/petrelstand/members/MembershipView.java
@@ -15,14 +15,14 @@
  */
 final class MembershipView {
     /** Members known, those that are gone among them. */
-    static final int MOST_MEMBERS = 1024;
+    static final int MAX_MEMBERS = 1024;
     /** A failed member is tried again for so long, and known for so long. */
-    static final long TOMBSTONE_US = 24L * 3600 * 1_000_000;
+    static final long TOMBSTONE_LIFETIME_US = 24L * 3600 * 1_000_000;
 
     private final WatchRings rings;
-    private final ProvenLives proven;
-    private final Membership.Callbacks actions;
-    private final StandingTracker standing;
+    private final VerifiedProcesses verified;
+    private final Membership.Callbacks callbacks;
+    private final FleetVisibilityTracker visibility;
     private final ViewDigest digest = new ViewDigest();
     private final Map<String, Peer> peers = new HashMap<>();
     private final Set<Peer> suspects = new LinkedHashSet<>();
@@ -31,25 +31,30 @@
     private String selfCause = "started";
     private long version;
     /** Others that are there, and those of them that are not reached while this process hears nobody. */
-    private int others;
+    private int presentPeerCount;
 
-    private int unreached;
+    private int unreachableCount;
 
     MembershipView(
-            long nowUs, Member self, int size, WatchRings rings, ProvenLives proven, Membership.Callbacks actions) {
+            long nowUs,
+            Member self,
+            int fleetSize,
+            WatchRings rings,
+            VerifiedProcesses verified,
+            Membership.Callbacks callbacks) {
         this.self = self;
         this.selfSinceUs = nowUs;
         this.rings = rings;
-        this.proven = proven;
-        this.actions = actions;
-        this.standing = new StandingTracker(nowUs, size, actions);
+        this.verified = verified;
+        this.callbacks = callbacks;
+        this.visibility = new FleetVisibilityTracker(nowUs, fleetSize, callbacks);
     }
 
     Member self() {
         return self;
     }
 
-    boolean joining() {
+    boolean isJoining() {
         return self.state() == MemberState.JOINING;
     }
 
@@ -61,8 +66,8 @@
         return digest;
     }
 
-    FleetVisibility standing() {
-        return standing.standing();
+    FleetVisibility visibility() {
+        return visibility.current();
     }
 
     /** All known, those that are gone among them. */
@@ -92,53 +97,54 @@
     }
 
     /** Others that are there, reached or not. */
-    int others() {
-        return others;
+    int presentPeerCount() {
+        return presentPeerCount;
     }
 
-    boolean anyUnreached() {
-        return unreached > 0;
+    boolean hasUnreachablePeers() {
+        return unreachableCount > 0;
     }
 
     /** The view, this process first, then by name. */
-    List<Membership.MemberStatus> lines(long nowUs) {
-        List<Membership.MemberStatus> lines = new ArrayList<>();
-        lines.add(new Membership.MemberStatus(self, selfSinceUs, selfCause, nowUs, false, false));
-        new TreeMap<>(peers).values().forEach(peer -> lines.add(line(peer)));
-        return lines;
+    List<Membership.MemberStatus> memberStatuses(long nowUs) {
+        List<Membership.MemberStatus> statuses = new ArrayList<>();
+        statuses.add(new Membership.MemberStatus(self, selfSinceUs, selfCause, nowUs, false, false));
+        new TreeMap<>(peers).values().forEach(peer -> statuses.add(statusOf(peer)));
+        return statuses;
     }
 
-    private static Membership.MemberStatus line(Peer peer) {
-        Member shown = peer.unreached ? peer.member.as(MemberState.FAILED, "") : peer.member;
-        String cause = peer.unreached ? "nobody is heard here" : peer.cause;
-        return new Membership.MemberStatus(shown, peer.sinceUs, cause, peer.heardUs, peer.relayed, peer.watched);
+    private static Membership.MemberStatus statusOf(Peer peer) {
+        Member shown = peer.unreachable ? peer.member.withState(MemberState.FAILED, "") : peer.member;
+        String cause = peer.unreachable ? "nobody is heard here" : peer.cause;
+        return new Membership.MemberStatus(
+                shown, peer.stateSinceUs, cause, peer.lastHeardUs, peer.heardThroughRelay, peer.watched);
     }
 
     /** Addresses of the others that are there and reached, by name. */
-    Map<String, String> reached() {
-        Map<String, String> found = new TreeMap<>();
+    Map<String, String> reachableAddresses() {
+        Map<String, String> addresses = new TreeMap<>();
         peers.values().stream()
-                .filter(peer -> peer.present() && !peer.unreached)
-                .forEach(peer -> found.put(peer.name(), peer.address()));
-        return found;
+                .filter(peer -> peer.isPresent() && !peer.unreachable)
+                .forEach(peer -> addresses.put(peer.name(), peer.address()));
+        return addresses;
     }
 
     // ---- This process ----
 
     /** This process has another state from now on. */
-    void becomes(long nowUs, MemberState state, String cause) {
-        MemberState from = self.state();
-        replaceSelf(self.as(state, ""));
+    void changeOwnState(long nowUs, MemberState state, String cause) {
+        MemberState previousState = self.state();
+        replaceSelf(self.withState(state, ""));
         selfSinceUs = nowUs;
         selfCause = cause;
         version++;
-        actions.onViewChanged(new ViewChange(nowUs, version, self, from, cause));
-        updateStanding(nowUs);
+        callbacks.onViewChanged(new ViewChange(nowUs, version, self, previousState, cause));
+        updateVisibility(nowUs);
     }
 
     /** Raises this process's incarnation above one that was claimed. */
     void raiseIncarnation(long above) {
-        replaceSelf(self.raised(Math.max(self.incarnation(), above + 1)));
+        replaceSelf(self.withIncarnation(Math.max(self.incarnation(), above + 1)));
     }
 
     private void replaceSelf(Member changed) {
@@ -148,85 +154,85 @@
     }
 
     /** This process has refuted a claim on itself. */
-    void refuted() {
+    void recordRefutation() {
         version++;
     }
 
     // ---- The others ----
 
     /** Makes room for a name not known yet, where need be at the cost of the oldest tombstone; null where none is. */
-    Peer admit(long nowUs, String name) {
-        if (peers.size() >= MOST_MEMBERS && !forgetOldestTombstone()) {
+    Peer addPeer(long nowUs, String name) {
+        if (peers.size() >= MAX_MEMBERS && !removeOldestTombstone()) {
             return null;
         }
         Peer peer = new Peer();
         peers.put(name, peer);
-        peer.heardUs = nowUs;
+        peer.lastHeardUs = nowUs;
         return peer;
     }
 
-    private boolean forgetOldestTombstone() {
+    private boolean removeOldestTombstone() {
         Peer oldest = null;
         for (Peer peer : peers.values()) {
-            if (!peer.present() && (oldest == null || peer.sinceUs < oldest.sinceUs)) {
+            if (!peer.isPresent() && (oldest == null || peer.stateSinceUs < oldest.stateSinceUs)) {
                 oldest = peer;
             }
         }
         return oldest != null && peers.remove(oldest.name()) != null;
     }
 
-    void forgetOldTombstones(long nowUs) {
-        peers.values().removeIf(peer -> !peer.present() && nowUs - peer.sinceUs > TOMBSTONE_US);
+    void removeExpiredTombstones(long nowUs) {
+        peers.values().removeIf(peer -> !peer.isPresent() && nowUs - peer.stateSinceUs > TOMBSTONE_LIFETIME_US);
     }
 
     /** Nobody is there any more; tombstones stay, as others may still hold old claims on them. Gives the addresses. */
-    List<String> forgetPresent() {
+    List<String> removePresentPeers() {
         List<String> addresses = new ArrayList<>();
         for (Peer peer : peers.values()) {
-            if (peer.present()) {
+            if (peer.isPresent()) {
                 addresses.add(peer.address());
                 digest.toggle(peer.member);
             }
         }
-        peers.values().removeIf(Peer::present);
+        peers.values().removeIf(Peer::isPresent);
         rings.clear();
         suspects.clear();
-        others = 0;
-        unreached = 0;
+        presentPeerCount = 0;
+        unreachableCount = 0;
         return addresses;
     }
 
     /** Takes a claim on a peer. */
-    void apply(long nowUs, Peer peer, Member claim, String cause) {
-        Member before = peer.member;
-        boolean wasPresent = before != null && before.state().isPresent();
-        boolean restarted = before != null && before.bootId() != claim.bootId();
-        if (before != null) {
-            digest.toggle(before);
+    void applyUpdate(long nowUs, Peer peer, Member update, String cause) {
+        Member previous = peer.member;
+        boolean wasPresent = previous != null && previous.state().isPresent();
+        boolean restarted = previous != null && previous.bootId() != update.bootId();
+        if (previous != null) {
+            digest.toggle(previous);
         }
-        if (wasPresent && !claim.state().isPresent()) {
+        if (wasPresent && !update.state().isPresent()) {
             rings.remove(peer);
-            others--;
+            presentPeerCount--;
         }
-        if (!wasPresent && claim.state().isPresent()) {
-            peer.heardUs = Math.max(peer.heardUs, nowUs);
-            others++;
-            peer.member = claim;
+        if (!wasPresent && update.state().isPresent()) {
+            peer.lastHeardUs = Math.max(peer.lastHeardUs, nowUs);
+            presentPeerCount++;
+            peer.member = update;
             rings.add(peer);
         }
         if (restarted) {
-            proven.forget(before.bootId());
-            peer.heardUs = nowUs;
+            verified.remove(previous.bootId());
+            peer.lastHeardUs = nowUs;
         }
-        peer.member = claim;
-        noteSuspicion(peer);
-        clearUnreachedIfGone(peer);
-        digest.toggle(claim);
-        report(nowUs, peer, before, cause);
-        updateStanding(nowUs);
+        peer.member = update;
+        updateSuspicion(peer);
+        clearUnreachableIfGone(peer);
+        digest.toggle(update);
+        reportChange(nowUs, peer, previous, cause);
+        updateVisibility(nowUs);
     }
 
-    private void noteSuspicion(Peer peer) {
+    private void updateSuspicion(Peer peer) {
         peer.accusers.clear();
         suspects.remove(peer);
         if (peer.member.state() == MemberState.SUSPECT) {
@@ -235,61 +241,61 @@
         }
     }
 
-    private void clearUnreachedIfGone(Peer peer) {
-        if (!peer.present() && peer.unreached) {
-            peer.unreached = false;
-            unreached--;
+    private void clearUnreachableIfGone(Peer peer) {
+        if (!peer.isPresent() && peer.unreachable) {
+            peer.unreachable = false;
+            unreachableCount--;
         }
     }
 
-    private void report(long nowUs, Peer peer, Member before, String cause) {
-        Member now = peer.member;
-        MemberState from = before == null ? null : before.state();
-        boolean restarted = before != null && before.bootId() != now.bootId();
-        if (from == now.state() && !restarted) {
+    private void reportChange(long nowUs, Peer peer, Member previous, String cause) {
+        Member current = peer.member;
+        MemberState previousState = previous == null ? null : previous.state();
+        boolean restarted = previous != null && previous.bootId() != current.bootId();
+        if (previousState == current.state() && !restarted) {
             return;
         }
-        peer.sinceUs = nowUs;
+        peer.stateSinceUs = nowUs;
         peer.cause = cause;
         version++;
-        actions.onViewChanged(new ViewChange(nowUs, version, now, from, cause));
-        if (now.state() == MemberState.LEFT && from != null && from.isPresent()) {
-            standing.left();
+        callbacks.onViewChanged(new ViewChange(nowUs, version, current, previousState, cause));
+        if (current.state() == MemberState.LEFT && previousState != null && previousState.isPresent()) {
+            visibility.recordLeft();
         }
     }
 
     /** Marks a member as not reached while this process hears nobody. */
-    void markUnreached(long nowUs, Peer peer) {
-        MemberState claimed = peer.member.state();
-        peer.unreached = true;
-        unreached++;
+    void markUnreachable(long nowUs, Peer peer) {
+        MemberState previousState = peer.member.state();
+        peer.unreachable = true;
+        unreachableCount++;
         version++;
-        Member shown = peer.member.as(MemberState.FAILED, "");
-        actions.onViewChanged(new ViewChange(nowUs, version, shown, claimed, "nobody is heard here"));
+        Member shown = peer.member.withState(MemberState.FAILED, "");
+        callbacks.onViewChanged(new ViewChange(nowUs, version, shown, previousState, "nobody is heard here"));
     }
 
     /** Marks a member as reached again. */
-    void markReached(long nowUs, Peer peer) {
-        peer.unreached = false;
-        unreached--;
-        peer.heardUs = nowUs;
+    void markReachable(long nowUs, Peer peer) {
+        peer.unreachable = false;
+        unreachableCount--;
+        peer.lastHeardUs = nowUs;
         version++;
-        actions.onViewChanged(new ViewChange(nowUs, version, peer.member, MemberState.FAILED, "heard again"));
+        callbacks.onViewChanged(new ViewChange(nowUs, version, peer.member, MemberState.FAILED, "heard again"));
     }
 
     /** Holds all to have been heard just now and to be watched by nobody here. */
     void resetObservations(long nowUs) {
         for (Peer peer : peers.values()) {
-            peer.unreached = false;
-            peer.heardUs = nowUs;
+            peer.unreachable = false;
+            peer.lastHeardUs = nowUs;
             peer.watched = false;
         }
-        unreached = 0;
+        unreachableCount = 0;
     }
 
     /** Tells the standing if it is another than before. */
-    void updateStanding(long nowUs) {
+    void updateVisibility(long nowUs) {
         boolean member = self.state().isPresent();
-        standing.seen(nowUs, member ? 1 + others - unreached : 0);
+        visibility.update(nowUs, member ? 1 + presentPeerCount - unreachableCount : 0);
     }
 }
--- a/src/main/java/petrelstand/members/Message.java
+++ b/src/main/java/petrelstand/members/Message.java
@@ -2,66 +2,68 @@
 
 import java.util.List;
 
-/** What members say to each other. News are claims that ride along, as many as {@link #fits} lets in. */
+/** What members say to each other. News are claims that ride along, as many as {@link #countFitting} lets in. */
 public sealed interface Message {
     /**
      * Claims in one message at most, and what they may take together, so that it stays within a datagram of 1,400
      * bytes.
      */
-    int MOST_NEWS = 16;
+    int MAX_UPDATES = 16;
 
-    int MOST_NEWS_BYTES = 1100;
+    int MAX_UPDATES_BYTES = 1100;
     /** What a claim takes beside its texts: numbers of up to 9 bytes, and a head of up to 2 for each text and list. */
-    int CLAIM_BYTES = 42;
+    int UPDATE_OVERHEAD_BYTES = 42;
     /** Parts that the digest of a view is told in, so that two gateways can say where theirs differ. */
-    int BUCKETS = 16;
+    int DIGEST_BUCKET_COUNT = 16;
 
     /** Asks for an {@link Ack}; the nonce is the asker's own, so no old answer passes for a new one. */
-    record Ping(long nonce, long digest, List<Member> news) implements Message {}
+    record Ping(long nonce, long digest, List<Member> updates) implements Message {}
 
     /** Answers; {@code of} names another life that the sender heard from in the asker's place, or is empty and 0. */
-    record Ack(long nonce, long digest, String of, long ofBoot, List<Member> news) implements Message {}
+    record Ack(long nonce, long digest, String subjectName, long subjectBootId, List<Member> updates)
+            implements Message {}
 
     /** Asks the receiver to ping another in the sender's place. */
-    record PingRequest(long nonce, String name, String address) implements Message {}
+    record PingRequest(long nonce, String targetName, String targetAddress) implements Message {}
 
     /** Asks whether the name is free. */
-    record JoinRequest(long nonce, Member self) implements Message {}
+    record JoinRequest(long nonce, Member joiner) implements Message {}
 
     /**
      * The answer to {@link JoinRequest}; the holder of the name, as the sender knows it, or null, and some members that
      * are there, so that newcomers spread what they ask over the fleet and not over its seeds alone.
      */
-    record JoinResponse(long nonce, boolean welcome, Member holder, List<Member> some) implements Message {}
+    record JoinResponse(long nonce, boolean accepted, Member nameHolder, List<Member> sampleMembers)
+            implements Message {}
 
     /** The parts of the sender's digest; the receiver sends what it holds where they differ. */
-    record DigestBuckets(List<Long> buckets, boolean answer) implements Message {}
+    record DigestBuckets(List<Long> buckets, boolean replyRequested) implements Message {}
 
     /** Claims alone. */
-    record Gossip(List<Member> news) implements Message {}
+    record Gossip(List<Member> updates) implements Message {}
 
     /** How many of the claims from a place on fit into one message; one always does. */
-    static int fits(List<Member> claims, int from) {
+    static int countFitting(List<Member> updates, int start) {
         int bytes = 0;
-        int many = 0;
-        while (many < MOST_NEWS && from + many < claims.size()) {
-            bytes += size(claims.get(from + many));
-            if (many > 0 && bytes > MOST_NEWS_BYTES) {
+        int count = 0;
+        while (count < MAX_UPDATES && start + count < updates.size()) {
+            bytes += maxEncodedBytes(updates.get(start + count));
+            if (count > 0 && bytes > MAX_UPDATES_BYTES) {
                 break;
             }
-            many++;
+            count++;
         }
-        return many;
+        return count;
     }
 
     /** Bytes that a claim takes at most; names and addresses are ASCII. */
-    static int size(Member claim) {
-        int bytes = CLAIM_BYTES
-                + claim.name().length()
-                + claim.address().length()
-                + claim.accuser().length()
-                + claim.programVersion().length();
-        for (String ability : claim.abilities()) {
+    static int maxEncodedBytes(Member update) {
+        int bytes = UPDATE_OVERHEAD_BYTES
+                + update.name().length()
+                + update.address().length()
+                + update.accuser().length()
+                + update.programVersion().length();
+        for (String ability : update.abilities()) {
             bytes += 2 + ability.length();
         }
         return bytes;
--- a/src/main/java/petrelstand/members/NameClaim.java
+++ b/src/main/java/petrelstand/members/NameOwnership.java
@@ -7,22 +7,22 @@
 import petrelstand.members.Message.JoinResponse;
 
 /** This process's claim on its name: one process at a time has it, and the other takes no part meanwhile. */
-final class NameClaim {
+final class NameOwnership {
     /** A first start that nobody answers goes on alone after so many retries. */
-    static final int ALONE_RETRIES = 5;
+    static final int MAX_UNANSWERED_RETRIES = 5;
 
     private final MembershipView view;
     private final Dissemination dissemination;
     private final Outbox outbox;
-    private final Membership.Callbacks actions;
+    private final Membership.Callbacks callbacks;
     private boolean heldByAnother;
     private int retries;
 
-    NameClaim(MembershipView view, Dissemination dissemination, Outbox outbox, Membership.Callbacks actions) {
+    NameOwnership(MembershipView view, Dissemination dissemination, Outbox outbox, Membership.Callbacks callbacks) {
         this.view = view;
         this.dissemination = dissemination;
         this.outbox = outbox;
-        this.actions = actions;
+        this.callbacks = callbacks;
     }
 
     /** This process begins to ask whether the name is free. */
@@ -31,42 +31,42 @@
     }
 
     /** The name is this process's. */
-    void won() {
+    void markAcquired() {
         heldByAnother = false;
     }
 
     /** Whether this process may take the name unasked: there is nobody to ask, or nobody answers. */
-    boolean mayTakeUnanswered(boolean nobodyToAsk) {
-        return !heldByAnother && (nobodyToAsk || retries++ >= ALONE_RETRIES);
+    boolean mayTakeNameUnanswered(boolean noAddresses) {
+        return !heldByAnother && (noAddresses || retries++ >= MAX_UNANSWERED_RETRIES);
     }
 
     /** Another process has the name: this one is no member until that one is gone. */
-    void stepBack(long nowUs, Member holder) {
+    void yieldName(long nowUs, Member holder) {
         if (!heldByAnother) {
             heldByAnother = true;
-            actions.incrementCounter("fleet.stepped_back");
-            actions.logMessage("name: " + view.self().name() + " is held by another process at " + holder.address()
+            callbacks.incrementCounter("fleet.stepped_back");
+            callbacks.logMessage("name: " + view.self().name() + " is held by another process at " + holder.address()
                     + "; this one takes no part until that one is gone");
         }
         retries = 0;
-        if (!view.joining()) {
-            dissemination.forget(view.self().name());
-            view.becomes(nowUs, MemberState.JOINING, "the name is held at " + holder.address());
+        if (!view.isJoining()) {
+            dissemination.remove(view.self().name());
+            view.changeOwnState(nowUs, MemberState.JOINING, "the name is held at " + holder.address());
         }
     }
 
     /** A process under this one's name hears who has it; who has the lower incarnation steps back. */
-    void answerNamesake(Envelope from) {
-        if (view.joining()) {
+    void answerNameConflict(Envelope envelope) {
+        if (view.isJoining()) {
             return;
         }
         Member self = view.self();
-        if (from.message() instanceof JoinRequest join) {
-            boolean moved = from.senderAddress().equals(self.address());
-            outbox.send(from.senderAddress(), new JoinResponse(join.nonce(), moved, self, List.of()));
+        if (envelope.message() instanceof JoinRequest request) {
+            boolean sameAddress = envelope.senderAddress().equals(self.address());
+            outbox.send(envelope.senderAddress(), new JoinResponse(request.nonce(), sameAddress, self, List.of()));
         } else {
-            outbox.send(from.senderAddress(), new Gossip(List.of(self)));
+            outbox.send(envelope.senderAddress(), new Gossip(List.of(self)));
         }
-        actions.incrementCounter("fleet.refused.name");
+        callbacks.incrementCounter("fleet.refused.name");
     }
 }
--- a/src/main/java/petrelstand/members/Peer.java
+++ b/src/main/java/petrelstand/members/Peer.java
@@ -7,13 +7,13 @@
 final class Peer {
     Member member;
     /** When it became what it is, and why. */
-    long sinceUs;
+    long stateSinceUs;
 
     String cause;
     /** When it was last heard, from itself or through others; for one newly watched, when that began. */
-    long heardUs;
+    long lastHeardUs;
     /** Whether it was last heard through a relay. */
-    boolean relayed;
+    boolean heardThroughRelay;
     /** Whether it is probed by this process. */
     boolean watched;
     /** Until when this process probes it as a checker of its suspicion. */
@@ -24,9 +24,9 @@
     /** Names of those who suspect it; empty where it is no suspect. */
     final Set<String> accusers = new HashSet<>();
     /** Silent while this process heard nobody: not told to others, and taken back once it hears anybody. */
-    boolean unreached;
+    boolean unreachable;
 
-    boolean present() {
+    boolean isPresent() {
         return member.state().isPresent();
     }
 
--- a/src/main/java/petrelstand/members/PendingQuestions.java
+++ b/src/main/java/petrelstand/members/PendingRequests.java
@@ -3,9 +3,9 @@
 import java.util.SplittableRandom;
 
 /** Questions sent and not yet answered, each under a nonce of its own. */
-final class PendingQuestions {
+final class PendingRequests {
     /** Questions out at a time; the oldest goes first. */
-    static final int MOST = 256;
+    static final int MAX_ENTRIES = 256;
 
     /** What a question was sent for. */
     enum Purpose {
@@ -28,32 +28,32 @@
      * @param address asked; for a relay, who wants to know
      * @param origin for a relay the nonce of who wants to know; else 0
      */
-    record Question(Purpose purpose, String name, String address, long origin) {}
+    record PendingRequest(Purpose purpose, String name, String address, long requesterNonce) {}
 
     private final SplittableRandom random;
-    private final BoundedTable<Question> questions = new BoundedTable<>(MOST);
+    private final LruMap<PendingRequest> requests = new LruMap<>(MAX_ENTRIES);
 
-    PendingQuestions(SplittableRandom random) {
+    PendingRequests(SplittableRandom random) {
         this.random = random;
     }
 
     /** Notes a question; gives the nonce to send it with. */
-    long add(Purpose purpose, String name, String address, long origin) {
+    long add(Purpose purpose, String name, String address, long requesterNonce) {
         long nonce = random.nextLong();
-        questions.put(nonce, new Question(purpose, name, address, origin));
+        requests.put(nonce, new PendingRequest(purpose, name, address, requesterNonce));
         return nonce;
     }
 
     /** The question of a nonce, which is answered by that; null where none is out. */
-    Question take(long nonce) {
-        return questions.remove(nonce);
+    PendingRequest remove(long nonce) {
+        return requests.remove(nonce);
     }
 
     void clear() {
-        questions.clear();
+        requests.clear();
     }
 
     int size() {
-        return questions.size();
+        return requests.size();
     }
 }
--- a/src/main/java/petrelstand/members/Prober.java
+++ b/src/main/java/petrelstand/members/Prober.java
@@ -2,16 +2,16 @@
 
 import petrelstand.members.Message.Ping;
 import petrelstand.members.Message.PingRequest;
-import petrelstand.members.PendingQuestions.Purpose;
+import petrelstand.members.PendingRequests.Purpose;
 
 /** Sends pings, each noted with what it is for. */
 final class Prober {
     private final MembershipView view;
-    private final PendingQuestions pending;
+    private final PendingRequests pending;
     private final Dissemination dissemination;
     private final Outbox outbox;
 
-    Prober(MembershipView view, PendingQuestions pending, Dissemination dissemination, Outbox outbox) {
+    Prober(MembershipView view, PendingRequests pending, Dissemination dissemination, Outbox outbox) {
         this.view = view;
         this.pending = pending;
         this.dissemination = dissemination;
@@ -20,36 +20,36 @@
 
     /** Probes a watched member; an earlier probe of it is given up. */
     void probe(Peer peer) {
-        pending.take(peer.pingNonce);
+        pending.remove(peer.pingNonce);
         peer.pingNonce = pending.add(Purpose.PROBE, peer.name(), peer.address(), 0);
-        ping(peer.address(), peer.pingNonce, peer);
+        sendPing(peer.address(), peer.pingNonce, peer);
     }
 
     /** Asks a relay to probe a member. */
-    void probeThrough(Peer relay, Peer peer) {
+    void probeThroughRelay(Peer relay, Peer peer) {
         long nonce = pending.add(Purpose.INDIRECT_PROBE, peer.name(), peer.address(), 0);
         outbox.send(relay.address(), new PingRequest(nonce, peer.name(), peer.address()));
     }
 
     /** Probes a member in the place of another, which wants to know under a nonce of its own. */
-    void probeFor(String asker, PingRequest ask) {
-        long nonce = pending.add(Purpose.RELAY, ask.name(), asker, ask.nonce());
-        ping(ask.address(), nonce, view.peer(ask.name()));
+    void probeOnBehalfOf(String requesterAddress, PingRequest request) {
+        long nonce = pending.add(Purpose.RELAY, request.targetName(), requesterAddress, request.nonce());
+        sendPing(request.targetAddress(), nonce, view.peer(request.targetName()));
     }
 
     /** Asks a life to prove itself. */
     void challenge(String name, String address) {
         long nonce = pending.add(Purpose.CHALLENGE, name, address, 0);
-        ping(address, nonce, view.peer(name));
+        sendPing(address, nonce, view.peer(name));
     }
 
     /** Asks whoever is at an address to prove itself. */
-    void challengeAt(String address) {
+    void challengeAddress(String address) {
         long nonce = pending.add(Purpose.CHALLENGE, "", address, 0);
-        ping(address, nonce, view.peerAt(address));
+        sendPing(address, nonce, view.peerAt(address));
     }
 
-    private void ping(String address, long nonce, Peer peer) {
-        outbox.send(address, new Ping(nonce, view.digest().value(), dissemination.newsFor(peer)));
+    private void sendPing(String address, long nonce, Peer peer) {
+        outbox.send(address, new Ping(nonce, view.digest().value(), dissemination.updatesFor(peer)));
     }
 }
--- a/src/main/java/petrelstand/members/Hash.java
+++ b/src/main/java/petrelstand/members/StableHash.java
@@ -1,8 +1,8 @@
 package petrelstand.members;
 
 /** Well-mixed numbers of names, the same in every process. */
-final class Hash {
-    private Hash() {}
+final class StableHash {
+    private StableHash() {}
 
     /** Steele, Lea and Flood's finalizer of SplittableRandom: every bit of the input moves every bit of the result. */
     static long mix(long value) {
@@ -12,17 +12,17 @@
         return z ^ z >>> 31;
     }
 
-    static long of(String text) {
-        long sum = text.length();
+    static long hash(String text) {
+        long hash = text.length();
         for (int i = 0; i < text.length(); i++) {
-            sum = mix(sum ^ text.charAt(i));
+            hash = mix(hash ^ text.charAt(i));
         }
-        return sum;
+        return hash;
     }
 
     /** What a claim adds to the digest of a view: life, incarnation and state, not who said so. */
-    static long of(Member member) {
-        return mix(of(member.name())
+    static long hash(Member member) {
+        return mix(hash(member.name())
                 ^ mix(member.state().ordinal() ^ mix(member.bootId()))
                 ^ mix(member.incarnation() + 1));
     }
--- a/src/main/java/petrelstand/members/Suspicion.java
+++ b/src/main/java/petrelstand/members/Suspicion.java
@@ -6,20 +6,21 @@
 /** Suspects members that are silent, and decides when a suspect that does not refute in time has failed. */
 final class Suspicion {
     /** Accusers that a suspect needs to fail, and members that check where a suspect has fewer. */
-    static final int ACCUSERS = 2;
+    static final int REQUIRED_ACCUSERS = 2;
 
-    static final int CHECKERS = 3;
+    static final int MAX_CHECKERS = 3;
 
     private final MembershipTiming timing;
     private final MembershipView view;
     private final Dissemination dissemination;
-    private final Membership.Callbacks actions;
+    private final Membership.Callbacks callbacks;
 
-    Suspicion(MembershipTiming timing, MembershipView view, Dissemination dissemination, Membership.Callbacks actions) {
+    Suspicion(
+            MembershipTiming timing, MembershipView view, Dissemination dissemination, Membership.Callbacks callbacks) {
         this.timing = timing;
         this.view = view;
         this.dissemination = dissemination;
-        this.actions = actions;
+        this.callbacks = callbacks;
     }
 
     /** A member that this process watches has been silent for too long, directly and through relays. */
@@ -27,54 +28,57 @@
         String self = view.self().name();
         MemberState state = peer.member.state();
         if (state == MemberState.ALIVE) {
-            actions.incrementCounter("fleet.suspected");
-            long silentMs = (nowUs - peer.heardUs) / 1000;
-            Member suspect = peer.member.as(MemberState.SUSPECT, self);
-            view.apply(nowUs, peer, suspect, "silent for " + silentMs + " ms here and to those asked");
-            dissemination.spread(peer.member);
+            callbacks.incrementCounter("fleet.suspected");
+            long silentMs = (nowUs - peer.lastHeardUs) / 1000;
+            Member suspect = peer.member.withState(MemberState.SUSPECT, self);
+            view.applyUpdate(nowUs, peer, suspect, "silent for " + silentMs + " ms here and to those asked");
+            dissemination.enqueue(peer.member);
         } else if (state == MemberState.SUSPECT && peer.accusers.add(self)) {
-            dissemination.spread(peer.member.as(MemberState.SUSPECT, self));
+            dissemination.enqueue(peer.member.withState(MemberState.SUSPECT, self));
         } else if (state == MemberState.LEAVING) {
-            view.apply(nowUs, peer, peer.member.as(MemberState.LEFT, ""), "silent after it told that it ends");
-            dissemination.spread(peer.member);
+            view.applyUpdate(
+                    nowUs, peer, peer.member.withState(MemberState.LEFT, ""), "silent after it told that it ends");
+            dissemination.enqueue(peer.member);
         }
     }
 
     /** Whether a claim is another's accusation of a suspect that has too few; it is noted then. */
-    boolean corroborates(Member claim, Peer peer) {
-        return claim.sameLife(peer.member)
-                && claim.incarnation() == peer.member.incarnation()
-                && claim.state() == MemberState.SUSPECT
+    boolean addCorroboration(Member update, Peer peer) {
+        return update.isSameProcess(peer.member)
+                && update.incarnation() == peer.member.incarnation()
+                && update.state() == MemberState.SUSPECT
                 && peer.member.state() == MemberState.SUSPECT
-                && peer.accusers.size() < ACCUSERS
-                && peer.accusers.add(claim.accuser());
+                && peer.accusers.size() < REQUIRED_ACCUSERS
+                && peer.accusers.add(update.accuser());
     }
 
     /** For each suspect a few members look for themselves; which ones, all find alike. */
     boolean isChecker(Peer suspect) {
-        long of = Hash.of(suspect.name());
-        long own = Hash.mix(of ^ Hash.of(view.self().name()));
-        int before = 0;
+        long suspectHash = StableHash.hash(suspect.name());
+        long ownRank = StableHash.mix(suspectHash ^ StableHash.hash(view.self().name()));
+        int lowerRanked = 0;
         for (Peer peer : view.peers()) {
-            if (peer != suspect && peer.present() && Hash.mix(of ^ Hash.of(peer.name())) < own) {
-                before++;
+            if (peer != suspect
+                    && peer.isPresent()
+                    && StableHash.mix(suspectHash ^ StableHash.hash(peer.name())) < ownRank) {
+                lowerRanked++;
             }
         }
-        return before < CHECKERS;
+        return lowerRanked < MAX_CHECKERS;
     }
 
     /** Fails the suspects whose time is over; never while this process hears nobody. */
-    void decide(long nowUs, boolean isolated) {
+    void failExpiredSuspects(long nowUs, boolean isolated) {
         if (isolated) {
             return;
         }
         for (Peer peer : List.copyOf(view.suspects())) {
-            if (nowUs >= dueUs(peer) && !peer.unreached) {
-                actions.incrementCounter("fleet.failed");
+            if (nowUs >= deadlineUs(peer) && !peer.unreachable) {
+                callbacks.incrementCounter("fleet.failed");
                 String accusers = String.join(", ", new TreeSet<>(peer.accusers));
-                Member failed = peer.member.as(MemberState.FAILED, "");
-                view.apply(nowUs, peer, failed, "no answer to the suspicion of " + accusers);
-                dissemination.spread(peer.member);
+                Member failed = peer.member.withState(MemberState.FAILED, "");
+                view.applyUpdate(nowUs, peer, failed, "no answer to the suspicion of " + accusers);
+                dissemination.enqueue(peer.member);
             }
         }
     }
@@ -84,8 +88,8 @@
      * Where this process has heard the suspect since, the time begins anew: one that answered, and ended before it
      * could refute, would else be a suspect for ever.
      */
-    private long dueUs(Peer peer) {
-        boolean enough = peer.accusers.size() >= Math.min(ACCUSERS, view.others());
-        return Math.max(peer.sinceUs, peer.heardUs) + (enough ? 1 : 2) * timing.failAfterUs();
+    private long deadlineUs(Peer peer) {
+        boolean enoughAccusers = peer.accusers.size() >= Math.min(REQUIRED_ACCUSERS, view.presentPeerCount());
+        return Math.max(peer.stateSinceUs, peer.lastHeardUs) + (enoughAccusers ? 1 : 2) * timing.failAfterUs();
     }
 }
--- a/src/main/java/petrelstand/members/WatchRings.java
+++ b/src/main/java/petrelstand/members/WatchRings.java
@@ -14,35 +14,35 @@
  */
 final class WatchRings {
     /** Orders in which members watch each other. */
-    static final int RINGS = 3;
+    static final int RING_COUNT = 3;
     /** Members watched beyond each that is silent, on one ring. */
-    static final int MOST_WALK = 8;
+    static final int MAX_WALK_STEPS = 8;
 
     private final long seed;
     private final List<TreeMap<Long, Peer>> rings = new ArrayList<>();
-    private final long[] ownPlaces = new long[RINGS];
+    private final long[] ownPositions = new long[RING_COUNT];
 
-    WatchRings(String fleet, String self) {
-        seed = Hash.of(fleet);
-        for (int ring = 0; ring < RINGS; ring++) {
+    WatchRings(String fleet, String ownName) {
+        seed = StableHash.hash(fleet);
+        for (int ring = 0; ring < RING_COUNT; ring++) {
             rings.add(new TreeMap<>());
-            ownPlaces[ring] = place(ring, self);
+            ownPositions[ring] = position(ring, ownName);
         }
     }
 
-    private long place(int ring, String name) {
-        return Hash.mix(Hash.of(name) + seed * (ring + 1));
+    private long position(int ring, String name) {
+        return StableHash.mix(StableHash.hash(name) + seed * (ring + 1));
     }
 
     void add(Peer peer) {
-        for (int ring = 0; ring < RINGS; ring++) {
-            rings.get(ring).put(place(ring, peer.name()), peer);
+        for (int ring = 0; ring < RING_COUNT; ring++) {
+            rings.get(ring).put(position(ring, peer.name()), peer);
         }
     }
 
     void remove(Peer peer) {
-        for (int ring = 0; ring < RINGS; ring++) {
-            rings.get(ring).remove(place(ring, peer.name()));
+        for (int ring = 0; ring < RING_COUNT; ring++) {
+            rings.get(ring).remove(position(ring, peer.name()));
         }
     }
 
@@ -56,31 +56,31 @@
     }
 
     /** Whom this process watches: on each ring the next member, and past those that are silent the next that is not. */
-    Set<Peer> subjects(long nowUs, long silentUs) {
-        Set<Peer> found = new LinkedHashSet<>();
-        for (int ring = 0; ring < RINGS; ring++) {
-            TreeMap<Long, Peer> order = rings.get(ring);
-            Map.Entry<Long, Peer> next = order.higherEntry(ownPlaces[ring]);
-            for (int step = 0; step < Math.min(MOST_WALK, order.size()); step++) {
-                next = next == null ? order.firstEntry() : next;
+    Set<Peer> watchTargets(long nowUs, long silentUs) {
+        Set<Peer> targets = new LinkedHashSet<>();
+        for (int ring = 0; ring < RING_COUNT; ring++) {
+            TreeMap<Long, Peer> peersByPosition = rings.get(ring);
+            Map.Entry<Long, Peer> next = peersByPosition.higherEntry(ownPositions[ring]);
+            for (int step = 0; step < Math.min(MAX_WALK_STEPS, peersByPosition.size()); step++) {
+                next = next == null ? peersByPosition.firstEntry() : next;
                 Peer peer = next.getValue();
-                found.add(peer);
-                if (!peer.watched || nowUs - peer.heardUs < silentUs) {
+                targets.add(peer);
+                if (!peer.watched || nowUs - peer.lastHeardUs < silentUs) {
                     break;
                 }
-                next = order.higherEntry(next.getKey());
+                next = peersByPosition.higherEntry(next.getKey());
             }
         }
-        return found;
+        return targets;
     }
 
     /** Those that watch this process, if they see what it sees. */
     Set<Peer> watchers() {
-        Set<Peer> found = new LinkedHashSet<>();
-        for (int ring = 0; ring < RINGS && !rings.get(ring).isEmpty(); ring++) {
-            Map.Entry<Long, Peer> before = rings.get(ring).lowerEntry(ownPlaces[ring]);
-            found.add((before == null ? rings.get(ring).lastEntry() : before).getValue());
+        Set<Peer> watchers = new LinkedHashSet<>();
+        for (int ring = 0; ring < RING_COUNT && !rings.get(ring).isEmpty(); ring++) {
+            Map.Entry<Long, Peer> predecessor = rings.get(ring).lowerEntry(ownPositions[ring]);
+            watchers.add((predecessor == null ? rings.get(ring).lastEntry() : predecessor).getValue());
         }
-        return found;
+        return watchers;
     }
 }
--- a/src/test/java/petrelstand/fleet/FleetWireTest.java
+++ b/src/test/java/petrelstand/fleet/FleetWireTest.java
@@ -51,11 +51,11 @@
 
     private static List<Envelope> all() {
         List<Member> news = new ArrayList<>();
-        for (int i = 0; i < Message.MOST_NEWS; i++) {
+        for (int i = 0; i < Message.MAX_UPDATES; i++) {
             news.add(member(i));
         }
-        news = news.subList(0, Message.fits(news, 0));
-        List<Long> buckets = Collections.nCopies(Message.BUCKETS, Long.MIN_VALUE);
+        news = news.subList(0, Message.countFitting(news, 0));
+        List<Long> buckets = Collections.nCopies(Message.DIGEST_BUCKET_COUNT, Long.MIN_VALUE);
         return java.util.stream.Stream.of(
                         new Message.Ping(1, 2, news),
                         new Message.Ack(1, -2, "x", 9, news),
@@ -71,43 +71,50 @@
 
     @Test
     void everyMessageComesBackAsItWasAndFitsOneDatagram() throws Exception {
-        Seal seal = new Seal(List.of(OLD));
+        DatagramAuthenticator seal = new DatagramAuthenticator(List.of(OLD));
         for (Envelope one : all()) {
-            byte[] datagram = seal.close(Codec.encode(one));
-            assertTrue(datagram.length <= Seal.MOST, datagram.length + " of " + one);
-            assertEquals(one, Codec.decode(new Seal(List.of(OLD)).open(ByteBuffer.wrap(datagram))));
+            byte[] datagram = seal.sign(MessageCodec.encode(one));
+            assertTrue(datagram.length <= DatagramAuthenticator.MAX_DATAGRAM_BYTES, datagram.length + " of " + one);
+            assertEquals(
+                    one,
+                    MessageCodec.decode(new DatagramAuthenticator(List.of(OLD)).verify(ByteBuffer.wrap(datagram))));
         }
     }
 
     @Test
     void everyBitFlippedEveryLengthCutAndEveryOtherKeyIsRefused() {
-        Seal seal = new Seal(List.of(OLD));
-        byte[] good = seal.close(Codec.encode(all().get(0)));
+        DatagramAuthenticator seal = new DatagramAuthenticator(List.of(OLD));
+        byte[] good = seal.sign(MessageCodec.encode(all().get(0)));
         for (int bit = 0; bit < good.length * 8; bit++) {
             byte[] bad = good.clone();
             bad[bit / 8] ^= (byte) (1 << bit % 8);
-            assertThrows(Seal.Refused.class, () -> seal.open(ByteBuffer.wrap(bad)));
+            assertThrows(DatagramAuthenticator.RefusedDatagramException.class, () -> seal.verify(ByteBuffer.wrap(bad)));
         }
         for (int length = 0; length < good.length; length++) {
             ByteBuffer cut = ByteBuffer.wrap(good, 0, length);
-            assertThrows(Seal.Refused.class, () -> seal.open(cut));
+            assertThrows(DatagramAuthenticator.RefusedDatagramException.class, () -> seal.verify(cut));
         }
         assertEquals(
                 "key",
-                assertThrows(Seal.Refused.class, () -> new Seal(List.of(NEW)).open(ByteBuffer.wrap(good)))
+                assertThrows(
+                                DatagramAuthenticator.RefusedDatagramException.class,
+                                () -> new DatagramAuthenticator(List.of(NEW)).verify(ByteBuffer.wrap(good)))
                         .getMessage());
         assertEquals(
                 "long",
-                assertThrows(Seal.Refused.class, () -> seal.open(ByteBuffer.wrap(new byte[Seal.MOST + 1])))
+                assertThrows(
+                                DatagramAuthenticator.RefusedDatagramException.class,
+                                () -> seal.verify(
+                                        ByteBuffer.wrap(new byte[DatagramAuthenticator.MAX_DATAGRAM_BYTES + 1])))
                         .getMessage());
         // While a key changes both are good; what is sent has the first.
-        assertArrayEquals(Codec.encode(all().get(0)), open(new Seal(List.of(NEW, OLD)), good));
+        assertArrayEquals(MessageCodec.encode(all().get(0)), open(new DatagramAuthenticator(List.of(NEW, OLD)), good));
     }
 
-    private static byte[] open(Seal seal, byte[] datagram) {
+    private static byte[] open(DatagramAuthenticator seal, byte[] datagram) {
         try {
-            return seal.open(ByteBuffer.wrap(datagram));
-        } catch (Seal.Refused e) {
+            return seal.verify(ByteBuffer.wrap(datagram));
+        } catch (DatagramAuthenticator.RefusedDatagramException e) {
             throw new AssertionError(e.getMessage());
         }
     }
@@ -116,17 +123,17 @@
     @Test
     void contentThatIsCutOrDamagedIsOneFault() {
         for (Envelope one : all()) {
-            byte[] good = Codec.encode(one);
+            byte[] good = MessageCodec.encode(one);
             for (int length = 0; length < good.length; length++) {
                 byte[] cut = java.util.Arrays.copyOf(good, length);
-                assertThrows(IOException.class, () -> Codec.decode(cut));
+                assertThrows(IOException.class, () -> MessageCodec.decode(cut));
             }
             java.util.SplittableRandom random = new java.util.SplittableRandom(1);
             for (int i = 0; i < 2_000; i++) {
                 byte[] bad = good.clone();
                 bad[random.nextInt(bad.length)] = (byte) random.nextInt(256);
                 try {
-                    Envelope read = Codec.decode(bad);
+                    Envelope read = MessageCodec.decode(bad);
                     assertTrue(read.senderName().length() <= Member.MAX_NAME_LENGTH);
                 } catch (IOException e) {
                     // The other outcome; any other exception fails the test.
@@ -140,14 +147,14 @@
         ExecutorService loop = Executors.newSingleThreadExecutor();
         Map<String, Integer> counts = new TreeMap<>();
         List<Envelope> taken = Collections.synchronizedList(new ArrayList<>());
-        try (Link link = new Link(
+        try (DatagramTransport link = new DatagramTransport(
                         "127.0.0.1:0", List.of(OLD), loop, taken::add, what -> counts.merge(what, 1, Integer::sum));
                 DatagramSocket socket = new DatagramSocket()) {
             link.start();
-            byte[] good = new Seal(List.of(OLD)).close(Codec.encode(all().get(0)));
+            byte[] good = new DatagramAuthenticator(List.of(OLD)).sign(MessageCodec.encode(all().get(0)));
             byte[] forged = good.clone();
             forged[good.length - 1] ^= 1;
-            byte[] foreign = new Seal(List.of(NEW)).close(Codec.encode(all().get(0)));
+            byte[] foreign = new DatagramAuthenticator(List.of(NEW)).sign(MessageCodec.encode(all().get(0)));
             for (int i = 1; i <= 300; i++) {
                 for (byte[] datagram : List.of(forged, foreign, new byte[3], good)) {
                     socket.send(new DatagramPacket(
--- a/src/test/java/petrelstand/members/DefectiveGateway.java
+++ b/src/test/java/petrelstand/members/DefectiveGateway.java
@@ -35,7 +35,7 @@
                 (now, fleet, self, seeds, size, timing, seed, act) ->
                         new Membership(now, fleet, self, seeds, size, timing, seed, act) {
                             @Override
-                            void raise(long above) {}
+                            void raiseIncarnation(long above) {}
                         };
             // A claim is taken however old it is.
             case "stale-taken" ->
@@ -51,7 +51,7 @@
                 (now, fleet, self, seeds, size, timing, seed, act) ->
                         new Membership(now, fleet, self, seeds, size, timing, seed, act) {
                             @Override
-                            boolean wasAway(long stoodUs) {
+                            boolean requiresRejoin(long stoodUs) {
                                 return false;
                             }
                         };
--- a/src/test/java/petrelstand/members/MembershipTest.java
+++ b/src/test/java/petrelstand/members/MembershipTest.java
@@ -101,7 +101,7 @@
             long healed = fleet.until(FleetSim::agreed, 5 * S);
             assertTrue(healed >= 0, "seed " + seed);
             // No storm: within each gateway's bound while it heals.
-            assertTrue(fleet.sent() - sent <= (healed / 1e6 + 1) * Membership.MOST_SENT * 5 * seed);
+            assertTrue(fleet.sent() - sent <= (healed / 1e6 + 1) * Membership.MAX_MESSAGES_PER_SECOND * 5 * seed);
             assertEquals(Reach.WHOLE, fleet.module(0).visibility().reach());
         }
     }
@@ -267,9 +267,9 @@
         assertEquals(List.of(), List.copyOf(probe.module.reachableAddresses().keySet()));
         prove(probe, b);
         assertEquals(List.of("b"), List.copyOf(probe.module.reachableAddresses().keySet()));
-        probe.module.receive(probe.nowUs, of("f", b, 2, new Gossip(List.of(b.as(MemberState.LEFT, "")))));
+        probe.module.receive(probe.nowUs, of("f", b, 2, new Gossip(List.of(b.withState(MemberState.LEFT, "")))));
         assertEquals(1, probe.counts.get("fleet.refused.repeat"));
-        probe.module.receive(probe.nowUs, of("f", b, 3, new Gossip(List.of(b.as(MemberState.LEFT, "")))));
+        probe.module.receive(probe.nowUs, of("f", b, 3, new Gossip(List.of(b.withState(MemberState.LEFT, "")))));
         assertEquals(List.of(), List.copyOf(probe.module.reachableAddresses().keySet()));
         // What it said before it left never brings it back, nor does anybody who still holds it to be there.
         Member c = member("c", 3, 30, "c:1", MemberState.ALIVE);
@@ -290,14 +290,14 @@
         probe.sent.clear();
         probe.module.receive(probe.nowUs, of("f", twin, 1, new JoinRequest(3, twin)));
         Message.JoinResponse answer = (Message.JoinResponse) probe.sent.get(0).message();
-        assertFalse(answer.welcome());
-        assertEquals(2, answer.holder().bootId());
+        assertFalse(answer.accepted());
+        assertEquals(2, answer.nameHolder().bootId());
         // A new life at the same address is a restart.
         Member again = member("b", 8, 5, "b:1", MemberState.JOINING);
         probe.module.receive(probe.nowUs, of("f", again, 1, new JoinRequest(4, again)));
         answer = (Message.JoinResponse) probe.sent.get(1).message();
-        assertTrue(answer.welcome());
-        assertEquals(20, answer.holder().incarnation());
+        assertTrue(answer.accepted());
+        assertEquals(20, answer.nameHolder().incarnation());
         // This process hears that its own name is held elsewhere, by a later incarnation.
         probe.module.receive(
                 probe.nowUs, of("f", b, 5, new Gossip(List.of(member("a", 77, 500, "x:1", MemberState.ALIVE)))));
@@ -321,16 +321,18 @@
                 probe.run(0.05);
             }
         }
-        List<Integer> kept = probe.module.kept();
+        List<Integer> kept = probe.module.tableSizes();
         assertTrue(
-                kept.get(0) <= Membership.MOST_PROVEN
-                        && kept.get(1) <= Membership.MOST_ASKED
+                kept.get(0) <= Membership.MAX_VERIFIED_PROCESSES
+                        && kept.get(1) <= Membership.MAX_PENDING_REQUESTS
                         && kept.get(2) == Membership.MAX_MEMBERS
                         && kept.get(3) <= 2 * Membership.MAX_MEMBERS,
                 kept.toString());
         assertTrue(probe.counts.get("fleet.refused.room") > 3_000);
         // What it sends is bounded too, whatever comes.
-        assertTrue(probe.sent.size() < (probe.nowUs / 1e6 + 1) * Membership.MOST_SENT, "" + probe.sent.size());
+        assertTrue(
+                probe.sent.size() < (probe.nowUs / 1e6 + 1) * Membership.MAX_MESSAGES_PER_SECOND,
+                "" + probe.sent.size());
     }
 
     // ---- Planted defects ----
