--- a/src/main/java/petrelstand/fleet/DatagramAuthenticator.java
+++ b/src/main/java/petrelstand/fleet/DatagramAuthenticator.java
@@ -10,27 +10,32 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * Marks messages as the fleet's, and finds those that are not: a head of 8 bytes (the form, and which key), 16 bytes of
- * an HMAC-SHA-256 (RFC 2104) by the JDK over head and content, and the content. Only content whose mark is right is
- * ever decoded. Not for several threads at a time: the two that send and receive have one each.
+ * Signs and verifies datagrams with the fleet's keys. A datagram consists of a header of 8 bytes (magic number and key
+ * ID), a tag of 16 bytes (truncated HMAC-SHA-256, RFC 2104, over header and payload) and the payload. Not thread-safe.
  */
 final class DatagramAuthenticator {
-    /** The longest datagram that is sent or taken. */
+    /** Maximum size of a datagram. */
     static final int MAX_DATAGRAM_BYTES = 1400;
 
     static final int HEADER_BYTES = 8;
     static final int TAG_BYTES = 16;
-    /** What a datagram holds, as its first four bytes say: a member's message, or a parcel about rules. */
+    /** First four bytes of a datagram with a membership message. */
     static final int MEMBERSHIP_MAGIC = 0x50534631; // "PSF1"
 
+    /** First four bytes of a datagram with a rules message. */
     static final int RULES_MAGIC = 0x50535231; // "PSR1"
+
     private static final String MAC_ALGORITHM = "HmacSHA256";
 
     private record Key(int id, Mac mac) {}
 
     private final List<Key> keys = new ArrayList<>();
 
-    /** The first key is for what is sent; all are for what comes. */
+    /**
+     * Creates an authenticator.
+     *
+     * @param keys the first one signs; all are accepted when verifying
+     */
     DatagramAuthenticator(List<byte[]> keys) {
         try {
             for (byte[] key : keys) {
@@ -40,16 +45,16 @@
                 this.keys.add(new Key(ByteBuffer.wrap(fingerprint).getInt(), mac));
             }
         } catch (GeneralSecurityException e) {
-            throw new IllegalStateException("every Java has HMAC-SHA-256", e);
+            throw new IllegalStateException("this Java runtime lacks HMAC-SHA-256 or SHA-256", e);
         }
     }
 
-    /** The datagram of a member's message. */
+    /** Returns the signed datagram of an encoded membership message. */
     byte[] sign(byte[] content) {
         return sign(MEMBERSHIP_MAGIC, content);
     }
 
-    /** The datagram of a content. */
+    /** Returns the signed datagram of a payload with the given magic number. */
     byte[] sign(int magic, byte[] content) {
         ByteBuffer datagram = ByteBuffer.allocate(HEADER_BYTES + TAG_BYTES + content.length);
         Key key = keys.get(0);
@@ -59,12 +64,12 @@
         return datagram.array();
     }
 
-    /** What a datagram says that it holds; it must have a whole head. */
+    /** The magic number of a datagram of at least four bytes. */
     static int magic(ByteBuffer datagram) {
         return datagram.getInt(datagram.position());
     }
 
-    /** Why a datagram is not taken: the name of its counter. */
+    /** A datagram was refused; the message is the last part of its counter's name. */
     static final class RefusedDatagramException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -73,7 +78,11 @@
         }
     }
 
-    /** The content of a datagram; what is no fleet's, or another key's, costs a look at its head. */
+    /**
+     * Returns the payload of a datagram.
+     *
+     * @throws RefusedDatagramException if it is too long, has no known magic number or key ID, or its tag is wrong
+     */
     byte[] verify(ByteBuffer datagram) throws RefusedDatagramException {
         if (datagram.remaining() > MAX_DATAGRAM_BYTES) {
             throw new RefusedDatagramException("long");
--- a/src/main/java/petrelstand/fleet/DatagramTransport.java
+++ b/src/main/java/petrelstand/fleet/DatagramTransport.java
@@ -18,12 +18,12 @@
 import petrelstand.net.Addresses;
 
 /**
- * The fleet's datagrams. A thread of its own waits for them, checks their marks and decodes them; whole messages wait
- * for the loop in a bounded queue. Sending is done on the loop and never waits: what does not fit is lost, as datagrams
- * are.
+ * Sends and receives the fleet's UDP datagrams. A thread of its own receives, authenticates and decodes them and queues
+ * the messages for the event loop. Sending happens on the event loop and never blocks; what the socket does not take is
+ * lost.
  */
 final class DatagramTransport implements Closeable {
-    /** Messages that wait for a loop that stands still; more are dropped and counted. */
+    /** Maximum number of messages queued for the event loop; further ones are dropped and counted. */
     static final int MAX_QUEUED_MESSAGES = 512;
 
     private static final int MAX_CACHED_ADDRESSES = 2048;
@@ -43,13 +43,20 @@
             return size() > MAX_CACHED_ADDRESSES;
         }
     };
-    /** Takes contents about rules, on this link's thread, or null: then they are no fleet's. */
+    /** Handles rules messages on the receiving thread; if null, they are refused. */
     private volatile Consumer<byte[]> rulesHandler;
 
     private volatile DatagramAuthenticator incomingAuthenticator;
     private DatagramAuthenticator outgoingAuthenticator;
 
-    /** Binds; messages and the names of counters are handed over on the loop. */
+    /**
+     * Binds the address.
+     *
+     * @param listen the UDP address, ip:port
+     * @param loop executes tasks on the event loop
+     * @param messageHandler handles membership messages on the event loop
+     * @param incrementCounter adds 1 to the counter of a name, on the event loop
+     */
     DatagramTransport(
             String listen,
             List<byte[]> keys,
@@ -73,30 +80,30 @@
         }
     }
 
-    /** Begins to take what comes. */
+    /** Starts the receiving thread. */
     void start() {
         Thread thread = new Thread(this::receiveLoop, "fleet");
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** Takes other keys, from the next message on. On the loop. */
+    /** Replaces the keys from the next message on; called on the event loop. */
     void setKeys(List<byte[]> keys) {
         incomingAuthenticator = new DatagramAuthenticator(keys);
         outgoingAuthenticator = new DatagramAuthenticator(keys);
     }
 
-    /** Sends, on the loop; returns the datagram's bytes, or 0 where it was lost here. */
+    /** Sends a membership message; returns the datagram's size in bytes, or 0 if it could not be sent. */
     int send(String address, Envelope envelope) {
         return send(address, DatagramAuthenticator.MEMBERSHIP_MAGIC, MessageCodec.encode(envelope));
     }
 
-    /** Takes contents about rules from now on, on a thread of its own: to be handed on at once. */
+    /** Sets the handler of rules messages; it is called on the receiving thread and must not block. */
     void setRulesHandler(Consumer<byte[]> handler) {
         rulesHandler = handler;
     }
 
-    /** Sends a content, on the loop; returns the datagram's bytes, or 0 where it was lost here. */
+    /** Sends a payload; returns the datagram's size in bytes, or 0 if it could not be sent. */
     int send(String address, int magic, byte[] content) {
         try {
             byte[] datagram = outgoingAuthenticator.sign(magic, content);
@@ -131,7 +138,7 @@
                     handleDatagram(buffer);
                 }
             } catch (IOException | java.nio.channels.ClosedSelectorException e) {
-                // A peer's refusal shows as a fault of the next receive; the closed channel ends the thread.
+                // An ICMP error caused by a peer shows up here; a closed channel ends the loop.
             }
         }
     }
@@ -173,7 +180,7 @@
         }
     }
 
-    /** Refusals on their way to be counted: a flood of them must not fill the loop's queue. */
+    /** Refusals whose counting is queued on the event loop; bounded, so that a flood does not fill its queue. */
     private final java.util.concurrent.atomic.AtomicInteger pendingRefusalCounts =
             new java.util.concurrent.atomic.AtomicInteger();
 
@@ -188,7 +195,7 @@
         }
     }
 
-    /** The port that it listens on. */
+    /** The bound UDP port. */
     int port() throws IOException {
         return ((InetSocketAddress) channel.getLocalAddress()).getPort();
     }
--- a/src/main/java/petrelstand/fleet/FleetMetrics.java
+++ b/src/main/java/petrelstand/fleet/FleetMetrics.java
@@ -14,13 +14,15 @@
 import java.util.Locale;
 import petrelstand.members.FleetVisibility;
 
-/** The fleet's figures in the Prometheus text form, by its Java client's model and writer; no member is a label. */
+/**
+ * Renders the fleet metrics in the Prometheus text format. Members are not labels, which bounds the number of series.
+ */
 public final class FleetMetrics {
     private static final String COUNTER_PREFIX = "fleet.";
 
     private FleetMetrics() {}
 
-    /** The page, made on the loop. */
+    /** Returns the metrics page; must be called on the event loop. */
     public static String prometheusText(FleetService fleet) {
         GaugeSnapshot.Builder members = GaugeSnapshot.builder()
                 .name("petrelstand_fleet_members")
@@ -66,7 +68,7 @@
             PrometheusTextFormatWriter.create()
                     .write(text, new MetricSnapshots(members.build(), reach.build(), events.build(), bytes));
         } catch (IOException e) {
-            throw new UncheckedIOException("an array in memory takes all that is written to it", e);
+            throw new UncheckedIOException("writing the metrics page into memory failed", e);
         }
         return text.toString(StandardCharsets.UTF_8);
     }
--- a/src/main/java/petrelstand/fleet/FleetService.java
+++ b/src/main/java/petrelstand/fleet/FleetService.java
@@ -27,17 +27,17 @@
 import petrelstand.store.Incarnations;
 
 /**
- * A gateway as a member of its fleet: the module of {@code members} on the gateway's loop, clock and timers, with the
- * datagrams, the kept incarnation, the history and the pages round it. All methods but {@link #open} are for the loop's
- * thread.
+ * Runs {@link Membership} in a gateway: on its event loop, clock and timers, over UDP, with the stored incarnation, the
+ * history file and the members page. All methods must be called on the event loop, except {@link #open} before the loop
+ * runs and {@link #viewVersion} from any thread.
  */
 public final class FleetService implements Membership.Callbacks {
-    /** A folder that has not answered by then is done without. */
+    /** Maximum time to wait for the folder that stores the incarnation. */
     static final long FOLDER_TIMEOUT_MS = 1_000;
 
     private static final long MICROS_PER_MILLI = 1000;
 
-    /** Makes the module; the usual one, but for tests that plant a defect in theirs. */
+    /** Creates the membership protocol; tests supply defective ones. */
     public interface MembershipFactory {
         Membership create(
                 long nowUs,
@@ -70,7 +70,13 @@
     private volatile long viewVersion;
     private long bytesSent;
 
-    /** A member as the operator's file says; its name is the gateway's where the file gives none. */
+    /**
+     * Creates the service; {@link #open} and {@link #start} set it running.
+     *
+     * @param gatewayName this gateway's name in the fleet if the settings give none
+     * @param seed seed of the protocol's random decisions
+     * @param loop executes tasks on the event loop
+     */
     public FleetService(
             FleetConfig config,
             String gatewayName,
@@ -90,14 +96,16 @@
         this.log = line -> log.accept("fleet: " + line);
     }
 
-    /** For the laboratory and tests, before a start: another module, and a wall clock that is off. */
+    /** Replaces the membership protocol and the wall clock of services started later, for the laboratory and tests. */
     public static void overrideForTesting(MembershipFactory factory, LongSupplier clockMs) {
         membershipFactory = factory;
         wallClockMs = clockMs;
     }
 
     /**
-     * Binds its address, which ends the start where it is taken, and reads the kept incarnation, before the loop runs.
+     * Binds the UDP address and reads the stored incarnation. A folder that fails or is slow is logged and ignored.
+     *
+     * @throws IOException if the address cannot be bound or the history file cannot be opened
      */
     public void open() throws IOException {
         try {
@@ -118,9 +126,11 @@
             try {
                 incarnation = keptIncarnation.get(FOLDER_TIMEOUT_MS, TimeUnit.MILLISECONDS);
             } catch (TimeoutException e) {
-                log.accept("the folder did not answer in " + FOLDER_TIMEOUT_MS + " ms; the incarnation is not kept");
+                log.accept("the folder did not respond within " + FOLDER_TIMEOUT_MS
+                        + " ms; continuing without storing the incarnation");
             } catch (ExecutionException e) {
-                log.accept("the incarnation is not kept: " + e.getCause().getMessage());
+                log.accept("cannot store the incarnation, continuing without it: "
+                        + e.getCause().getMessage());
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -130,7 +140,7 @@
         }
     }
 
-    /** Becomes a member. */
+    /** Starts receiving messages and joins the fleet. */
     public void start() {
         String build = FleetService.class.getPackage().getImplementationVersion();
         Member self = new Member(
@@ -145,7 +155,7 @@
                 config.abilities());
         membership = membershipFactory.create(
                 nowUs.getAsLong(), config.fleet(), self, config.seeds(), config.size(), config.timing(), seed, this);
-        log.accept("joining " + config.fleet() + " as " + name + ", incarnation " + incarnation + ", on "
+        log.accept("joining " + config.fleet() + " as " + name + ", incarnation " + incarnation + ", listening on "
                 + config.listen());
         recordEvent("started", memberJson(self));
         transport.start();
@@ -168,14 +178,14 @@
         }
     }
 
-    /** Tells the others that this gateway ends, in a quarter of a second, while it drains. */
+    /** Starts a graceful leave, which goes on while this gateway drains. */
     public void leave() {
         if (membership != null) {
             membership.leave(nowUs.getAsLong());
         }
     }
 
-    /** Goes on once the others are told. */
+    /** Runs an action once the leave is complete, or at once if there is nothing to wait for. */
     public void afterLeaving(Runnable action) {
         if (membership == null || membership.hasLeft()) {
             action.run();
@@ -198,29 +208,31 @@
         }
     }
 
-    /** Takes what may change while it runs: the keys. */
+    /** Applies changed settings; only the keys can change without a restart. */
     public void reload(FleetConfig changed) {
         transport.setKeys(changed.keys());
         boolean needsRestart = !changed.listen().equals(config.listen())
                 || !changed.seeds().equals(config.seeds())
                 || !changed.fleet().equals(config.fleet())
                 || changed.size() != config.size();
-        log.accept("the keys were read anew, " + changed.keys().size() + " are good"
-                + (needsRestart ? "; only a restart takes the rest of [fleet]" : ""));
+        log.accept("reloaded the keys, " + changed.keys().size() + " valid"
+                + (needsRestart ? "; other changes to [fleet] need a restart" : ""));
     }
 
-    /** Takes what comes about rules from now on, on the link's thread; after {@link #open}. */
+    /**
+     * Sets the handler of rules messages, which is called on the receiving thread; must be called after {@link #open}.
+     */
     public void setRulesHandler(Consumer<byte[]> handler) {
         transport.setRulesHandler(handler);
     }
 
-    /** Sends a content about rules, on the loop; it may get lost. */
+    /** Sends a rules message, which may get lost. */
     public void sendRulesMessage(String address, byte[] content) {
         counters.add("rules.sent");
         bytesSent += transport.send(address, DatagramAuthenticator.RULES_MAGIC, content);
     }
 
-    /** Where a member is reached, also one that is held to be gone: it may be there all the same; null if unknown. */
+    /** Address of a member, including one that counts as gone, or null if it is unknown. */
     public String addressOf(String member) {
         return membership == null ? null : membership.addressOf(member);
     }
@@ -234,7 +246,7 @@
         return config;
     }
 
-    /** Adds a line to the history, where one is kept. */
+    /** Appends an event to the history file, if there is one. */
     public void recordEvent(String event, JsonObject line) {
         if (history != null) {
             if (!line.has("process")) {
@@ -244,16 +256,17 @@
         }
     }
 
-    /** The view's version, from any thread. */
+    /** Version of the view; may be called from any thread. */
     public long viewVersion() {
         return viewVersion;
     }
 
+    /** The membership protocol; null before {@link #start}. */
     public Membership membership() {
         return membership;
     }
 
-    // ---- What the module asks for ----
+    // ---- Callbacks of the protocol ----
 
     @Override
     public void send(String address, Envelope message) {
@@ -321,9 +334,9 @@
         recordEvent("said", fields);
     }
 
-    // ---- Pages ----
+    // ---- Members page and metrics ----
 
-    /** The view as JSON, for {@code GET /members}. */
+    /** The view as JSON, the body of {@code GET /members}. */
     public String membersJson() {
         JsonObject page = new JsonObject();
         long now = nowUs.getAsLong();
@@ -368,7 +381,7 @@
         return page.toString();
     }
 
-    /** Figures for metrics: members by state, the standing, and bytes sent. */
+    /** Number of known members in each state, by its name in lower case. */
     public Map<String, Double> memberCountsByState() {
         Map<String, Double> counts = new java.util.TreeMap<>();
         for (MemberState state : MemberState.values()) {
@@ -381,12 +394,12 @@
         return counts;
     }
 
-    /** Bytes of datagrams sent. */
+    /** Total bytes of the datagrams sent. */
     public long bytesSent() {
         return bytesSent;
     }
 
-    /** The counters' names that begin with {@code fleet.}, for metrics. */
+    /** The gateway's counters, those of the fleet among them. */
     public Counters counters() {
         return counters;
     }
--- a/src/main/java/petrelstand/fleet/HistoryWriter.java
+++ b/src/main/java/petrelstand/fleet/HistoryWriter.java
@@ -12,9 +12,9 @@
 import java.util.function.Consumer;
 
 /**
- * What a process saw and did, one JSON object a line with the monotonic and the wall time, for whoever checks a fleet
- * afterwards. Written by a thread of its own; lines that a slow disk leaves no room for are dropped and counted in the
- * next one. A file is appended to: several lives of one gateway follow each other in it.
+ * Appends events to a history file, one JSON object per line with monotonic and wall clock time, for checking a fleet
+ * afterwards. A thread of its own writes the file. When a slow disk fills the queue, events are dropped, and the next
+ * line tells how many. Successive processes of a gateway append to the same file.
  */
 final class HistoryWriter {
     private static final int MAX_QUEUED_LINES = 4096;
@@ -22,6 +22,7 @@
     private final ArrayBlockingQueue<String> queue = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
     private final AtomicLong dropped = new AtomicLong();
 
+    /** Opens the file for appending and starts the writing thread. */
     HistoryWriter(Path file, Consumer<String> log) throws IOException {
         BufferedWriter writer = Files.newBufferedWriter(
                 file, StandardCharsets.UTF_8, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
@@ -35,7 +36,7 @@
                             }
                         }
                     } catch (IOException e) {
-                        log.accept("fleet: the history is not written: "
+                        log.accept("fleet: cannot write the history file, no more events are recorded: "
                                 + e.getClass().getSimpleName());
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
@@ -46,7 +47,7 @@
         thread.start();
     }
 
-    /** Adds a line; on the loop, never waits. */
+    /** Queues an event with its fields; called on the event loop, never blocks. */
     void append(String event, JsonObject fields) {
         JsonObject line = new JsonObject();
         line.addProperty("event", event);
@@ -62,7 +63,7 @@
         }
     }
 
-    /** Waits a little until all is written; for the end. */
+    /** Waits up to 100 ms until the queue is empty, for use at shutdown. */
     void flush() throws InterruptedException {
         for (int i = 0; i < 50 && !queue.isEmpty(); i++) {
             Thread.sleep(2);
--- a/src/main/java/petrelstand/fleet/MessageCodec.java
+++ b/src/main/java/petrelstand/fleet/MessageCodec.java
@@ -22,11 +22,11 @@
 import petrelstand.members.Message.PingRequest;
 
 /**
- * Messages as CBOR (RFC 8949) by Jackson: one array each, its layout in docs/design/members.md. Read token by token, so
- * that nothing is built that the form does not have; texts and lists beyond their bounds are malformed.
+ * Encodes and decodes membership messages as CBOR (RFC 8949), one array each. The layout is described in
+ * docs/design/members.md. Decoding rejects texts and lists that exceed their bounds.
  */
 final class MessageCodec {
-    /** A change of the layout gets another number, and members of both refuse each other in one line. */
+    /** Version of the layout, the first field of each message. Messages of other versions are rejected. */
     static final int FORMAT_VERSION = 2;
 
     private static final CBORFactory FACTORY = new CBORFactory();
@@ -55,7 +55,7 @@
             writeMessage(generator, envelope.message());
             generator.writeEndArray();
         } catch (IOException e) {
-            throw new UncheckedIOException("an array in memory takes all that is written to it", e);
+            throw new UncheckedIOException("encoding a membership message into memory failed", e);
         }
         return bytes.toByteArray();
     }
@@ -124,17 +124,22 @@
         generator.writeEndArray();
     }
 
-    /** Reads a content whole; an IOException says that it is malformed, and where. */
+    /**
+     * Decodes a message.
+     *
+     * @throws IOException if the content is malformed or of another format version
+     */
     static Envelope decode(byte[] content) throws IOException {
         try (CborReader reader = new CborReader(content)) {
             reader.expect(JsonToken.START_ARRAY);
             long version = reader.readLong();
             if (version != FORMAT_VERSION) {
-                throw new IOException("form " + version + " is not " + FORMAT_VERSION);
+                throw new IOException(
+                        "message format version " + version + " is not supported; expected " + FORMAT_VERSION);
             }
             String fleet = reader.readText(Member.MAX_NAME_LENGTH);
             String name = reader.readText(Member.MAX_NAME_LENGTH);
-            long boot = reader.readLong();
+            long bootId = reader.readLong();
             long incarnation = reader.readLong();
             String address = reader.readText(Member.MAX_ADDRESS_LENGTH);
             long sequence = reader.readLong();
@@ -142,9 +147,9 @@
             reader.expect(JsonToken.END_ARRAY);
             reader.expectEnd();
             if (name.isEmpty() || incarnation < 0) {
-                throw new IOException("a message of no sender");
+                throw new IOException("sender name is empty or sender incarnation is negative");
             }
-            return new Envelope(fleet, name, boot, incarnation, address, sequence, message);
+            return new Envelope(fleet, name, bootId, incarnation, address, sequence, message);
         }
     }
 
@@ -167,7 +172,7 @@
                 long nonce = reader.readLong();
                 List<Member> joiner = readMembers(reader, 1);
                 if (joiner.isEmpty()) {
-                    throw new IOException("a joiner that does not say who it is");
+                    throw new IOException("join request does not contain the joining member");
                 }
                 yield new JoinRequest(nonce, joiner.get(0));
             }
@@ -192,23 +197,23 @@
                 yield new DigestBuckets(buckets, replyRequested);
             }
             case GOSSIP -> new Gossip(readMembers(reader, Message.MAX_UPDATES));
-            default -> throw new IOException("no message has the kind " + kind);
+            default -> throw new IOException("unknown message kind " + kind);
         };
     }
 
     private static List<Member> readMembers(CborReader reader, int maxMembers) throws IOException {
         return reader.readList(maxMembers, () -> {
             String name = reader.readText(Member.MAX_NAME_LENGTH);
-            long boot = reader.readLong();
+            long bootId = reader.readLong();
             long incarnation = reader.readLong();
             String address = reader.readText(Member.MAX_ADDRESS_LENGTH);
             long state = reader.readLong();
             if (name.isEmpty() || incarnation < 0 || state < 0 || state >= STATES.length) {
-                throw new IOException("a claim without a name, or in no state");
+                throw new IOException("member entry has an empty name, a negative incarnation or an unknown state");
             }
             return new Member(
                     name,
-                    boot,
+                    bootId,
                     incarnation,
                     address,
                     STATES[(int) state],
--- a/src/main/java/petrelstand/fleet/RulesClient.java
+++ b/src/main/java/petrelstand/fleet/RulesClient.java
@@ -17,9 +17,9 @@
 import petrelstand.net.Addresses;
 
 /**
- * Proposes and orders from outside, with the fleet's key: asks the gateways at the addresses that it knows, one of
- * which leads or passes it on. Asks again until an answer comes; the same proposal twice is one version. For one
- * thread.
+ * Sends rule proposals and orders to a fleet from outside, authenticated by the fleet's key. Each request goes to all
+ * known gateways; the leader answers it, and others forward it to the leader. Requests are repeated until an answer
+ * comes or the time is over; a repeated proposal results in one version. Not thread-safe.
  */
 public final class RulesClient implements Closeable {
     private static final String SENDER_NAME = "asker";
@@ -31,7 +31,14 @@
     private final DatagramSocket socket;
     private final String ownAddress;
 
-    /** Speaks from a free port of an address by which the gateways reach this machine. */
+    /**
+     * Opens a socket on a free port.
+     *
+     * @param fleet name of the fleet
+     * @param keys the fleet's keys; the first one signs the requests
+     * @param gateways addresses of the gateways to ask, ip:port
+     * @param ownHost IP address by which the gateways reach this machine
+     */
     public RulesClient(String fleet, List<byte[]> keys, List<String> gateways, String ownHost) throws IOException {
         this.fleet = fleet;
         this.gateways = gateways.stream().map(Addresses::parse).toList();
@@ -41,9 +48,9 @@
     }
 
     /**
-     * Proposes a text on a base; waits so long for the answer.
+     * Proposes a text of rules that replaces the version {@code base}.
      *
-     * @return the version, or the fault; null where nobody who leads answered in time: it may have been taken
+     * @return the new version or the fault; null if no leader answered in time, though the proposal may have been taken
      */
     public Talk.Taken propose(long base, String who, String why, String text, long timeoutMs) throws IOException {
         List<String> pieces = Command.pieces(text);
@@ -63,7 +70,11 @@
         return null;
     }
 
-    /** Orders; the answer, or null where nobody who leads answered in time. */
+    /**
+     * Sends an order to the leader.
+     *
+     * @return the answer, or null if no leader answered in time
+     */
     public Talk.Taken order(String verb, long version, String name, String who, String why, long timeoutMs)
             throws IOException {
         long requestId = new SecureRandom().nextLong();
@@ -85,7 +96,7 @@
             try {
                 socket.send(new DatagramPacket(datagram, datagram.length, gateway));
             } catch (IOException e) {
-                // One that is not there refuses; the others are asked all the same.
+                // This gateway is down; the others are still asked.
             }
         }
         byte[] buffer = new byte[DatagramAuthenticator.MAX_DATAGRAM_BYTES + 1];
@@ -104,7 +115,7 @@
             } catch (SocketTimeoutException e) {
                 return null;
             } catch (IOException | DatagramAuthenticator.RefusedDatagramException e) {
-                // Not an answer; the next one may be.
+                // Not a valid answer; waits for the next datagram.
             }
         }
         return null;
--- a/src/main/java/petrelstand/members/AntiEntropy.java
+++ b/src/main/java/petrelstand/members/AntiEntropy.java
@@ -5,11 +5,11 @@
 import petrelstand.members.Message.DigestBuckets;
 import petrelstand.members.Message.Gossip;
 
-/** Finds by digests where two views differ, and exchanges the claims there: what rumours have missed is made up. */
+/** Repairs differences between two views that gossip has missed: compares digests and sends the differing members. */
 final class AntiEntropy {
-    /** How long a difference of digests may last before the parts are compared: news under way ends it before. */
+    /** How long digests must differ before views are compared; gossip in flight usually resolves it sooner. */
     static final long MISMATCH_GRACE_US = 700_000;
-    /** A process begins comparisons no more often than that: each may be answered by the whole view. */
+    /** Minimum time between comparisons with newcomers, since the reply may be a whole view. */
     static final long MIN_COMPARE_INTERVAL_US = 350_000;
 
     private static final long NEVER = Long.MAX_VALUE;
@@ -27,12 +27,12 @@
         this.callbacks = callbacks;
     }
 
-    /** Asks whoever is at an address to compare views. */
+    /** Sends this view's digest buckets and asks for the members that differ. */
     void requestComparison(String address) {
         outbox.send(address, new DigestBuckets(view.digest().bucketValues(), true));
     }
 
-    /** A member told its digest: compares where they have differed for some time. */
+    /** Handles a member's digest: starts a comparison if the digests have differed for some time. */
     void onDigest(long nowUs, String address, long digest) {
         if (digest == view.digest().value()) {
             differsSinceUs = NEVER;
@@ -45,7 +45,7 @@
         }
     }
 
-    /** A member that is new or was away told its digest: compares at once where they differ. */
+    /** Handles the digest of a new or returning member: starts a comparison at once if the digests differ. */
     void onNewcomerDigest(long nowUs, String address, long digest) {
         if (digest != view.digest().value() && nowUs - lastCompareUs >= MIN_COMPARE_INTERVAL_US) {
             lastCompareUs = nowUs;
@@ -53,14 +53,14 @@
         }
     }
 
-    /** Sends what is held here where another's digest differs from this one's. */
+    /** Sends the members of all buckets in which the received digest differs from this view's. */
     void sendDifferences(String address, DigestBuckets received) {
         if (received.buckets().size() != Message.DIGEST_BUCKET_COUNT || view.isJoining()) {
             return;
         }
         List<Long> ownBuckets = view.digest().bucketValues();
         List<Member> differing = membersInDifferingBuckets(ownBuckets, received.buckets());
-        // What is left out here is found by the next comparison; answers to joiners and pings go before it.
+        // Leaves budget for replies to joins and pings; the next comparison sends the rest.
         for (int i = 0; i < differing.size() && outbox.hasBulkBudget(); ) {
             int count = Message.countFitting(differing, i);
             outbox.send(address, new Gossip(differing.subList(i, i + count)));
@@ -71,7 +71,7 @@
         }
     }
 
-    /** Those that are there first: what is gone only ends a difference where the other still holds it to be there. */
+    /** The differing members by state, present ones first, then by name. */
     private List<Member> membersInDifferingBuckets(List<Long> ownBuckets, List<Long> otherBuckets) {
         List<Member> members = new ArrayList<>(List.of(view.self()));
         view.peers().forEach(peer -> members.add(peer.member));
--- a/src/main/java/petrelstand/members/Dissemination.java
+++ b/src/main/java/petrelstand/members/Dissemination.java
@@ -7,16 +7,17 @@
 import java.util.SplittableRandom;
 import petrelstand.members.Message.Gossip;
 
-/** Spreads news as rumours: each is told a number of times that grows with the logarithm of the fleet's size. */
+/** Gossips membership updates: each is sent a number of times that grows with the logarithm of the fleet's size. */
 final class Dissemination {
-    /** Members that news is told to in a round, and how often a round comes while there is news. */
+    /** Members that receive gossip in one round. */
     static final int FAN_OUT = 3;
 
+    /** Minimum interval between gossip rounds. */
     static final long ROUND_INTERVAL_US = 100_000;
-    /** With more rumours than that those told least go first. */
+    /** With more queued updates than this, those sent least often go first. */
     private static final int MAX_UNSORTED_UPDATES = 6;
 
-    /** News with how often it is still to be told. */
+    /** An update and how often it is still to be sent. */
     private static final class QueuedUpdate {
         final Member member;
         int remainingSends;
@@ -53,7 +54,9 @@
         queue.remove(name);
     }
 
-    /** Begins to tell a claim; it takes the place of what was told of the member, but for a second accuser's. */
+    /**
+     * Queues an update. It replaces the queued update on the same member, unless it is a further accuser's suspicion.
+     */
     void enqueue(Member member) {
         int sends = FAN_OUT * (Integer.SIZE - Integer.numberOfLeadingZeros(view.presentPeerCount() + 2));
         String key = isAdditionalAccusation(member) ? member.name() + "\0" + member.accuser() : member.name();
@@ -68,7 +71,7 @@
                 && !queued.member.accuser().equals(member.accuser());
     }
 
-    /** What a message to a peer takes along: first what is claimed of itself, so that it can refute it. */
+    /** The updates to piggyback on a message to a peer: first the one on the peer itself, so that it can refute it. */
     List<Member> updatesFor(Peer peer) {
         if (view.isJoining()) {
             return List.of();
@@ -81,7 +84,7 @@
         return updates;
     }
 
-    /** Fills a message up with rumours. */
+    /** Adds queued updates up to the size limit of a message. */
     private void appendQueued(List<Member> updates) {
         List<Map.Entry<String, QueuedUpdate>> entries = new ArrayList<>(queue.entrySet());
         if (entries.size() > MAX_UNSORTED_UPDATES) {
@@ -101,14 +104,14 @@
         }
     }
 
-    /** Tells a round where one is due. */
+    /** Sends a gossip round if one is due. */
     void tick(long nowUs) {
         if (nowUs >= nextRoundUs && !queue.isEmpty()) {
             sendRound(nowUs);
         }
     }
 
-    /** Tells a few members drawn; those proven go first: who has not proven this process takes no news from it. */
+    /** Sends gossip to a few random members. Verified ones go first; others may ignore updates from this process. */
     void sendRound(long nowUs) {
         List<Peer> verifiedPeers = new ArrayList<>();
         List<Peer> unverifiedPeers = new ArrayList<>();
--- a/src/main/java/petrelstand/members/FailureDetector.java
+++ b/src/main/java/petrelstand/members/FailureDetector.java
@@ -6,9 +6,9 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 
-/** Probes the members that this process watches, directly and through relays, and accuses those that stay silent. */
+/** Probes the members that this process watches, directly and through relays, and suspects those that stay silent. */
 final class FailureDetector {
-    /** Others asked to probe a silent member. */
+    /** Members asked to probe a silent member. */
     static final int RELAYS_PER_PROBE = 2;
 
     private final MembershipTiming timing;
@@ -27,12 +27,12 @@
         this.random = random;
     }
 
-    /** Nobody is watched until the next tick. */
+    /** Stops watching all members until the next tick. */
     void clear() {
         watched.clear();
     }
 
-    /** Probes whom it is due to probe. */
+    /** Updates the set of watched members and probes those that are due. */
     void tick(long nowUs, boolean isolated) {
         Set<Peer> targets = view.rings().watchTargets(nowUs, silenceThresholdUs());
         for (Peer peer : targets) {
@@ -52,7 +52,7 @@
         }
     }
 
-    /** Two pings without an answer. */
+    /** Silence after which relays are asked as well. */
     private long silenceThresholdUs() {
         return 2 * timing.pingIntervalUs();
     }
@@ -73,7 +73,7 @@
         }
     }
 
-    /** Asks a few relays, drawn among those heard of late: they are the likeliest to hear an answer. */
+    /** Asks a few random relays to probe a member, preferring those heard recently. */
     private void probeIndirectly(long nowUs, Peer peer) {
         List<Peer> relays = relaysFor(peer);
         int recentlyHeardCount = 0;
@@ -88,7 +88,7 @@
         }
     }
 
-    /** All that could relay, those heard last first. */
+    /** All possible relays, the most recently heard first. */
     private List<Peer> relaysFor(Peer peer) {
         List<Peer> relays = new ArrayList<>();
         for (Peer other : view.peers()) {
@@ -102,7 +102,7 @@
         return relays;
     }
 
-    /** Watches a member that others suspect for as long as its suspicion lasts, where this process is to check it. */
+    /** Probes a member that others suspect while the suspicion lasts, if this process is one of its checkers. */
     void checkSuspect(long nowUs, Peer peer) {
         if (peer.watched || !suspicion.isChecker(peer)) {
             return;
--- a/src/main/java/petrelstand/members/FleetVisibility.java
+++ b/src/main/java/petrelstand/members/FleetVisibility.java
@@ -1,19 +1,21 @@
 package petrelstand.members;
 
 /**
- * How much of the fleet this gateway sees, as one value that other parts act on.
+ * How much of the fleet this gateway sees.
  *
- * @param reach of the agreed size
- * @param seen members that are there, this one among them; 0 while it is joining
- * @param of the agreed size
- * @param sinceUs when the reach became what it is
+ * @param reach the visible part of the agreed size
+ * @param visibleMembers present and reachable members including this one; 0 while it is joining
+ * @param agreedSize configured size of the fleet, or the most members seen less those that left
+ * @param sinceUs when the reach last changed
  */
 public record FleetVisibility(Reach reach, int visibleMembers, int agreedSize, long sinceUs) {
-    /** Parts of the agreed size. */
+    /** Visible part of the agreed size. */
     public enum Reach {
         WHOLE,
         MAJORITY,
+        /** At most half of the agreed size, but at least one other member. */
         MINORITY,
+        /** No other member, or this gateway is joining. */
         NOBODY
     }
 
--- a/src/main/java/petrelstand/members/FleetVisibilityTracker.java
+++ b/src/main/java/petrelstand/members/FleetVisibilityTracker.java
@@ -1,13 +1,19 @@
 package petrelstand.members;
 
-/** How much of the agreed size of the fleet is seen; the agreed size is set, or the most seen less those that left. */
+/**
+ * Tracks how much of the fleet is visible, against its configured size or the most members seen less those that left.
+ */
 final class FleetVisibilityTracker {
     private final int fixedSize;
     private final Membership.Callbacks callbacks;
     private int maxVisible = 1;
     private FleetVisibility current;
 
-    /** A tracker; a size of 0 is found out. */
+    /**
+     * Creates a tracker.
+     *
+     * @param fixedSize the configured size of the fleet, or 0 to derive it
+     */
     FleetVisibilityTracker(long nowUs, int fixedSize, Membership.Callbacks callbacks) {
         this.fixedSize = fixedSize;
         this.callbacks = callbacks;
@@ -22,7 +28,7 @@
         return fixedSize > 0 ? fixedSize : maxVisible;
     }
 
-    /** So many members are seen now, this process among them. */
+    /** Sets the number of visible members, including this process, and reports a change. */
     void update(long nowUs, int visibleMembers) {
         maxVisible = Math.max(maxVisible, visibleMembers);
         FleetVisibility.Reach reach = FleetVisibility.reachOf(visibleMembers, agreedSize());
@@ -35,7 +41,7 @@
         }
     }
 
-    /** A member has left in order: the fleet is agreed to be smaller by it. */
+    /** Reduces the derived size after a member has left gracefully. */
     void recordLeft() {
         maxVisible = Math.max(1, maxVisible - 1);
     }
--- a/src/main/java/petrelstand/members/JoinProtocol.java
+++ b/src/main/java/petrelstand/members/JoinProtocol.java
@@ -15,12 +15,12 @@
 import petrelstand.members.PendingRequests.PendingRequest;
 import petrelstand.members.PendingRequests.Purpose;
 
-/** How a process joins, admits others, and goes on trying seeds and failed members once it is a member. */
+/** Joins this process to the fleet, answers join requests, and keeps retrying seeds and failed members afterwards. */
 final class JoinProtocol {
-    /** Members named to a newcomer. */
+    /** Members sent to a joining process. */
     static final int MAX_SAMPLE_MEMBERS = 6;
 
-    /** Seeds, or members known before, tried at a time. */
+    /** Seeds or formerly known addresses tried per retry. */
     private static final int ADDRESSES_PER_RETRY = 2;
 
     private final MembershipTiming timing;
@@ -30,7 +30,7 @@
     private final LongConsumer raiseIncarnation;
     private final Membership.Callbacks callbacks;
     private final Set<String> seeds;
-    /** Where members were before this process was away. */
+    /** Addresses of the members known before this process was paused. */
     private final Set<String> formerAddresses = new LinkedHashSet<>();
 
     private long nextRetryUs;
@@ -53,19 +53,19 @@
         this.callbacks = callbacks;
     }
 
-    /** Members were at these addresses, and may be there still. */
+    /** Remembers addresses at which members may still be reachable. */
     void rememberFormerAddresses(Collection<String> addresses) {
         formerAddresses.clear();
         formerAddresses.addAll(addresses);
     }
 
-    /** Joins anew, at once. */
+    /** Starts joining again at the next tick. */
     void restart(long nowUs) {
         components.nameOwnership().restart();
         nextRetryUs = nowUs;
     }
 
-    /** Retries where it is time. */
+    /** Retries when the retry interval is over. */
     void tick(long nowUs) {
         if (nowUs >= nextRetryUs) {
             retry(nowUs);
@@ -73,7 +73,9 @@
         }
     }
 
-    /** Joining asks seeds and members known; a member tries seeds that are none and one that failed. */
+    /**
+     * Sends join requests while joining; afterwards challenges seeds that are no members and one member that is gone.
+     */
     private void retry(long nowUs) {
         view.removeExpiredTombstones(nowUs);
         boolean joining = view.isJoining();
@@ -89,7 +91,7 @@
         if (joining
                 && !components.leaveProtocol().hasBegun()
                 && components.nameOwnership().mayTakeNameUnanswered(targets.isEmpty())) {
-            becomeMember(nowUs, "nobody answers");
+            becomeMember(nowUs, "no other gateway answered");
         }
     }
 
@@ -118,7 +120,7 @@
         return targets;
     }
 
-    /** Another process asks whether its name is free. */
+    /** Handles another process's request to join under its name. */
     void handleJoinRequest(Envelope envelope, JoinRequest request) {
         Member joiner = request.joiner();
         if (!joiner.name().equals(envelope.senderName()) || joiner.bootId() != envelope.senderBootId()) {
@@ -136,7 +138,7 @@
         }
     }
 
-    /** Whether a name is another process's; a new life at the same address is a restart. */
+    /** Whether a name is in use by another process; a new process at the same address is a restart. */
     private static boolean isOwnedByAnotherProcess(Peer holder, Member joiner) {
         return holder.isPresent()
                 && !holder.unreachable
@@ -144,7 +146,7 @@
                 && !holder.address().equals(joiner.address());
     }
 
-    /** Some members that are there, drawn. */
+    /** A random sample of the present members. */
     private List<Member> sampleMembers() {
         List<Peer> candidates = new ArrayList<>(view.rings().members());
         List<Member> sample = new ArrayList<>();
@@ -157,7 +159,7 @@
         return sample.subList(0, Message.countFitting(sample, 0));
     }
 
-    /** A member has answered whether this process's name is free. */
+    /** Handles the response to this process's join request. */
     void handleJoinResponse(long nowUs, Envelope envelope, JoinResponse response) {
         PendingRequest request = components.pending().remove(response.nonce());
         if (request == null || request.purpose() != Purpose.JOIN) {
@@ -177,20 +179,20 @@
         if (holder != null && isFormerProcess(holder)) {
             raiseIncarnation.accept(holder.incarnation());
         }
-        becomeMember(nowUs, "welcomed by " + envelope.senderName());
+        becomeMember(nowUs, "admitted by " + envelope.senderName());
         response.sampleMembers()
                 .forEach(member -> components.updateProcessor().process(nowUs, member, envelope.senderName()));
         fetchView(envelope, response.sampleMembers());
     }
 
-    /** Whether a claim is on this process's name but not on its life as it is. */
+    /** Whether an update is on this process's name but not on this process as an alive member. */
     private boolean isFormerProcess(Member holder) {
         Member self = view.self();
         boolean differs = holder.bootId() != self.bootId() || holder.state() != MemberState.ALIVE;
         return holder.name().equals(self.name()) && differs;
     }
 
-    /** What is known is asked of any member: a fleet that starts at once would ask it all of its seeds. */
+    /** Fetches the view from a random member, so that a fleet starting all at once does not overload its seeds. */
     private void fetchView(Envelope envelope, List<Member> sample) {
         if (sample.isEmpty()) {
             components.antiEntropy().requestComparison(envelope.senderAddress());
--- a/src/main/java/petrelstand/members/LeaveProtocol.java
+++ b/src/main/java/petrelstand/members/LeaveProtocol.java
@@ -3,9 +3,11 @@
 import java.util.List;
 import petrelstand.members.Message.Gossip;
 
-/** How this process leaves in order: it tells that it will, answers on for a while, and tells that it has. */
+/**
+ * Graceful leave: announces that this process will leave, keeps answering for a while, then announces that it has left.
+ */
 final class LeaveProtocol {
-    /** Time that a leaving member goes on answering. */
+    /** How long a leaving member keeps answering. */
     static final long LINGER_US = 200_000;
 
     private static final int FINAL_GOSSIP_ROUNDS = 2;
@@ -23,7 +25,7 @@
         this.outbox = outbox;
     }
 
-    /** Whether this process was asked to leave. */
+    /** Whether this process has been asked to leave. */
     boolean hasBegun() {
         return lingerEndsUs != NEVER;
     }
@@ -43,16 +45,16 @@
         boolean isMember = view.self().state() == MemberState.ALIVE;
         lingerEndsUs = nowUs + (isMember ? LINGER_US : 0);
         if (isMember) {
-            view.changeOwnState(nowUs, MemberState.LEAVING, "it ends in order");
+            view.changeOwnState(nowUs, MemberState.LEAVING, "shutting down");
             dissemination.enqueue(view.self());
             dissemination.sendRound(nowUs);
         }
     }
 
-    /** Tells those drawn, and those that watch this process, that it has left. */
+    /** Announces that this process has left: by gossip, and directly to the members that watch it. */
     void finish(long nowUs) {
         if (view.self().state() == MemberState.LEAVING) {
-            view.changeOwnState(nowUs, MemberState.LEFT, "ended in order");
+            view.changeOwnState(nowUs, MemberState.LEFT, "shut down");
             dissemination.enqueue(view.self());
             for (int i = 0; i < FINAL_GOSSIP_ROUNDS; i++) {
                 dissemination.sendRound(nowUs);
--- a/src/main/java/petrelstand/members/LocalHealth.java
+++ b/src/main/java/petrelstand/members/LocalHealth.java
@@ -1,6 +1,6 @@
 package petrelstand.members;
 
-/** Whether this process itself is the one in trouble: it doubts itself before it accuses others. */
+/** Detects that this process itself is cut off, so that it does not suspect others for its own fault. */
 final class LocalHealth {
     private final MembershipTiming timing;
     private final MembershipView view;
@@ -12,22 +12,22 @@
         this.view = view;
     }
 
-    /** Somebody is heard. */
+    /** Records that some member was heard. */
     void recordHeard(long nowUs) {
         lastHeardUs = nowUs;
     }
 
-    /** This process stood still for a time in which it could hear nobody. */
+    /** Excludes the time of a stall of this process from the measured silence. */
     void discountStall(long nowUs, long stallUs) {
         lastHeardUs = Math.min(nowUs, lastHeardUs + stallUs);
     }
 
-    /** Whether this process hears nobody. */
+    /** Whether this process has heard no other member for a while. */
     boolean isIsolated(long nowUs) {
         return view.presentPeerCount() > 0 && nowUs - lastHeardUs >= timing.isolationThresholdUs();
     }
 
-    /** Whether nobody was heard for as long as a silent member takes to fail. */
+    /** Whether no member has been heard for as long as a silent member takes to fail. */
     boolean isIsolatedPastFailTimeout(long nowUs) {
         return nowUs - lastHeardUs >= timing.suspectAfterUs() + timing.failAfterUs();
     }
--- a/src/main/java/petrelstand/members/LruMap.java
+++ b/src/main/java/petrelstand/members/LruMap.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** A table of at most so many entries; the one longest unused goes first. */
+/** A map with a bounded number of entries that evicts the least recently used one. */
 final class LruMap<V> extends LinkedHashMap<Long, V> {
     private static final long serialVersionUID = 1;
     private static final int INITIAL_CAPACITY = 16;
--- a/src/main/java/petrelstand/members/Member.java
+++ b/src/main/java/petrelstand/members/Member.java
@@ -3,17 +3,17 @@
 import java.util.List;
 
 /**
- * A claim on a member: one life (a start of the process) of one gateway.
+ * One process of a gateway and its state, as a view holds it and as updates between members carry it.
  *
- * @param name the gateway's name, one process at a time
- * @param boot drawn at random at each start, so that no two lives are taken for one
- * @param incarnation grows whenever the member answers a false claim; larger than that of the life before
- * @param address where its messages go, ip:port
- * @param state what is claimed
- * @param by who saw it so, where it is a suspicion; else empty
- * @param startMs the wall clock's time of its start, for people; decides nothing
- * @param version of the program
- * @param abilities what it can do, in words that later parts define
+ * @param name the gateway's name, used by one process at a time
+ * @param bootId random number drawn at each start; tells successive processes of a gateway apart
+ * @param incarnation raised by the member to refute a false update; larger than that of the process before
+ * @param address where it receives messages, ip:port
+ * @param state the state that the view or update gives it
+ * @param accuser name of the member that suspects it; empty unless the state is {@link MemberState#SUSPECT}
+ * @param startMs wall clock time of its start, for display only
+ * @param programVersion version of its program
+ * @param abilities optional features that it supports
  */
 public record Member(
         String name,
@@ -25,7 +25,7 @@
         long startMs,
         String programVersion,
         List<String> abilities) {
-    /** Bounds on what a claim holds, characters and entries; a claim beyond them is malformed. */
+    /** Bounds in characters and entries; the decoder rejects members beyond them. */
     public static final int MAX_NAME_LENGTH = 64, MAX_ADDRESS_LENGTH = 64, MAX_VERSION_LENGTH = 40, MAX_ABILITIES = 16;
 
     public Member {
--- a/src/main/java/petrelstand/members/MemberState.java
+++ b/src/main/java/petrelstand/members/MemberState.java
@@ -1,20 +1,20 @@
 package petrelstand.members;
 
-/** What a member is held to be. Of two claims on one incarnation of one life, the later state here wins. */
+/** The state of a member. Of two updates on the same process and incarnation, the state declared later wins. */
 public enum MemberState {
-    /** Has not yet been answered, or has learned that it was away: no member, whatever others still hold it to be. */
+    /** Not admitted yet, or rejoining after a long pause; not a member, whatever others still believe. */
     JOINING,
     ALIVE,
-    /** Silent to someone who watches it; it has {@link MembershipTiming#failAfterUs} to say that it lives. */
+    /** Silent to a member that watches it; fails unless it refutes within {@link MembershipTiming#failAfterUs}. */
     SUSPECT,
-    /** Told that it will end; still answers. */
+    /** Announced that it will leave; still answers. */
     LEAVING,
-    /** Silent to all who watched it. */
+    /** Did not refute a suspicion in time. */
     FAILED,
-    /** Ended in order, as it told. */
+    /** Left gracefully. */
     LEFT;
 
-    /** Whether the member counts as there. */
+    /** Whether the member counts as part of the fleet. */
     public boolean isPresent() {
         return this == ALIVE || this == SUSPECT || this == LEAVING;
     }
--- a/src/main/java/petrelstand/members/Membership.java
+++ b/src/main/java/petrelstand/members/Membership.java
@@ -8,47 +8,57 @@
 import petrelstand.members.Message.Envelope;
 
 /**
- * Who is there and who has failed, as one gateway sees it. A member is watched by its predecessors on several rings
- * ({@link WatchRings}), on which all members stand in an order of their own; who falls silent to a watcher, directly
- * and through others ({@link FailureDetector}), is suspected, and fails where two agree and it does not refute in time
- * ({@link Suspicion}). What changes is told on as news ({@link Dissemination}, {@link AntiEntropy}).
+ * One gateway's view of which gateways are up and which have failed, kept by a SWIM-like protocol. Each member is
+ * watched by its predecessors on several rings ({@link WatchRings}). A member that is silent to a watcher, directly and
+ * through relays ({@link FailureDetector}), becomes suspect; it fails if it does not refute the suspicion in time
+ * ({@link Suspicion}). Changes spread by gossip ({@link Dissemination}) and comparison of digests
+ * ({@link AntiEntropy}).
  *
- * <p>Deterministic: messages and time in, messages and changes out. One thread at a time; times are microseconds of a
- * clock that never goes back. {@link #tick} is to be called every {@link MembershipTiming#TICK_INTERVAL_US}; one that
- * comes late says that this process stood still. The design and the ways weighed are in docs/design/members.md.
+ * <p>The class does no I/O and is deterministic: messages and time go in, messages and changes come out. It is not
+ * thread-safe. Times are microseconds of a monotonic clock. {@link #tick} must be called every
+ * {@link MembershipTiming#TICK_INTERVAL_US}; a late call means that this process was stalled. The design is described
+ * in docs/design/members.md.
  */
 public class Membership {
-    /** Members known, those that are gone among them. */
+    /** Maximum number of known members, including tombstones. */
     public static final int MAX_MEMBERS = MembershipView.MAX_MEMBERS;
-    /** Lives whose messages are taken: those that answered a nonce of this process. */
+    /** Maximum number of processes remembered as verified. */
     static final int MAX_VERIFIED_PROCESSES = VerifiedProcesses.MAX_ENTRIES;
-    /** Questions out at a time. */
+    /** Maximum number of requests awaiting an answer. */
     static final int MAX_PENDING_REQUESTS = PendingRequests.MAX_ENTRIES;
-    /** Messages a second that this process sends at most, over a second and in the long run. */
+    /** Maximum message rate, both as a burst and in the long run. */
     static final double MAX_MESSAGES_PER_SECOND = Outbox.MAX_MESSAGES_PER_SECOND;
 
-    /** What the process does for this module. */
+    /** What the surrounding process does for this class. */
     public interface Callbacks {
-        /** Sends a message; it may get lost, and nothing is told of that. */
+        /** Sends a message, which may get lost without notice. */
         void send(String address, Envelope message);
 
-        /** The view has changed. */
+        /** Called when the view has changed. */
         void onViewChanged(ViewChange change);
 
-        /** What this gateway sees of the fleet has changed. */
+        /** Called when the visible part of the fleet has changed. */
         void onVisibilityChanged(FleetVisibility visibility);
 
-        /** This process did not run for so long, without having been asked to. */
+        /** Called after this process did not run for the given time, in microseconds. */
         void onStall(long durationUs);
 
-        /** Something happened that is counted; names are few and fixed. */
+        /** Adds 1 to a counter; the set of names is small and fixed. */
         void incrementCounter(String name);
 
-        /** Something that an operator should read. */
+        /** Logs a line for the operator. */
         void logMessage(String line);
     }
 
-    /** One line of the view. */
+    /**
+     * A member as this gateway sees it.
+     *
+     * @param stateSinceUs when it entered its state
+     * @param cause why it entered its state, for people to read
+     * @param lastHeardUs when it was last heard
+     * @param heardThroughRelay whether it was last heard through a relay only
+     * @param watched whether this process probes it
+     */
     public record MemberStatus(
             Member member,
             long stateSinceUs,
@@ -73,12 +83,14 @@
     private long lastTickUs;
 
     /**
-     * A process that wants to be a member.
+     * Creates a process that starts joining at its first tick.
      *
-     * @param self as it is to be known; its state is taken as {@link MemberState#JOINING}
+     * @param nowUs current time
+     * @param fleet name of the fleet; messages of other fleets are refused
+     * @param self this process as others shall know it; its state is set to {@link MemberState#JOINING}
      * @param seeds addresses to join by; may be down, wrong, or this process's own
-     * @param size the agreed number of members, or 0: the most that were seen, less those that left in order
-     * @param seed of all chance in here
+     * @param fleetSize agreed number of members, or 0 to use the most seen so far, less those that left gracefully
+     * @param seed seed of all random decisions
      */
     public Membership(
             long nowUs,
@@ -133,44 +145,46 @@
         receiver = new MessageReceiver(fleet, components, joinProtocol, callbacks);
     }
 
-    // ---- What others ask of this module ----
+    // ---- Queries and messages ----
 
-    /** This process as it is known. */
+    /** This process as others know it. */
     public Member self() {
         return view.self();
     }
 
-    /** Grows with each change of the view; of this process alone. */
+    /** Version of the view, raised with each change; comparable within this process only. */
     public long viewVersion() {
         return view.version();
     }
 
-    /** The same wherever the same members are held to be there, in the same state and incarnation. */
+    /** Digest of the present members with their states and incarnations; equal views have equal digests. */
     public long digest() {
         return view.digest().value();
     }
 
-    /** The digest's parts: where two gateways' differ, their views differ in members of that part. */
+    /** The buckets of the digest; two views differ in members of those buckets that differ. */
     public List<Long> digestBuckets() {
         return view.digest().bucketValues();
     }
 
-    /** How much of the fleet is seen. */
+    /** How much of the fleet this gateway sees. */
     public FleetVisibility visibility() {
         return view.visibility();
     }
 
-    /** The view, this process first, then by name; members that nobody was heard of while cut off show as failed. */
+    /**
+     * All known members, this process first, the others by name; members unreachable during isolation show as failed.
+     */
     public List<MemberStatus> members() {
         return view.memberStatuses(lastTickUs);
     }
 
-    /** Addresses of the members that are there and reached, by name; this process is not among them. */
+    /** Addresses of the other present and reachable members, by name. */
     public Map<String, String> reachableAddresses() {
         return view.reachableAddresses();
     }
 
-    /** Where a member is or was reached; null where it is not known. This process's own is its own. */
+    /** Address at which a member is or was reachable, or null if the name is unknown. */
     public String addressOf(String name) {
         if (name.equals(view.self().name())) {
             return view.self().address();
@@ -179,17 +193,17 @@
         return peer == null ? null : peer.address();
     }
 
-    /** Tells that this process will end; {@link #hasLeft} says when all is told. */
+    /** Starts a graceful leave; {@link #hasLeft} tells when it is complete. */
     public void leave(long nowUs) {
         leaveProtocol.begin(nowUs);
     }
 
-    /** Whether this process has left, as it was asked to. */
+    /** Whether the leave that {@link #leave} started is complete. */
     public boolean hasLeft() {
         return leaveProtocol.isFinished();
     }
 
-    /** A message that came; who sent it has shown that it has the fleet's key. */
+    /** Handles a received message whose sender was authenticated as having the fleet's key. */
     public void receive(long nowUs, Envelope envelope) {
         if (!leaveProtocol.isFinished()) {
             receiver.receive(nowUs, envelope);
@@ -198,7 +212,7 @@
 
     // ---- Time ----
 
-    /** To be called every {@link MembershipTiming#TICK_INTERVAL_US}. */
+    /** Advances the protocol; must be called every {@link MembershipTiming#TICK_INTERVAL_US}. */
     public void tick(long nowUs) {
         long elapsedUs = nowUs - lastTickUs;
         outbox.refill(elapsedUs);
@@ -240,12 +254,12 @@
         }
     }
 
-    /** Whether this process stood still for so long that others may have given it up. */
+    /** Whether a stall was so long that other members may hold this process to be failed. */
     boolean requiresRejoin(long stallUs) {
         return stallUs >= timing.rejoinThresholdUs();
     }
 
-    /** This process stood still: nobody was silent meanwhile. Harm: who fell silent then is found so later. */
+    /** Excludes a stall of this process from the measured silence of others, which delays detection by as much. */
     private void discountStall(long nowUs, long stallUs) {
         for (Peer peer : view.peers()) {
             peer.lastHeardUs = Math.min(nowUs, peer.lastHeardUs + stallUs);
@@ -256,12 +270,12 @@
         health.discountStall(nowUs, stallUs);
     }
 
-    /** Others may have given this process up, and all that it knows is old: nobody is there until it has joined. */
+    /** Discards the view, which is outdated after a long stall, and joins again. */
     private void rejoin(long nowUs, long stallUs) {
         long stallMs = stallUs / 1000;
         callbacks.incrementCounter("fleet.away");
         callbacks.onStall(stallUs);
-        callbacks.logMessage("away: this process stood still for " + stallMs + " ms; joining anew");
+        callbacks.logMessage("this process was paused for " + stallMs + " ms; rejoining the fleet");
         joinProtocol.rememberFormerAddresses(view.removePresentPeers());
         detector.clear();
         dissemination.clear();
@@ -274,14 +288,17 @@
         view.updateVisibility(nowUs);
     }
 
-    // ---- Rules that the tests replace to plant a defect ----
+    // ---- Rules that tests override to plant a defect ----
 
-    /** Raises this process's incarnation above one that was claimed. */
+    /** Raises this process's incarnation above the given one. */
     void raiseIncarnation(long above) {
         view.raiseIncarnation(above);
     }
 
-    /** Whether a claim replaces another on the same name: a later incarnation, or of one life the later state. */
+    /**
+     * Whether an update replaces the known state of the same name: the higher incarnation wins, then the later state of
+     * the same process, or the higher boot ID of different processes.
+     */
     boolean supersedes(Member update, Member known) {
         if (update.incarnation() != known.incarnation()) {
             return update.incarnation() > known.incarnation();
@@ -291,7 +308,7 @@
                 : update.bootId() > known.bootId();
     }
 
-    /** Lives, questions, members and rumours kept, for the test that each is bounded. */
+    /** Numbers of verified processes, pending requests, known members and queued updates, for tests of their bounds. */
     List<Integer> tableSizes() {
         return List.of(verified.size(), pending.size(), view.peers().size(), dissemination.queueSize());
     }
--- a/src/main/java/petrelstand/members/MembershipComponents.java
+++ b/src/main/java/petrelstand/members/MembershipComponents.java
@@ -1,6 +1,6 @@
 package petrelstand.members;
 
-/** The parts of one process's membership, as its protocols share them. */
+/** The components of one {@link Membership} that its protocols share. */
 record MembershipComponents(
         MembershipView view,
         VerifiedProcesses verified,
--- a/src/main/java/petrelstand/members/MembershipTiming.java
+++ b/src/main/java/petrelstand/members/MembershipTiming.java
@@ -1,18 +1,19 @@
 package petrelstand.members;
 
 /**
- * The times of membership, in microseconds. A crash is known by all within {@code pingUs + suspectAfterUs +
- * failAfterUs} and the time that news takes; a member silent for less than {@code suspectAfterUs + failAfterUs} never
- * fails.
+ * Intervals and timeouts of the membership protocol, in microseconds. A crash is known to all members within
+ * {@code pingIntervalUs + suspectAfterUs + failAfterUs} plus the time that gossip takes. A member silent for less than
+ * {@code suspectAfterUs + failAfterUs} never fails.
  *
- * @param pingUs between pings of a member that is watched
- * @param suspectAfterUs silence, to direct and relayed pings, that makes a suspect
- * @param failAfterUs how long a suspect has to answer
- * @param retryUs between attempts to reach seeds and failed members, each spread by the seed
+ * @param pingIntervalUs interval between pings of a watched member
+ * @param suspectAfterUs silence to direct and relayed pings after which a member becomes suspect
+ * @param failAfterUs how long a suspect has to refute
+ * @param retryIntervalUs interval between attempts to reach seeds and failed members, before jitter
  */
 public record MembershipTiming(long pingIntervalUs, long suspectAfterUs, long failAfterUs, long retryIntervalUs) {
+    /** The timing of a gateway whose settings give none. */
     public static final MembershipTiming DEFAULT = new MembershipTiming(250_000, 1_000_000, 1_000_000, 1_000_000);
-    /** How often {@link Membership#tick} wants to be called. */
+    /** Interval at which {@link Membership#tick} must be called. */
     public static final long TICK_INTERVAL_US = 50_000;
 
     public MembershipTiming {
@@ -20,21 +21,23 @@
                 || suspectAfterUs < 3 * pingIntervalUs
                 || failAfterUs < 2 * pingIntervalUs
                 || retryIntervalUs < pingIntervalUs) {
-            throw new IllegalArgumentException("times that leave no room for two lost messages");
+            throw new IllegalArgumentException(
+                    "pingIntervalUs must be at least one tick, suspectAfterUs three ping intervals, failAfterUs two and "
+                            + "retryIntervalUs one");
         }
     }
 
-    /** A tick later than this means that this process stood still: it doubts itself before it accuses. */
+    /** Delay of a tick from which on this process counts as stalled. */
     long stallThresholdUs() {
         return 4 * TICK_INTERVAL_US;
     }
 
-    /** After standing still for so long others may hold this process to be failed: it joins anew. */
+    /** Length of a stall after which this process joins again, as others may hold it to be failed. */
     long rejoinThresholdUs() {
         return suspectAfterUs + failAfterUs / 2;
     }
 
-    /** Nobody heard for so long: this process takes itself for the one that is cut off. */
+    /** Silence of all members after which this process takes itself to be isolated. */
     long isolationThresholdUs() {
         return suspectAfterUs - pingIntervalUs;
     }
--- a/src/main/java/petrelstand/members/MembershipView.java
+++ b/src/main/java/petrelstand/members/MembershipView.java
@@ -10,13 +10,13 @@
 import java.util.TreeMap;
 
 /**
- * What this process holds of every member, itself among them, and the tombstones of those that are gone. Keeps rings,
- * digest, suspects and standing in step with it, and reports each change.
+ * All members known to this process, including itself and the tombstones of members that are gone. Keeps the watch
+ * rings, the digest, the set of suspects and the fleet visibility consistent with them, and reports each change.
  */
 final class MembershipView {
-    /** Members known, those that are gone among them. */
+    /** Maximum number of known members, including tombstones. */
     static final int MAX_MEMBERS = 1024;
-    /** A failed member is tried again for so long, and known for so long. */
+    /** How long a member that is gone is remembered and, if it failed, retried. */
     static final long TOMBSTONE_LIFETIME_US = 24L * 3600 * 1_000_000;
 
     private final WatchRings rings;
@@ -30,9 +30,10 @@
     private long selfSinceUs;
     private String selfCause = "started";
     private long version;
-    /** Others that are there, and those of them that are not reached while this process hears nobody. */
+    /** Present members other than this process, reachable or not. */
     private int presentPeerCount;
 
+    /** Present members marked as unreachable during this process's isolation. */
     private int unreachableCount;
 
     MembershipView(
@@ -70,17 +71,17 @@
         return visibility.current();
     }
 
-    /** All known, those that are gone among them. */
+    /** All known peers, including tombstones. */
     Collection<Peer> peers() {
         return peers.values();
     }
 
-    /** The peer of a name; null where it is not known. */
+    /** The peer with a name, or null. */
     Peer peer(String name) {
         return peers.get(name);
     }
 
-    /** The peer at an address; null where none is known to be there. */
+    /** The peer at an address, or null. */
     Peer peerAt(String address) {
         return peers.values().stream()
                 .filter(peer -> peer.address().equals(address))
@@ -96,7 +97,7 @@
         return suspects;
     }
 
-    /** Others that are there, reached or not. */
+    /** Number of present members other than this process, reachable or not. */
     int presentPeerCount() {
         return presentPeerCount;
     }
@@ -105,7 +106,7 @@
         return unreachableCount > 0;
     }
 
-    /** The view, this process first, then by name. */
+    /** All known members, this process first, the others by name. */
     List<Membership.MemberStatus> memberStatuses(long nowUs) {
         List<Membership.MemberStatus> statuses = new ArrayList<>();
         statuses.add(new Membership.MemberStatus(self, selfSinceUs, selfCause, nowUs, false, false));
@@ -120,7 +121,7 @@
                 shown, peer.stateSinceUs, cause, peer.lastHeardUs, peer.heardThroughRelay, peer.watched);
     }
 
-    /** Addresses of the others that are there and reached, by name. */
+    /** Addresses of the other present and reachable members, by name. */
     Map<String, String> reachableAddresses() {
         Map<String, String> addresses = new TreeMap<>();
         peers.values().stream()
@@ -131,7 +132,7 @@
 
     // ---- This process ----
 
-    /** This process has another state from now on. */
+    /** Sets this process's own state and reports the change. */
     void changeOwnState(long nowUs, MemberState state, String cause) {
         MemberState previousState = self.state();
         replaceSelf(self.withState(state, ""));
@@ -142,7 +143,7 @@
         updateVisibility(nowUs);
     }
 
-    /** Raises this process's incarnation above one that was claimed. */
+    /** Raises this process's incarnation above the given one. */
     void raiseIncarnation(long above) {
         replaceSelf(self.withIncarnation(Math.max(self.incarnation(), above + 1)));
     }
@@ -153,14 +154,14 @@
         digest.toggle(self);
     }
 
-    /** This process has refuted a claim on itself. */
+    /** Raises the view's version after this process has refuted an update on itself. */
     void recordRefutation() {
         version++;
     }
 
-    // ---- The others ----
+    // ---- Other members ----
 
-    /** Makes room for a name not known yet, where need be at the cost of the oldest tombstone; null where none is. */
+    /** Adds a peer, evicting the oldest tombstone if the view is full; null if there is no room. */
     Peer addPeer(long nowUs, String name) {
         if (peers.size() >= MAX_MEMBERS && !removeOldestTombstone()) {
             return null;
@@ -185,7 +186,9 @@
         peers.values().removeIf(peer -> !peer.isPresent() && nowUs - peer.stateSinceUs > TOMBSTONE_LIFETIME_US);
     }
 
-    /** Nobody is there any more; tombstones stay, as others may still hold old claims on them. Gives the addresses. */
+    /**
+     * Removes all present peers and returns their addresses. Tombstones stay, as outdated updates may still circulate.
+     */
     List<String> removePresentPeers() {
         List<String> addresses = new ArrayList<>();
         for (Peer peer : peers.values()) {
@@ -202,7 +205,7 @@
         return addresses;
     }
 
-    /** Takes a claim on a peer. */
+    /** Applies an update to a peer and reports the change. */
     void applyUpdate(long nowUs, Peer peer, Member update, String cause) {
         Member previous = peer.member;
         boolean wasPresent = previous != null && previous.state().isPresent();
@@ -264,7 +267,7 @@
         }
     }
 
-    /** Marks a member as not reached while this process hears nobody. */
+    /** Marks a member as unreachable while this process is isolated. */
     void markUnreachable(long nowUs, Peer peer) {
         MemberState previousState = peer.member.state();
         peer.unreachable = true;
@@ -274,7 +277,7 @@
         callbacks.onViewChanged(new ViewChange(nowUs, version, shown, previousState, "nobody is heard here"));
     }
 
-    /** Marks a member as reached again. */
+    /** Marks an unreachable member as reachable again. */
     void markReachable(long nowUs, Peer peer) {
         peer.unreachable = false;
         unreachableCount--;
@@ -283,7 +286,7 @@
         callbacks.onViewChanged(new ViewChange(nowUs, version, peer.member, MemberState.FAILED, "heard again"));
     }
 
-    /** Holds all to have been heard just now and to be watched by nobody here. */
+    /** Resets all peers to just heard, reachable and not watched. */
     void resetObservations(long nowUs) {
         for (Peer peer : peers.values()) {
             peer.unreachable = false;
@@ -293,7 +296,7 @@
         unreachableCount = 0;
     }
 
-    /** Tells the standing if it is another than before. */
+    /** Recomputes the fleet visibility and reports it if it has changed. */
     void updateVisibility(long nowUs) {
         boolean member = self.state().isPresent();
         visibility.update(nowUs, member ? 1 + presentPeerCount - unreachableCount : 0);
--- a/src/main/java/petrelstand/members/Message.java
+++ b/src/main/java/petrelstand/members/Message.java
@@ -2,47 +2,59 @@
 
 import java.util.List;
 
-/** What members say to each other. News are claims that ride along, as many as {@link #countFitting} lets in. */
+/**
+ * A message between members. Updates are piggybacked on some kinds, up to the bounds that {@link #countFitting}
+ * applies.
+ */
 public sealed interface Message {
-    /**
-     * Claims in one message at most, and what they may take together, so that it stays within a datagram of 1,400
-     * bytes.
-     */
+    /** Maximum number of updates in one message. */
     int MAX_UPDATES = 16;
 
+    /** Maximum encoded size of all updates in one message, which keeps a datagram within 1400 bytes. */
     int MAX_UPDATES_BYTES = 1100;
-    /** What a claim takes beside its texts: numbers of up to 9 bytes, and a head of up to 2 for each text and list. */
+    /** Encoded size of an update besides its texts: integers of up to 9 bytes and text and list headers of up to 2. */
     int UPDATE_OVERHEAD_BYTES = 42;
-    /** Parts that the digest of a view is told in, so that two gateways can say where theirs differ. */
+    /** Number of buckets of a view digest; comparing them narrows a difference down to some members. */
     int DIGEST_BUCKET_COUNT = 16;
 
-    /** Asks for an {@link Ack}; the nonce is the asker's own, so no old answer passes for a new one. */
+    /** Asks for an {@link Ack} with the same nonce; a fresh nonce keeps replayed answers from being accepted. */
     record Ping(long nonce, long digest, List<Member> updates) implements Message {}
 
-    /** Answers; {@code of} names another life that the sender heard from in the asker's place, or is empty and 0. */
+    /**
+     * Answers a {@link Ping} or {@link PingRequest}.
+     *
+     * @param subjectName the member that answered the relayed probe; empty if the sender answers for itself
+     * @param subjectBootId the boot ID of that member, else 0
+     */
     record Ack(long nonce, long digest, String subjectName, long subjectBootId, List<Member> updates)
             implements Message {}
 
-    /** Asks the receiver to ping another in the sender's place. */
+    /** Asks the receiver to ping another member on the sender's behalf (SWIM's ping-req). */
     record PingRequest(long nonce, String targetName, String targetAddress) implements Message {}
 
-    /** Asks whether the name is free. */
+    /** Asks to join under the joiner's name. */
     record JoinRequest(long nonce, Member joiner) implements Message {}
 
     /**
-     * The answer to {@link JoinRequest}; the holder of the name, as the sender knows it, or null, and some members that
-     * are there, so that newcomers spread what they ask over the fleet and not over its seeds alone.
+     * Answers a {@link JoinRequest}.
+     *
+     * @param nameHolder the member with the joiner's name as the sender knows it, or null
+     * @param sampleMembers some present members, so that joiners fetch the view from others than the seeds
      */
     record JoinResponse(long nonce, boolean accepted, Member nameHolder, List<Member> sampleMembers)
             implements Message {}
 
-    /** The parts of the sender's digest; the receiver sends what it holds where they differ. */
+    /**
+     * The sender's digest buckets; the receiver sends its members of those buckets that differ.
+     *
+     * @param replyRequested whether the receiver shall send its own buckets in return
+     */
     record DigestBuckets(List<Long> buckets, boolean replyRequested) implements Message {}
 
-    /** Claims alone. */
+    /** Updates alone. */
     record Gossip(List<Member> updates) implements Message {}
 
-    /** How many of the claims from a place on fit into one message; one always does. */
+    /** How many of the updates from an index on fit into one message; at least one if there are any. */
     static int countFitting(List<Member> updates, int start) {
         int bytes = 0;
         int count = 0;
@@ -56,7 +68,7 @@
         return count;
     }
 
-    /** Bytes that a claim takes at most; names and addresses are ASCII. */
+    /** Upper bound of an update's encoded size in bytes; its texts are ASCII. */
     static int maxEncodedBytes(Member update) {
         int bytes = UPDATE_OVERHEAD_BYTES
                 + update.name().length()
@@ -72,7 +84,8 @@
     /**
      * A message with its sender.
      *
-     * @param sequence grows with each message of a life; a smaller or known one is a repeat
+     * @param fleet name of the fleet that the sender belongs to
+     * @param sequence raised by the sender with each message, so that receivers can drop replayed ones
      */
     record Envelope(
             String fleet,
--- a/src/main/java/petrelstand/members/MessageReceiver.java
+++ b/src/main/java/petrelstand/members/MessageReceiver.java
@@ -12,7 +12,7 @@
 import petrelstand.members.PendingRequests.PendingRequest;
 import petrelstand.members.PendingRequests.Purpose;
 
-/** Takes messages that come: refuses strangers and repeats, answers probes, and hands the rest on. */
+/** Handles received messages: refuses those of other fleets and replayed ones, answers probes, dispatches the rest. */
 final class MessageReceiver {
     private final String fleet;
     private final MembershipComponents components;
@@ -84,7 +84,7 @@
                         new Ack(ping.nonce(), view.digest().value(), "", 0, updates));
     }
 
-    /** A life that has shown that it lives now. */
+    /** Records that a verified process was heard. */
     private void recordHeard(long nowUs, Envelope envelope) {
         components.health().recordHeard(nowUs);
         Peer peer = view.peer(envelope.senderName());
@@ -100,7 +100,7 @@
         }
     }
 
-    /** Nothing is taken of a life that has not answered a nonce of this process: what came may be a repeat. */
+    /** Accepts updates of verified processes only, since others' messages may be replayed; challenges the others. */
     private void processUpdatesAndDigest(
             long nowUs, Envelope envelope, boolean verified, List<Member> updates, long digest) {
         if (!verified) {
@@ -148,7 +148,7 @@
         }
     }
 
-    /** A relay has heard the member that it was asked to probe. */
+    /** Handles a relay's report that the member it was asked to probe has answered. */
     private void handleRelayedAck(long nowUs, PendingRequest request, Ack ack, boolean verified) {
         Peer peer = view.peer(request.name());
         boolean expected = verified && request.purpose() == Purpose.INDIRECT_PROBE;
--- a/src/main/java/petrelstand/members/NameOwnership.java
+++ b/src/main/java/petrelstand/members/NameOwnership.java
@@ -6,9 +6,9 @@
 import petrelstand.members.Message.JoinRequest;
 import petrelstand.members.Message.JoinResponse;
 
-/** This process's claim on its name: one process at a time has it, and the other takes no part meanwhile. */
+/** Ensures that one process at a time uses this process's name: of two, one stays out until the other is gone. */
 final class NameOwnership {
-    /** A first start that nobody answers goes on alone after so many retries. */
+    /** Retries without an answer after which a process that found no owner of its name becomes a member alone. */
     static final int MAX_UNANSWERED_RETRIES = 5;
 
     private final MembershipView view;
@@ -25,37 +25,37 @@
         this.callbacks = callbacks;
     }
 
-    /** This process begins to ask whether the name is free. */
+    /** Starts asking for the name again. */
     void restart() {
         retries = 0;
     }
 
-    /** The name is this process's. */
+    /** Records that this process owns the name. */
     void markAcquired() {
         heldByAnother = false;
     }
 
-    /** Whether this process may take the name unasked: there is nobody to ask, or nobody answers. */
+    /** Whether this process may take the name without an answer; counts one unanswered retry. */
     boolean mayTakeNameUnanswered(boolean noAddresses) {
         return !heldByAnother && (noAddresses || retries++ >= MAX_UNANSWERED_RETRIES);
     }
 
-    /** Another process has the name: this one is no member until that one is gone. */
+    /** Gives up the name to another process: this one is no member until that one is gone. */
     void yieldName(long nowUs, Member holder) {
         if (!heldByAnother) {
             heldByAnother = true;
             callbacks.incrementCounter("fleet.stepped_back");
-            callbacks.logMessage("name: " + view.self().name() + " is held by another process at " + holder.address()
-                    + "; this one takes no part until that one is gone");
+            callbacks.logMessage("name: " + view.self().name() + " is in use by another process at " + holder.address()
+                    + "; this process stays out of the fleet until that one is gone");
         }
         retries = 0;
         if (!view.isJoining()) {
             dissemination.remove(view.self().name());
-            view.changeOwnState(nowUs, MemberState.JOINING, "the name is held at " + holder.address());
+            view.changeOwnState(nowUs, MemberState.JOINING, "the name is in use at " + holder.address());
         }
     }
 
-    /** A process under this one's name hears who has it; who has the lower incarnation steps back. */
+    /** Tells another process with this one's name who owns it; the one with the lower incarnation gives it up. */
     void answerNameConflict(Envelope envelope) {
         if (view.isJoining()) {
             return;
--- a/src/main/java/petrelstand/members/Outbox.java
+++ b/src/main/java/petrelstand/members/Outbox.java
@@ -2,11 +2,11 @@
 
 import petrelstand.members.Message.Envelope;
 
-/** Sends messages within a budget; what is held back counts as lost, and the protocol tells it again. */
+/** Sends messages within a rate limit (token bucket). A message over the limit is dropped; the protocol repeats it. */
 final class Outbox {
-    /** Messages a second that this process sends at most, over a second and in the long run. */
+    /** Maximum message rate, both as a burst and in the long run. */
     static final double MAX_MESSAGES_PER_SECOND = 150;
-    /** Of that, what comparisons leave for joins, pings and their answers. */
+    /** Part of the budget that view comparisons leave for joins, pings and their answers. */
     static final double RESERVED_FOR_ANSWERS = MAX_MESSAGES_PER_SECOND / 2;
 
     private static final double MICROS_PER_SECOND = 1e6;
@@ -23,17 +23,17 @@
         this.callbacks = callbacks;
     }
 
-    /** So much time has gone by. */
+    /** Refills the budget for the elapsed time. */
     void refill(long elapsedUs) {
         budget = Math.min(MAX_MESSAGES_PER_SECOND, budget + elapsedUs / MICROS_PER_SECOND * MAX_MESSAGES_PER_SECOND);
     }
 
-    /** Whether a comparison may send on. */
+    /** Whether there is budget for view comparisons. */
     boolean hasBulkBudget() {
         return budget >= RESERVED_FOR_ANSWERS;
     }
 
-    /** Within the budget; pings go first by being sent first in a tick. */
+    /** Sends a message, or drops and counts it if the budget is used up. */
     void send(String address, Message message) {
         if (budget < 1) {
             callbacks.incrementCounter("fleet.held_back");
--- a/src/main/java/petrelstand/members/PendingRequests.java
+++ b/src/main/java/petrelstand/members/PendingRequests.java
@@ -2,31 +2,31 @@
 
 import java.util.SplittableRandom;
 
-/** Questions sent and not yet answered, each under a nonce of its own. */
+/** Requests sent and not yet answered, by nonce. */
 final class PendingRequests {
-    /** Questions out at a time; the oldest goes first. */
+    /** Maximum number of pending requests; the oldest is evicted. */
     static final int MAX_ENTRIES = 256;
 
-    /** What a question was sent for. */
+    /** Why a request was sent. */
     enum Purpose {
         /** A direct probe of a watched member. */
         PROBE,
-        /** A probe that a relay was asked for. */
+        /** A probe through a relay. */
         INDIRECT_PROBE,
-        /** A life is to prove that it lives now. */
+        /** Asks a process to prove that it is running now. */
         CHALLENGE,
-        /** This process wants to join. */
+        /** A join request of this process. */
         JOIN,
-        /** A probe in another member's place. */
+        /** A probe on behalf of another member. */
         RELAY
     }
 
     /**
-     * A question that is out.
+     * A request that awaits its answer.
      *
-     * @param name of the member asked about; empty where only its address is known
-     * @param address asked; for a relay, who wants to know
-     * @param origin for a relay the nonce of who wants to know; else 0
+     * @param name name of the probed member; empty if only its address is known
+     * @param address address of the probed member; for {@link Purpose#RELAY} that of the requester
+     * @param requesterNonce the requester's nonce for {@link Purpose#RELAY}; else 0
      */
     record PendingRequest(Purpose purpose, String name, String address, long requesterNonce) {}
 
@@ -37,14 +37,14 @@
         this.random = random;
     }
 
-    /** Notes a question; gives the nonce to send it with. */
+    /** Adds a request and returns the nonce to send it with. */
     long add(Purpose purpose, String name, String address, long requesterNonce) {
         long nonce = random.nextLong();
         requests.put(nonce, new PendingRequest(purpose, name, address, requesterNonce));
         return nonce;
     }
 
-    /** The question of a nonce, which is answered by that; null where none is out. */
+    /** Removes and returns the request with a nonce, or returns null. */
     PendingRequest remove(long nonce) {
         return requests.remove(nonce);
     }
--- a/src/main/java/petrelstand/members/Prober.java
+++ b/src/main/java/petrelstand/members/Prober.java
@@ -4,7 +4,7 @@
 import petrelstand.members.Message.PingRequest;
 import petrelstand.members.PendingRequests.Purpose;
 
-/** Sends pings, each noted with what it is for. */
+/** Sends pings and records the purpose of each as a pending request. */
 final class Prober {
     private final MembershipView view;
     private final PendingRequests pending;
@@ -18,7 +18,7 @@
         this.outbox = outbox;
     }
 
-    /** Probes a watched member; an earlier probe of it is given up. */
+    /** Probes a watched member; replaces its earlier probe. */
     void probe(Peer peer) {
         pending.remove(peer.pingNonce);
         peer.pingNonce = pending.add(Purpose.PROBE, peer.name(), peer.address(), 0);
@@ -31,19 +31,19 @@
         outbox.send(relay.address(), new PingRequest(nonce, peer.name(), peer.address()));
     }
 
-    /** Probes a member in the place of another, which wants to know under a nonce of its own. */
+    /** Probes a member on behalf of a requester, which gets an {@link Message.Ack} with its own nonce. */
     void probeOnBehalfOf(String requesterAddress, PingRequest request) {
         long nonce = pending.add(Purpose.RELAY, request.targetName(), requesterAddress, request.nonce());
         sendPing(request.targetAddress(), nonce, view.peer(request.targetName()));
     }
 
-    /** Asks a life to prove itself. */
+    /** Asks a process to prove that it is running now. */
     void challenge(String name, String address) {
         long nonce = pending.add(Purpose.CHALLENGE, name, address, 0);
         sendPing(address, nonce, view.peer(name));
     }
 
-    /** Asks whoever is at an address to prove itself. */
+    /** Asks the process at an address, whatever its name, to prove that it is running now. */
     void challengeAddress(String address) {
         long nonce = pending.add(Purpose.CHALLENGE, "", address, 0);
         sendPing(address, nonce, view.peerAt(address));
--- a/src/main/java/petrelstand/members/ReplayWindow.java
+++ b/src/main/java/petrelstand/members/ReplayWindow.java
@@ -1,6 +1,9 @@
 package petrelstand.members;
 
-/** Tells a life's new messages from those seen before: the highest number and the 64 below it. */
+/**
+ * Sliding window over one sender's sequence numbers that detects replayed messages: the highest number and the 63
+ * below.
+ */
 final class ReplayWindow {
     private long highest;
     private long seenBitmap = 1;
@@ -9,7 +12,7 @@
         highest = first;
     }
 
-    /** Whether the number is new; it is not from then on. What lies below the window counts as seen. */
+    /** Returns whether a number is new and marks it as seen. Numbers below the window count as seen. */
     boolean accept(long sequence) {
         if (sequence > highest) {
             long advance = sequence - highest;
--- a/src/main/java/petrelstand/members/StableHash.java
+++ b/src/main/java/petrelstand/members/StableHash.java
@@ -1,10 +1,10 @@
 package petrelstand.members;
 
-/** Well-mixed numbers of names, the same in every process. */
+/** Hashes that are the same in every process of the fleet. */
 final class StableHash {
     private StableHash() {}
 
-    /** Steele, Lea and Flood's finalizer of SplittableRandom: every bit of the input moves every bit of the result. */
+    /** The SplitMix64 finalizer (Steele, Lea and Flood): each input bit affects all output bits. */
     static long mix(long value) {
         long z = value + 0x9e3779b97f4a7c15L;
         z = (z ^ z >>> 30) * 0xbf58476d1ce4e5b9L;
@@ -20,7 +20,7 @@
         return hash;
     }
 
-    /** What a claim adds to the digest of a view: life, incarnation and state, not who said so. */
+    /** A member's part of the view digest: name, boot ID, incarnation and state, but not the accuser. */
     static long hash(Member member) {
         return mix(hash(member.name())
                 ^ mix(member.state().ordinal() ^ mix(member.bootId()))
--- a/src/main/java/petrelstand/members/Suspicion.java
+++ b/src/main/java/petrelstand/members/Suspicion.java
@@ -3,11 +3,12 @@
 import java.util.List;
 import java.util.TreeSet;
 
-/** Suspects members that are silent, and decides when a suspect that does not refute in time has failed. */
+/** Marks silent members as suspect, and as failed if they do not refute the suspicion in time. */
 final class Suspicion {
-    /** Accusers that a suspect needs to fail, and members that check where a suspect has fewer. */
+    /** Accusers needed for a suspect to fail after the regular time. */
     static final int REQUIRED_ACCUSERS = 2;
 
+    /** Members that probe a suspect on hearing of the suspicion. */
     static final int MAX_CHECKERS = 3;
 
     private final MembershipTiming timing;
@@ -23,7 +24,7 @@
         this.callbacks = callbacks;
     }
 
-    /** A member that this process watches has been silent for too long, directly and through relays. */
+    /** Accuses a watched member that has been silent for too long, directly and through relays. */
     void accuse(long nowUs, Peer peer) {
         String self = view.self().name();
         MemberState state = peer.member.state();
@@ -31,18 +32,18 @@
             callbacks.incrementCounter("fleet.suspected");
             long silentMs = (nowUs - peer.lastHeardUs) / 1000;
             Member suspect = peer.member.withState(MemberState.SUSPECT, self);
-            view.applyUpdate(nowUs, peer, suspect, "silent for " + silentMs + " ms here and to those asked");
+            view.applyUpdate(nowUs, peer, suspect, "silent for " + silentMs + " ms to direct and relayed pings");
             dissemination.enqueue(peer.member);
         } else if (state == MemberState.SUSPECT && peer.accusers.add(self)) {
             dissemination.enqueue(peer.member.withState(MemberState.SUSPECT, self));
         } else if (state == MemberState.LEAVING) {
             view.applyUpdate(
-                    nowUs, peer, peer.member.withState(MemberState.LEFT, ""), "silent after it told that it ends");
+                    nowUs, peer, peer.member.withState(MemberState.LEFT, ""), "silent after announcing that it leaves");
             dissemination.enqueue(peer.member);
         }
     }
 
-    /** Whether a claim is another's accusation of a suspect that has too few; it is noted then. */
+    /** Records a further accuser of a suspect; returns whether the update was one and more accusers were needed. */
     boolean addCorroboration(Member update, Peer peer) {
         return update.isSameProcess(peer.member)
                 && update.incarnation() == peer.member.incarnation()
@@ -52,7 +53,7 @@
                 && peer.accusers.add(update.accuser());
     }
 
-    /** For each suspect a few members look for themselves; which ones, all find alike. */
+    /** Whether this process is one of the few members that check a suspect; all members compute the same ones. */
     boolean isChecker(Peer suspect) {
         long suspectHash = StableHash.hash(suspect.name());
         long ownRank = StableHash.mix(suspectHash ^ StableHash.hash(view.self().name()));
@@ -67,7 +68,7 @@
         return lowerRanked < MAX_CHECKERS;
     }
 
-    /** Fails the suspects whose time is over; never while this process hears nobody. */
+    /** Marks suspects as failed once their deadline has passed, unless this process is isolated. */
     void failExpiredSuspects(long nowUs, boolean isolated) {
         if (isolated) {
             return;
@@ -77,16 +78,15 @@
                 callbacks.incrementCounter("fleet.failed");
                 String accusers = String.join(", ", new TreeSet<>(peer.accusers));
                 Member failed = peer.member.withState(MemberState.FAILED, "");
-                view.applyUpdate(nowUs, peer, failed, "no answer to the suspicion of " + accusers);
+                view.applyUpdate(nowUs, peer, failed, "did not refute the suspicion by " + accusers);
                 dissemination.enqueue(peer.member);
             }
         }
     }
 
     /**
-     * When a suspect's time is over: where two accuse it, or as many as there are to do so; else it has twice the time.
-     * Where this process has heard the suspect since, the time begins anew: one that answered, and ended before it
-     * could refute, would else be a suspect for ever.
+     * When a suspect fails. It has twice the time while it has fewer accusers than needed. The time starts again when
+     * this process hears the suspect, so that one that answers and dies before it refutes still fails.
      */
     private long deadlineUs(Peer peer) {
         boolean enoughAccusers = peer.accusers.size() >= Math.min(REQUIRED_ACCUSERS, view.presentPeerCount());
--- a/src/main/java/petrelstand/members/UpdateProcessor.java
+++ b/src/main/java/petrelstand/members/UpdateProcessor.java
@@ -3,7 +3,10 @@
 import java.util.function.BiPredicate;
 import java.util.function.LongConsumer;
 
-/** Takes claims that proven members tell: newer ones replace what is held, false ones on this process are refuted. */
+/**
+ * Applies membership updates from verified members: newer ones replace what is known, false ones on this process are
+ * refuted.
+ */
 final class UpdateProcessor {
     private final MembershipView view;
     private final Dissemination dissemination;
@@ -15,10 +18,10 @@
     private final Membership.Callbacks callbacks;
 
     /**
-     * An intake.
+     * Creates a processor.
      *
-     * @param supersedes whether a claim, the first, replaces what is known
-     * @param raiseIncarnation raises this process's incarnation above one that was claimed
+     * @param supersedes whether an update, the first argument, replaces what is known, the second
+     * @param raiseIncarnation raises this process's incarnation above the given one
      */
     UpdateProcessor(
             MembershipView view,
@@ -39,7 +42,7 @@
         this.callbacks = callbacks;
     }
 
-    /** A proven member tells a claim. */
+    /** Applies an update that a verified member sent. */
     void process(long nowUs, Member update, String senderName) {
         if (update.name().equals(view.self().name())) {
             processSelfUpdate(nowUs, update);
@@ -58,11 +61,15 @@
                 callbacks.incrementCounter("fleet.refused.room");
                 return;
             }
-            apply(nowUs, peer, update, "told by " + senderName);
+            apply(nowUs, peer, update, "reported by " + senderName);
         } else if (supersedes.test(update, peer.member)) {
             boolean restarted =
                     update.bootId() != peer.member.bootId() && update.state().isPresent();
-            apply(nowUs, peer, update, restarted ? "restarted, told by " + senderName : "told by " + senderName);
+            apply(
+                    nowUs,
+                    peer,
+                    update,
+                    restarted ? "restarted, reported by " + senderName : "reported by " + senderName);
         } else if (suspicion.addCorroboration(update, peer)) {
             dissemination.enqueue(update);
         }
@@ -96,7 +103,7 @@
         view.recordRefutation();
         callbacks.incrementCounter("fleet.refuted");
         if (update.state() == MemberState.FAILED) {
-            callbacks.logMessage("held to be failed by others; incarnation is now "
+            callbacks.logMessage("refuted a report that this gateway has failed; its incarnation is now "
                     + view.self().incarnation());
         }
         dissemination.enqueue(view.self());
--- a/src/main/java/petrelstand/members/VerifiedProcesses.java
+++ b/src/main/java/petrelstand/members/VerifiedProcesses.java
@@ -1,13 +1,15 @@
 package petrelstand.members;
 
-/** Lives that have answered a nonce of this process; only their messages are taken, each once. */
+/**
+ * Processes that have answered a nonce of this process, by boot ID. Only their updates are accepted, each message once.
+ */
 final class VerifiedProcesses {
-    /** Lives kept; the one longest unheard goes first, and has to answer again. */
+    /** Maximum number of entries; the least recently used is evicted and has to be verified again. */
     static final int MAX_ENTRIES = 2 * MembershipView.MAX_MEMBERS;
 
     private final LruMap<ReplayWindow> windows = new LruMap<>(MAX_ENTRIES);
 
-    /** The window of a proven life; null for any other. */
+    /** The replay window of a verified process, or null. */
     ReplayWindow window(long bootId) {
         return windows.get(bootId);
     }
@@ -16,12 +18,12 @@
         return windows.containsKey(bootId);
     }
 
-    /** A life has answered with a message of this number. */
+    /** Adds a process that answered with a message of this sequence number; starts a new replay window. */
     void add(long bootId, long sequence) {
         windows.put(bootId, new ReplayWindow(sequence));
     }
 
-    /** A life has answered, and may have done so before. */
+    /** Adds a process that answered; keeps its replay window if it has one. */
     void addIfAbsent(long bootId, long sequence) {
         windows.putIfAbsent(bootId, new ReplayWindow(sequence));
     }
--- a/src/main/java/petrelstand/members/ViewChange.java
+++ b/src/main/java/petrelstand/members/ViewChange.java
@@ -1,12 +1,12 @@
 package petrelstand.members;
 
 /**
- * A change of a view.
+ * A change in this gateway's view of one member.
  *
- * @param atUs when, on this gateway's clock
- * @param version of the view after it
- * @param member as it is now
- * @param from what it was held to be; null where it was not known
- * @param cause why, in words
+ * @param atUs time of the change on this gateway's monotonic clock, in microseconds
+ * @param viewVersion version of the view after the change
+ * @param member the member after the change
+ * @param previousState state before the change, or null if the member was unknown
+ * @param cause the reason, for people to read
  */
 public record ViewChange(long atUs, long viewVersion, Member member, MemberState previousState, String cause) {}
--- a/src/main/java/petrelstand/members/ViewDigest.java
+++ b/src/main/java/petrelstand/members/ViewDigest.java
@@ -3,11 +3,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The digest of a view: the same wherever the same members are held to be there, in the same state and incarnation. */
+/** Incremental digest of a view's present members, their states and incarnations. Equal views have equal digests. */
 final class ViewDigest {
     private final long[] buckets = new long[Message.DIGEST_BUCKET_COUNT];
 
-    /** Adds a member that is there, or takes it out; one that is not there changes nothing. */
+    /** Adds a present member, or removes it if it was added before; ignores members that are not present. */
     void toggle(Member member) {
         if (member.state().isPresent()) {
             buckets[bucketOf(member)] ^= StableHash.hash(member);
@@ -22,7 +22,7 @@
         return combined;
     }
 
-    /** The digest's parts: where two gateways' differ, their views differ in members of that part. */
+    /** The buckets of the digest; two views differ in members of those buckets that differ. */
     List<Long> bucketValues() {
         List<Long> values = new ArrayList<>();
         for (long bucket : buckets) {
@@ -31,7 +31,7 @@
         return values;
     }
 
-    /** The part that a member is in. */
+    /** The index of the bucket that a member belongs to. */
     static int bucketOf(Member member) {
         return (int) Math.floorMod(StableHash.hash(member.name()), (long) Message.DIGEST_BUCKET_COUNT);
     }
--- a/src/main/java/petrelstand/members/WatchRings.java
+++ b/src/main/java/petrelstand/members/WatchRings.java
@@ -9,13 +9,13 @@
 import java.util.TreeMap;
 
 /**
- * Who is watched by whom: members stand on several rings, on each in another order that all members compute alike, and
- * each is watched by its predecessor on each ring.
+ * Assigns watchers to members. The present members form several rings, ordered by hashes that differ from ring to ring
+ * and are the same in every process. Each member is watched by its predecessor on each ring.
  */
 final class WatchRings {
-    /** Orders in which members watch each other. */
+    /** Number of rings, that is, of watchers per member. */
     static final int RING_COUNT = 3;
-    /** Members watched beyond each that is silent, on one ring. */
+    /** Maximum number of consecutive members watched on one ring while they are silent. */
     static final int MAX_WALK_STEPS = 8;
 
     private final long seed;
@@ -50,13 +50,13 @@
         rings.forEach(TreeMap::clear);
     }
 
-    /** All members that are there, in the order of the first ring. */
+    /** All present members except this process, in the order of the first ring. */
     Collection<Peer> members() {
         return rings.get(0).values();
     }
 
-    /** Whom this process watches: on each ring the next member, and past those that are silent the next that is not. */
-    Set<Peer> watchTargets(long nowUs, long silentUs) {
+    /** The members that this process watches: on each ring its successors up to the first that is not silent. */
+    Set<Peer> watchTargets(long nowUs, long silenceThresholdUs) {
         Set<Peer> targets = new LinkedHashSet<>();
         for (int ring = 0; ring < RING_COUNT; ring++) {
             TreeMap<Long, Peer> peersByPosition = rings.get(ring);
@@ -65,7 +65,7 @@
                 next = next == null ? peersByPosition.firstEntry() : next;
                 Peer peer = next.getValue();
                 targets.add(peer);
-                if (!peer.watched || nowUs - peer.lastHeardUs < silentUs) {
+                if (!peer.watched || nowUs - peer.lastHeardUs < silenceThresholdUs) {
                     break;
                 }
                 next = peersByPosition.higherEntry(next.getKey());
@@ -74,7 +74,7 @@
         return targets;
     }
 
-    /** Those that watch this process, if they see what it sees. */
+    /** The members that watch this process, provided that they have the same view. */
     Set<Peer> watchers() {
         Set<Peer> watchers = new LinkedHashSet<>();
         for (int ring = 0; ring < RING_COUNT && !rings.get(ring).isEmpty(); ring++) {
--- a/src/test/java/petrelstand/members/DefectiveGateway.java
+++ b/src/test/java/petrelstand/members/DefectiveGateway.java
@@ -3,59 +3,59 @@
 import petrelstand.Main;
 import petrelstand.fleet.FleetService;
 
-/** The program with a planted defect in its membership, by the name in the argument; the checks must find each. */
+/** Runs a gateway with a planted defect in its membership protocol, named by the argument, which checks must detect. */
 public final class DefectiveGateway {
     private DefectiveGateway() {}
 
     public static void main(String[] args) {
-        FleetService.overrideForTesting(maker(args[0]), System::currentTimeMillis);
+        FleetService.overrideForTesting(factory(args[0]), System::currentTimeMillis);
         Main.main(new String[] {"serve"});
     }
 
-    /** The module with a defect. */
-    static FleetService.MembershipFactory maker(String defect) {
+    /** Returns a factory of the protocol with the named defect. */
+    static FleetService.MembershipFactory factory(String defect) {
         return switch (defect) {
-            // A suspect's time is never over.
+            // Suspects never fail.
             case "never-fails" ->
-                (now, fleet, self, seeds, size, timing, seed, act) -> new Membership(
+                (now, fleet, self, seeds, fleetSize, timing, seed, callbacks) -> new Membership(
                         now,
                         fleet,
                         self,
                         seeds,
-                        size,
+                        fleetSize,
                         new MembershipTiming(
                                 timing.pingIntervalUs(),
                                 timing.suspectAfterUs(),
                                 1_000_000_000_000L,
                                 timing.retryIntervalUs()),
                         seed,
-                        act);
-            // A false claim is not answered with a higher incarnation.
+                        callbacks);
+            // False updates are not refuted by a higher incarnation.
             case "not-raised" ->
-                (now, fleet, self, seeds, size, timing, seed, act) ->
-                        new Membership(now, fleet, self, seeds, size, timing, seed, act) {
+                (now, fleet, self, seeds, fleetSize, timing, seed, callbacks) ->
+                        new Membership(now, fleet, self, seeds, fleetSize, timing, seed, callbacks) {
                             @Override
                             void raiseIncarnation(long above) {}
                         };
-            // A claim is taken however old it is.
+            // Outdated updates are accepted.
             case "stale-taken" ->
-                (now, fleet, self, seeds, size, timing, seed, act) ->
-                        new Membership(now, fleet, self, seeds, size, timing, seed, act) {
+                (now, fleet, self, seeds, fleetSize, timing, seed, callbacks) ->
+                        new Membership(now, fleet, self, seeds, fleetSize, timing, seed, callbacks) {
                             @Override
-                            boolean supersedes(Member claim, Member known) {
-                                return claim.state() != known.state();
+                            boolean supersedes(Member update, Member known) {
+                                return update.state() != known.state();
                             }
                         };
-            // Who stood still goes on as if it had not.
+            // A process does not rejoin after a long stall.
             case "not-away" ->
-                (now, fleet, self, seeds, size, timing, seed, act) ->
-                        new Membership(now, fleet, self, seeds, size, timing, seed, act) {
+                (now, fleet, self, seeds, fleetSize, timing, seed, callbacks) ->
+                        new Membership(now, fleet, self, seeds, fleetSize, timing, seed, callbacks) {
                             @Override
                             boolean requiresRejoin(long stoodUs) {
                                 return false;
                             }
                         };
-            default -> throw new IllegalArgumentException("no defect " + defect);
+            default -> throw new IllegalArgumentException("unknown defect " + defect);
         };
     }
 }
