--- a/src/main/java/petrelstand/fleet/FleetMetrics.java
+++ b/src/main/java/petrelstand/fleet/FleetMetrics.java
@@ -14,13 +14,15 @@
 import java.util.Locale;
 import petrelstand.members.FleetVisibility;
 
-/** The fleet's figures in the Prometheus text form, by its Java client's model and writer; no member is a label. */
+/**
+ * Renders the fleet metrics in the Prometheus text format. Members are not labels, which bounds the number of series.
+ */
 public final class FleetMetrics {
-    private static final String COUNTED = "fleet.";
+    private static final String COUNTER_PREFIX = "fleet.";
 
     private FleetMetrics() {}
 
-    /** The page, made on the loop. */
+    /** Returns the metrics page; must be called on the event loop. */
     public static String prometheusText(FleetService fleet) {
         GaugeSnapshot.Builder members = GaugeSnapshot.builder()
                 .name("petrelstand_fleet_members")
@@ -30,14 +32,14 @@
                         .labels(Labels.of("state", state))
                         .value(count)
                         .build()));
-        FleetVisibility standing = fleet.membership().visibility();
+        FleetVisibility visibility = fleet.membership().visibility();
         GaugeSnapshot.Builder reach = GaugeSnapshot.builder()
                 .name("petrelstand_fleet_reach")
                 .help("1 for the part of the agreed size that this gateway sees");
-        for (FleetVisibility.Reach one : FleetVisibility.Reach.values()) {
+        for (FleetVisibility.Reach level : FleetVisibility.Reach.values()) {
             reach.dataPoint(GaugeDataPointSnapshot.builder()
-                    .labels(Labels.of("reach", one.name().toLowerCase(Locale.ROOT)))
-                    .value(one == standing.reach() ? 1 : 0)
+                    .labels(Labels.of("reach", level.name().toLowerCase(Locale.ROOT)))
+                    .value(level == visibility.reach() ? 1 : 0)
                     .build());
         }
         CounterSnapshot.Builder events = CounterSnapshot.builder()
@@ -46,11 +48,11 @@
         fleet.counters()
                 .toLines()
                 .lines()
-                .filter(line -> line.startsWith(COUNTED))
+                .filter(line -> line.startsWith(COUNTER_PREFIX))
                 .forEach(line -> {
                     int space = line.indexOf(' ');
                     events.dataPoint(CounterDataPointSnapshot.builder()
-                            .labels(Labels.of("kind", line.substring(COUNTED.length(), space)))
+                            .labels(Labels.of("kind", line.substring(COUNTER_PREFIX.length(), space)))
                             .value(Double.parseDouble(line.substring(space + 1)))
                             .build());
                 });
@@ -66,7 +68,7 @@
             PrometheusTextFormatWriter.create()
                     .write(text, new MetricSnapshots(members.build(), reach.build(), events.build(), bytes));
         } catch (IOException e) {
-            throw new UncheckedIOException("an array in memory takes all that is written to it", e);
+            throw new UncheckedIOException("writing the metrics page into memory failed", e);
         }
         return text.toString(StandardCharsets.UTF_8);
     }
--- a/src/main/java/petrelstand/fleet/FleetService.java
+++ b/src/main/java/petrelstand/fleet/FleetService.java
@@ -27,31 +27,31 @@
 import petrelstand.store.Incarnations;
 
 /**
- * A gateway as a member of its fleet: the module of {@code members} on the gateway's loop, clock and timers, with the
- * datagrams, the kept incarnation, the history and the pages round it. All methods but {@link #open} are for the loop's
- * thread.
+ * Runs {@link Membership} in a gateway: on its event loop, clock and timers, over UDP, with the stored incarnation, the
+ * history file and the members page. All methods must be called on the event loop, except {@link #open} before the loop
+ * runs and {@link #viewVersion} from any thread.
  */
 public final class FleetService implements Membership.Callbacks {
-    /** A folder that has not answered by then is done without. */
-    static final long OPEN_MS = 1_000;
+    /** Maximum time to wait for the folder that stores the incarnation. */
+    static final long FOLDER_TIMEOUT_MS = 1_000;
 
-    private static final long WALL_US = 1000;
+    private static final long MICROS_PER_MILLI = 1000;
 
-    /** Makes the module; the usual one, but for tests that plant a defect in theirs. */
+    /** Creates the membership protocol; tests supply defective ones. */
     public interface MembershipFactory {
         Membership create(
                 long nowUs,
                 String fleet,
                 Member self,
                 List<String> seeds,
-                int size,
+                int fleetSize,
                 MembershipTiming timing,
                 long seed,
-                Membership.Callbacks actions);
+                Membership.Callbacks callbacks);
     }
 
-    private static MembershipFactory maker = Membership::new;
-    private static LongSupplier wallMs = System::currentTimeMillis;
+    private static MembershipFactory membershipFactory = Membership::new;
+    private static LongSupplier wallClockMs = System::currentTimeMillis;
 
     private final FleetConfig config;
     private final String name;
@@ -61,19 +61,25 @@
     private final Executor loop;
     private final Counters counters;
     private final Consumer<String> log;
-    private Link link;
-    private History history;
+    private DatagramTransport transport;
+    private HistoryWriter history;
     private Membership membership;
     private long incarnation;
     private DiskFolder folder;
-    private Runnable atLeft;
+    private Runnable onLeft;
     private volatile long viewVersion;
     private long bytesSent;
 
-    /** A member as the operator's file says; its name is the gateway's where the file gives none. */
+    /**
+     * Creates the service; {@link #open} and {@link #start} set it running.
+     *
+     * @param gatewayName this gateway's name in the fleet if the settings give none
+     * @param seed seed of the protocol's random decisions
+     * @param loop executes tasks on the event loop
+     */
     public FleetService(
             FleetConfig config,
-            String gateway,
+            String gatewayName,
             long seed,
             Timers timers,
             LongSupplier nowUs,
@@ -81,7 +87,7 @@
             Counters counters,
             Consumer<String> log) {
         this.config = config;
-        this.name = config.name() == null ? gateway : config.name();
+        this.name = config.name() == null ? gatewayName : config.name();
         this.seed = seed;
         this.timers = timers;
         this.nowUs = nowUs;
@@ -90,46 +96,51 @@
         this.log = line -> log.accept("fleet: " + line);
     }
 
-    /** For the laboratory and tests, before a start: another module, and a wall clock that is off. */
-    public static void overrideForTesting(MembershipFactory module, LongSupplier wall) {
-        maker = module;
-        wallMs = wall;
+    /** Replaces the membership protocol and the wall clock of services started later, for the laboratory and tests. */
+    public static void overrideForTesting(MembershipFactory factory, LongSupplier clockMs) {
+        membershipFactory = factory;
+        wallClockMs = clockMs;
     }
 
     /**
-     * Binds its address, which ends the start where it is taken, and reads the kept incarnation, before the loop runs.
+     * Binds the UDP address and reads the stored incarnation. A folder that fails or is slow is logged and ignored.
+     *
+     * @throws IOException if the address cannot be bound or the history file cannot be opened
      */
     public void open() throws IOException {
         try {
-            link = new Link(config.listen(), config.keys(), loop, this::receive, this::incrementCounter);
+            transport =
+                    new DatagramTransport(config.listen(), config.keys(), loop, this::receive, this::incrementCounter);
         } catch (IOException e) {
             throw new IOException("cannot listen on " + config.listen() + " for the fleet: " + e.getMessage(), e);
         }
-        incarnation = wallMs.getAsLong() * WALL_US;
+        incarnation = wallClockMs.getAsLong() * MICROS_PER_MILLI;
         if (config.folder() != null) {
-            FutureTask<Long> kept = new FutureTask<>(() -> {
+            FutureTask<Long> keptIncarnation = new FutureTask<>(() -> {
                 folder = new DiskFolder(config.folder());
                 return Incarnations.begin(folder, incarnation, log);
             });
-            Thread thread = new Thread(kept, "fleet-folder");
+            Thread thread = new Thread(keptIncarnation, "fleet-folder");
             thread.setDaemon(true);
             thread.start();
             try {
-                incarnation = kept.get(OPEN_MS, TimeUnit.MILLISECONDS);
+                incarnation = keptIncarnation.get(FOLDER_TIMEOUT_MS, TimeUnit.MILLISECONDS);
             } catch (TimeoutException e) {
-                log.accept("the folder did not answer in " + OPEN_MS + " ms; the incarnation is not kept");
+                log.accept("the folder did not respond within " + FOLDER_TIMEOUT_MS
+                        + " ms; continuing without storing the incarnation");
             } catch (ExecutionException e) {
-                log.accept("the incarnation is not kept: " + e.getCause().getMessage());
+                log.accept("cannot store the incarnation, continuing without it: "
+                        + e.getCause().getMessage());
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         }
         if (config.history() != null) {
-            history = new History(config.history(), log);
+            history = new HistoryWriter(config.history(), log);
         }
     }
 
-    /** Becomes a member. */
+    /** Starts receiving messages and joins the fleet. */
     public void start() {
         String build = FleetService.class.getPackage().getImplementationVersion();
         Member self = new Member(
@@ -139,22 +150,22 @@
                 config.advertise(),
                 MemberState.JOINING,
                 "",
-                wallMs.getAsLong(),
+                wallClockMs.getAsLong(),
                 build == null ? "unpacked" : build,
                 config.abilities());
-        membership = maker.create(
+        membership = membershipFactory.create(
                 nowUs.getAsLong(), config.fleet(), self, config.seeds(), config.size(), config.timing(), seed, this);
-        log.accept("joining " + config.fleet() + " as " + name + ", incarnation " + incarnation + ", on "
+        log.accept("joining " + config.fleet() + " as " + name + ", incarnation " + incarnation + ", listening on "
                 + config.listen());
-        recordEvent("started", about(self));
-        link.start();
+        recordEvent("started", memberJson(self));
+        transport.start();
         tick();
     }
 
     private void tick() {
         membership.tick(nowUs.getAsLong());
         if (membership.hasLeft()) {
-            left();
+            finishLeaving();
         } else {
             timers.schedule(nowUs.getAsLong() + MembershipTiming.TICK_INTERVAL_US, this::tick);
         }
@@ -167,23 +178,23 @@
         }
     }
 
-    /** Tells the others that this gateway ends, in a quarter of a second, while it drains. */
+    /** Starts a graceful leave, which goes on while this gateway drains. */
     public void leave() {
         if (membership != null) {
             membership.leave(nowUs.getAsLong());
         }
     }
 
-    /** Goes on once the others are told. */
-    public void afterLeaving(Runnable then) {
+    /** Runs an action once the leave is complete, or at once if there is nothing to wait for. */
+    public void afterLeaving(Runnable action) {
         if (membership == null || membership.hasLeft()) {
-            then.run();
+            action.run();
         } else {
-            atLeft = then;
+            onLeft = action;
         }
     }
 
-    private void left() {
+    private void finishLeaving() {
         recordEvent("ended", new JsonObject());
         if (history != null) {
             try {
@@ -192,34 +203,36 @@
                 Thread.currentThread().interrupt();
             }
         }
-        if (atLeft != null) {
-            atLeft.run();
+        if (onLeft != null) {
+            onLeft.run();
         }
     }
 
-    /** Takes what may change while it runs: the keys. */
+    /** Applies changed settings; only the keys can change without a restart. */
     public void reload(FleetConfig changed) {
-        link.keys(changed.keys());
-        boolean other = !changed.listen().equals(config.listen())
+        transport.setKeys(changed.keys());
+        boolean needsRestart = !changed.listen().equals(config.listen())
                 || !changed.seeds().equals(config.seeds())
                 || !changed.fleet().equals(config.fleet())
                 || changed.size() != config.size();
-        log.accept("the keys were read anew, " + changed.keys().size() + " are good"
-                + (other ? "; only a restart takes the rest of [fleet]" : ""));
+        log.accept("reloaded the keys, " + changed.keys().size() + " valid"
+                + (needsRestart ? "; other changes to [fleet] need a restart" : ""));
     }
 
-    /** Takes what comes about rules from now on, on the link's thread; after {@link #open}. */
-    public void setRulesHandler(Consumer<byte[]> to) {
-        link.rules(to);
+    /**
+     * Sets the handler of rules messages, which is called on the receiving thread; must be called after {@link #open}.
+     */
+    public void setRulesHandler(Consumer<byte[]> handler) {
+        transport.setRulesHandler(handler);
     }
 
-    /** Sends a content about rules, on the loop; it may get lost. */
+    /** Sends a rules message, which may get lost. */
     public void sendRulesMessage(String address, byte[] content) {
         counters.increment("rules.sent");
-        bytesSent += link.send(address, Seal.RULES, content);
+        bytesSent += transport.send(address, DatagramAuthenticator.RULES_MAGIC, content);
     }
 
-    /** Where a member is reached, also one that is held to be gone: it may be there all the same; null if unknown. */
+    /** Address of a member, including one that counts as gone, or null if it is unknown. */
     public String addressOf(String member) {
         return membership == null ? null : membership.addressOf(member);
     }
@@ -233,41 +246,42 @@
         return config;
     }
 
-    /** Adds a line to the history, where one is kept. */
+    /** Appends an event to the history file, if there is one. */
     public void recordEvent(String event, JsonObject line) {
         if (history != null) {
             if (!line.has("process")) {
                 line.addProperty("process", name);
             }
-            history.add(event, line);
+            history.append(event, line);
         }
     }
 
-    /** The view's version, from any thread. */
+    /** Version of the view; may be called from any thread. */
     public long viewVersion() {
         return viewVersion;
     }
 
+    /** The membership protocol; null before {@link #start}. */
     public Membership membership() {
         return membership;
     }
 
-    // ---- What the module asks for ----
+    // ---- Callbacks of the protocol ----
 
     @Override
     public void send(String address, Envelope message) {
         counters.increment("fleet.sent");
-        bytesSent += link.send(address, message);
+        bytesSent += transport.send(address, message);
     }
 
     @Override
     public void onViewChanged(ViewChange change) {
         viewVersion = change.viewVersion();
         Member member = change.member();
-        String to = member.state().name().toLowerCase(java.util.Locale.ROOT);
-        log.accept((member.name().equals(name) ? "this gateway" : "member " + member.name()) + ": " + to + ", "
+        String newState = member.state().name().toLowerCase(java.util.Locale.ROOT);
+        log.accept((member.name().equals(name) ? "this gateway" : "member " + member.name()) + ": " + newState + ", "
                 + member.address() + ", " + change.cause() + "; view " + change.viewVersion());
-        JsonObject line = about(member);
+        JsonObject line = memberJson(member);
         line.addProperty("version", change.viewVersion());
         line.addProperty(
                 "from",
@@ -276,7 +290,7 @@
         recordEvent("view", line);
     }
 
-    private JsonObject about(Member member) {
+    private JsonObject memberJson(Member member) {
         JsonObject line = new JsonObject();
         line.addProperty("process", name);
         line.addProperty("member", member.name());
@@ -288,41 +302,41 @@
     }
 
     @Override
-    public void onVisibilityChanged(FleetVisibility standing) {
+    public void onVisibilityChanged(FleetVisibility visibility) {
         counters.increment("fleet.standing");
-        log.accept("sees " + standing.visibleMembers() + " of " + standing.agreedSize() + ": "
-                + standing.reach().name().toLowerCase(java.util.Locale.ROOT));
+        log.accept("sees " + visibility.visibleMembers() + " of " + visibility.agreedSize() + ": "
+                + visibility.reach().name().toLowerCase(java.util.Locale.ROOT));
         JsonObject line = new JsonObject();
-        line.addProperty("reach", standing.reach().name());
-        line.addProperty("seen", standing.visibleMembers());
-        line.addProperty("of", standing.agreedSize());
+        line.addProperty("reach", visibility.reach().name());
+        line.addProperty("seen", visibility.visibleMembers());
+        line.addProperty("of", visibility.agreedSize());
         line.addProperty("digest", membership == null ? "" : Long.toHexString(membership.digest()));
         recordEvent("standing", line);
     }
 
     @Override
-    public void onStall(long us) {
+    public void onStall(long durationUs) {
         JsonObject line = new JsonObject();
-        line.addProperty("us", us);
+        line.addProperty("us", durationUs);
         recordEvent("stalled", line);
     }
 
     @Override
-    public void incrementCounter(String what) {
-        counters.increment(what);
+    public void incrementCounter(String counterName) {
+        counters.increment(counterName);
     }
 
     @Override
     public void logMessage(String line) {
         log.accept(line);
-        JsonObject said = new JsonObject();
-        said.addProperty("line", line);
-        recordEvent("said", said);
+        JsonObject fields = new JsonObject();
+        fields.addProperty("line", line);
+        recordEvent("said", fields);
     }
 
-    // ---- Pages ----
+    // ---- Members page and metrics ----
 
-    /** The view as JSON, for {@code GET /members}. */
+    /** The view as JSON, the body of {@code GET /members}. */
     public String membersJson() {
         JsonObject page = new JsonObject();
         long now = nowUs.getAsLong();
@@ -330,62 +344,62 @@
         page.addProperty("name", name);
         page.addProperty("version", membership.viewVersion());
         page.addProperty("digest", String.format("%016x", membership.digest()));
-        JsonArray parts = new JsonArray();
-        membership.digestBuckets().forEach(part -> parts.add(String.format("%016x", part)));
-        page.add("parts", parts);
-        FleetVisibility standing = membership.visibility();
-        JsonObject reach = new JsonObject();
-        reach.addProperty("reach", standing.reach().name().toLowerCase(java.util.Locale.ROOT));
-        reach.addProperty("seen", standing.visibleMembers());
-        reach.addProperty("of", standing.agreedSize());
-        reach.addProperty("for_ms", (now - standing.sinceUs()) / 1000);
-        page.add("standing", reach);
+        JsonArray buckets = new JsonArray();
+        membership.digestBuckets().forEach(bucket -> buckets.add(String.format("%016x", bucket)));
+        page.add("parts", buckets);
+        FleetVisibility visibility = membership.visibility();
+        JsonObject visibilityJson = new JsonObject();
+        visibilityJson.addProperty("reach", visibility.reach().name().toLowerCase(java.util.Locale.ROOT));
+        visibilityJson.addProperty("seen", visibility.visibleMembers());
+        visibilityJson.addProperty("of", visibility.agreedSize());
+        visibilityJson.addProperty("for_ms", (now - visibility.sinceUs()) / 1000);
+        page.add("standing", visibilityJson);
         JsonArray members = new JsonArray();
-        for (Membership.MemberStatus line : membership.members()) {
-            Member member = line.member();
-            JsonObject one = new JsonObject();
-            one.addProperty("name", member.name());
-            one.addProperty("state", member.state().name().toLowerCase(java.util.Locale.ROOT));
-            one.addProperty("address", member.address());
-            one.addProperty("incarnation", member.incarnation());
-            one.addProperty("life", String.format("%016x", member.bootId()));
-            one.addProperty("for_ms", (now - line.stateSinceUs()) / 1000);
-            one.addProperty("cause", line.cause());
-            one.addProperty("watched_here", line.watched());
-            if (line.watched()) {
-                one.addProperty("silent_ms", (now - line.lastHeardUs()) / 1000);
-                one.addProperty("through_others", line.heardThroughRelay());
+        for (Membership.MemberStatus status : membership.members()) {
+            Member member = status.member();
+            JsonObject memberJson = new JsonObject();
+            memberJson.addProperty("name", member.name());
+            memberJson.addProperty("state", member.state().name().toLowerCase(java.util.Locale.ROOT));
+            memberJson.addProperty("address", member.address());
+            memberJson.addProperty("incarnation", member.incarnation());
+            memberJson.addProperty("life", String.format("%016x", member.bootId()));
+            memberJson.addProperty("for_ms", (now - status.stateSinceUs()) / 1000);
+            memberJson.addProperty("cause", status.cause());
+            memberJson.addProperty("watched_here", status.watched());
+            if (status.watched()) {
+                memberJson.addProperty("silent_ms", (now - status.lastHeardUs()) / 1000);
+                memberJson.addProperty("through_others", status.heardThroughRelay());
             }
-            one.addProperty("program", member.programVersion());
-            one.addProperty("started_ms", member.startMs());
-            JsonArray can = new JsonArray();
-            member.abilities().forEach(can::add);
-            one.add("can", can);
-            members.add(one);
+            memberJson.addProperty("program", member.programVersion());
+            memberJson.addProperty("started_ms", member.startMs());
+            JsonArray abilities = new JsonArray();
+            member.abilities().forEach(abilities::add);
+            memberJson.add("can", abilities);
+            members.add(memberJson);
         }
         page.add("members", members);
         return page.toString();
     }
 
-    /** Figures for metrics: members by state, the standing, and bytes sent. */
+    /** Number of known members in each state, by its name in lower case. */
     public Map<String, Double> memberCountsByState() {
-        Map<String, Double> figures = new java.util.TreeMap<>();
+        Map<String, Double> counts = new java.util.TreeMap<>();
         for (MemberState state : MemberState.values()) {
-            figures.put(state.name().toLowerCase(java.util.Locale.ROOT), 0.0);
+            counts.put(state.name().toLowerCase(java.util.Locale.ROOT), 0.0);
         }
         membership
                 .members()
-                .forEach(line -> figures.merge(
-                        line.member().state().name().toLowerCase(java.util.Locale.ROOT), 1.0, Double::sum));
-        return figures;
+                .forEach(status -> counts.merge(
+                        status.member().state().name().toLowerCase(java.util.Locale.ROOT), 1.0, Double::sum));
+        return counts;
     }
 
-    /** Bytes of datagrams sent. */
+    /** Total bytes of the datagrams sent. */
     public long bytesSent() {
         return bytesSent;
     }
 
-    /** The counters' names that begin with {@code fleet.}, for metrics. */
+    /** The gateway's counters, those of the fleet among them. */
     public Counters counters() {
         return counters;
     }
--- a/src/main/java/petrelstand/members/FailureDetector.java
+++ b/src/main/java/petrelstand/members/FailureDetector.java
@@ -6,10 +6,10 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 
-/** Probes the members that this process watches, directly and through relays, and accuses those that stay silent. */
+/** Probes the members that this process watches, directly and through relays, and suspects those that stay silent. */
 final class FailureDetector {
-    /** Others asked to probe a silent member. */
-    static final int RELAYS = 2;
+    /** Members asked to probe a silent member. */
+    static final int RELAYS_PER_PROBE = 2;
 
     private final MembershipTiming timing;
     private final MembershipView view;
@@ -27,23 +27,23 @@
         this.random = random;
     }
 
-    /** Nobody is watched until the next tick. */
+    /** Stops watching all members until the next tick. */
     void clear() {
         watched.clear();
     }
 
-    /** Probes whom it is due to probe. */
+    /** Updates the set of watched members and probes those that are due. */
     void tick(long nowUs, boolean isolated) {
-        Set<Peer> subjects = view.rings().subjects(nowUs, silentUs());
-        for (Peer peer : subjects) {
+        Set<Peer> targets = view.rings().watchTargets(nowUs, silenceThresholdUs());
+        for (Peer peer : targets) {
             if (watched.add(peer)) {
                 peer.watched = true;
-                peer.heardUs = nowUs;
+                peer.lastHeardUs = nowUs;
                 peer.nextPingUs = nowUs + (long) (random.nextDouble() * timing.pingIntervalUs());
             }
         }
         for (Peer peer : List.copyOf(watched)) {
-            peer.watched = subjects.contains(peer) || peer.present() && nowUs < peer.checkUntilUs;
+            peer.watched = targets.contains(peer) || peer.isPresent() && nowUs < peer.checkUntilUs;
             if (peer.watched) {
                 probe(nowUs, peer, isolated);
             } else {
@@ -52,19 +52,19 @@
         }
     }
 
-    /** Two pings without an answer. */
-    private long silentUs() {
+    /** Silence after which relays are asked as well. */
+    private long silenceThresholdUs() {
         return 2 * timing.pingIntervalUs();
     }
 
     private void probe(long nowUs, Peer peer, boolean isolated) {
-        long silentUs = nowUs - peer.heardUs;
+        long silentUs = nowUs - peer.lastHeardUs;
         if (nowUs >= peer.nextPingUs) {
             prober.probe(peer);
-            long everyUs =
+            long intervalUs =
                     silentUs > timing.pingIntervalUs() * 3 / 2 ? timing.pingIntervalUs() / 2 : timing.pingIntervalUs();
-            peer.nextPingUs = nowUs + (long) (everyUs * (0.9 + 0.2 * random.nextDouble()));
-            if (silentUs >= silentUs() || peer.relayed) {
+            peer.nextPingUs = nowUs + (long) (intervalUs * (0.9 + 0.2 * random.nextDouble()));
+            if (silentUs >= silenceThresholdUs() || peer.heardThroughRelay) {
                 probeIndirectly(nowUs, peer);
             }
         }
@@ -73,35 +73,36 @@
         }
     }
 
-    /** Asks a few relays, drawn among those heard of late: they are the likeliest to hear an answer. */
+    /** Asks a few random relays to probe a member, preferring those heard recently. */
     private void probeIndirectly(long nowUs, Peer peer) {
         List<Peer> relays = relaysFor(peer);
-        int fresh = 0;
-        while (fresh < relays.size() && nowUs - relays.get(fresh).heardUs < silentUs()) {
-            fresh++;
+        int recentlyHeardCount = 0;
+        while (recentlyHeardCount < relays.size()
+                && nowUs - relays.get(recentlyHeardCount).lastHeardUs < silenceThresholdUs()) {
+            recentlyHeardCount++;
         }
-        int among = Math.max(Math.min(RELAYS, relays.size()), fresh);
-        for (int i = 0; i < RELAYS && among > 0; i++) {
-            Peer relay = relays.remove(random.nextInt(among--));
-            prober.probeThrough(relay, peer);
+        int candidateCount = Math.max(Math.min(RELAYS_PER_PROBE, relays.size()), recentlyHeardCount);
+        for (int i = 0; i < RELAYS_PER_PROBE && candidateCount > 0; i++) {
+            Peer relay = relays.remove(random.nextInt(candidateCount--));
+            prober.probeThroughRelay(relay, peer);
         }
     }
 
-    /** All that could relay, those heard last first. */
+    /** All possible relays, the most recently heard first. */
     private List<Peer> relaysFor(Peer peer) {
         List<Peer> relays = new ArrayList<>();
         for (Peer other : view.peers()) {
-            if (other != peer && other.member.state() == MemberState.ALIVE && !other.unreached) {
+            if (other != peer && other.member.state() == MemberState.ALIVE && !other.unreachable) {
                 relays.add(other);
             }
         }
-        relays.sort((a, b) -> a.heardUs != b.heardUs
-                ? Long.compare(b.heardUs, a.heardUs)
+        relays.sort((a, b) -> a.lastHeardUs != b.lastHeardUs
+                ? Long.compare(b.lastHeardUs, a.lastHeardUs)
                 : a.name().compareTo(b.name()));
         return relays;
     }
 
-    /** Watches a member that others suspect for as long as its suspicion lasts, where this process is to check it. */
+    /** Probes a member that others suspect while the suspicion lasts, if this process is one of its checkers. */
     void checkSuspect(long nowUs, Peer peer) {
         if (peer.watched || !suspicion.isChecker(peer)) {
             return;
@@ -109,6 +110,6 @@
         peer.checkUntilUs = nowUs + timing.failAfterUs() + timing.suspectAfterUs();
         peer.nextPingUs = nowUs;
         peer.watched = watched.add(peer);
-        peer.heardUs = Math.min(peer.heardUs, nowUs - timing.suspectAfterUs() + silentUs());
+        peer.lastHeardUs = Math.min(peer.lastHeardUs, nowUs - timing.suspectAfterUs() + silenceThresholdUs());
     }
 }
--- a/src/main/java/petrelstand/members/MembershipView.java
+++ b/src/main/java/petrelstand/members/MembershipView.java
@@ -10,19 +10,19 @@
 import java.util.TreeMap;
 
 /**
- * What this process holds of every member, itself among them, and the tombstones of those that are gone. Keeps rings,
- * digest, suspects and standing in step with it, and reports each change.
+ * All members known to this process, including itself and the tombstones of members that are gone. Keeps the watch
+ * rings, the digest, the set of suspects and the fleet visibility consistent with them, and reports each change.
  */
 final class MembershipView {
-    /** Members known, those that are gone among them. */
-    static final int MOST_MEMBERS = 1024;
-    /** A failed member is tried again for so long, and known for so long. */
-    static final long TOMBSTONE_US = 24L * 3600 * 1_000_000;
+    /** Maximum number of known members, including tombstones. */
+    static final int MAX_MEMBERS = 1024;
+    /** How long a member that is gone is remembered and, if it failed, retried. */
+    static final long TOMBSTONE_LIFETIME_US = 24L * 3600 * 1_000_000;
 
     private final WatchRings rings;
-    private final ProvenLives proven;
-    private final Membership.Callbacks actions;
-    private final StandingTracker standing;
+    private final VerifiedProcesses verified;
+    private final Membership.Callbacks callbacks;
+    private final FleetVisibilityTracker visibility;
     private final ViewDigest digest = new ViewDigest();
     private final Map<String, Peer> peers = new HashMap<>();
     private final Set<Peer> suspects = new LinkedHashSet<>();
@@ -30,26 +30,32 @@
     private long selfSinceUs;
     private String selfCause = "started";
     private long version;
-    /** Others that are there, and those of them that are not reached while this process hears nobody. */
-    private int others;
+    /** Present members other than this process, reachable or not. */
+    private int presentPeerCount;
 
-    private int unreached;
+    /** Present members marked as unreachable during this process's isolation. */
+    private int unreachableCount;
 
     MembershipView(
-            long nowUs, Member self, int size, WatchRings rings, ProvenLives proven, Membership.Callbacks actions) {
+            long nowUs,
+            Member self,
+            int fleetSize,
+            WatchRings rings,
+            VerifiedProcesses verified,
+            Membership.Callbacks callbacks) {
         this.self = self;
         this.selfSinceUs = nowUs;
         this.rings = rings;
-        this.proven = proven;
-        this.actions = actions;
-        this.standing = new StandingTracker(nowUs, size, actions);
+        this.verified = verified;
+        this.callbacks = callbacks;
+        this.visibility = new FleetVisibilityTracker(nowUs, fleetSize, callbacks);
     }
 
     Member self() {
         return self;
     }
 
-    boolean joining() {
+    boolean isJoining() {
         return self.state() == MemberState.JOINING;
     }
 
@@ -61,21 +67,21 @@
         return digest;
     }
 
-    FleetVisibility standing() {
-        return standing.standing();
+    FleetVisibility visibility() {
+        return visibility.current();
     }
 
-    /** All known, those that are gone among them. */
+    /** All known peers, including tombstones. */
     Collection<Peer> peers() {
         return peers.values();
     }
 
-    /** The peer of a name; null where it is not known. */
+    /** The peer with a name, or null. */
     Peer peer(String name) {
         return peers.get(name);
     }
 
-    /** The peer at an address; null where none is known to be there. */
+    /** The peer at an address, or null. */
     Peer peerAt(String address) {
         return peers.values().stream()
                 .filter(peer -> peer.address().equals(address))
@@ -91,54 +97,55 @@
         return suspects;
     }
 
-    /** Others that are there, reached or not. */
-    int others() {
-        return others;
+    /** Number of present members other than this process, reachable or not. */
+    int presentPeerCount() {
+        return presentPeerCount;
     }
 
-    boolean anyUnreached() {
-        return unreached > 0;
+    boolean hasUnreachablePeers() {
+        return unreachableCount > 0;
     }
 
-    /** The view, this process first, then by name. */
-    List<Membership.MemberStatus> lines(long nowUs) {
-        List<Membership.MemberStatus> lines = new ArrayList<>();
-        lines.add(new Membership.MemberStatus(self, selfSinceUs, selfCause, nowUs, false, false));
-        new TreeMap<>(peers).values().forEach(peer -> lines.add(line(peer)));
-        return lines;
+    /** All known members, this process first, the others by name. */
+    List<Membership.MemberStatus> memberStatuses(long nowUs) {
+        List<Membership.MemberStatus> statuses = new ArrayList<>();
+        statuses.add(new Membership.MemberStatus(self, selfSinceUs, selfCause, nowUs, false, false));
+        new TreeMap<>(peers).values().forEach(peer -> statuses.add(statusOf(peer)));
+        return statuses;
     }
 
-    private static Membership.MemberStatus line(Peer peer) {
-        Member shown = peer.unreached ? peer.member.as(MemberState.FAILED, "") : peer.member;
-        String cause = peer.unreached ? "nobody is heard here" : peer.cause;
-        return new Membership.MemberStatus(shown, peer.sinceUs, cause, peer.heardUs, peer.relayed, peer.watched);
+    private static Membership.MemberStatus statusOf(Peer peer) {
+        Member shown = peer.unreachable ? peer.member.withState(MemberState.FAILED, "") : peer.member;
+        String cause = peer.unreachable ? "nobody is heard here" : peer.cause;
+        return new Membership.MemberStatus(
+                shown, peer.stateSinceUs, cause, peer.lastHeardUs, peer.heardThroughRelay, peer.watched);
     }
 
-    /** Addresses of the others that are there and reached, by name. */
-    Map<String, String> reached() {
-        Map<String, String> found = new TreeMap<>();
+    /** Addresses of the other present and reachable members, by name. */
+    Map<String, String> reachableAddresses() {
+        Map<String, String> addresses = new TreeMap<>();
         peers.values().stream()
-                .filter(peer -> peer.present() && !peer.unreached)
-                .forEach(peer -> found.put(peer.name(), peer.address()));
-        return found;
+                .filter(peer -> peer.isPresent() && !peer.unreachable)
+                .forEach(peer -> addresses.put(peer.name(), peer.address()));
+        return addresses;
     }
 
     // ---- This process ----
 
-    /** This process has another state from now on. */
-    void becomes(long nowUs, MemberState state, String cause) {
-        MemberState from = self.state();
-        replaceSelf(self.as(state, ""));
+    /** Sets this process's own state and reports the change. */
+    void changeOwnState(long nowUs, MemberState state, String cause) {
+        MemberState previousState = self.state();
+        replaceSelf(self.withState(state, ""));
         selfSinceUs = nowUs;
         selfCause = cause;
         version++;
-        actions.onViewChanged(new ViewChange(nowUs, version, self, from, cause));
-        updateStanding(nowUs);
+        callbacks.onViewChanged(new ViewChange(nowUs, version, self, previousState, cause));
+        updateVisibility(nowUs);
     }
 
-    /** Raises this process's incarnation above one that was claimed. */
+    /** Raises this process's incarnation above the given one. */
     void raiseIncarnation(long above) {
-        replaceSelf(self.raised(Math.max(self.incarnation(), above + 1)));
+        replaceSelf(self.withIncarnation(Math.max(self.incarnation(), above + 1)));
     }
 
     private void replaceSelf(Member changed) {
@@ -147,86 +154,88 @@
         digest.toggle(self);
     }
 
-    /** This process has refuted a claim on itself. */
-    void refuted() {
+    /** Raises the view's version after this process has refuted an update on itself. */
+    void recordRefutation() {
         version++;
     }
 
-    // ---- The others ----
+    // ---- Other members ----
 
-    /** Makes room for a name not known yet, where need be at the cost of the oldest tombstone; null where none is. */
-    Peer admit(long nowUs, String name) {
-        if (peers.size() >= MOST_MEMBERS && !forgetOldestTombstone()) {
+    /** Adds a peer, evicting the oldest tombstone if the view is full; null if there is no room. */
+    Peer addPeer(long nowUs, String name) {
+        if (peers.size() >= MAX_MEMBERS && !removeOldestTombstone()) {
             return null;
         }
         Peer peer = new Peer();
         peers.put(name, peer);
-        peer.heardUs = nowUs;
+        peer.lastHeardUs = nowUs;
         return peer;
     }
 
-    private boolean forgetOldestTombstone() {
+    private boolean removeOldestTombstone() {
         Peer oldest = null;
         for (Peer peer : peers.values()) {
-            if (!peer.present() && (oldest == null || peer.sinceUs < oldest.sinceUs)) {
+            if (!peer.isPresent() && (oldest == null || peer.stateSinceUs < oldest.stateSinceUs)) {
                 oldest = peer;
             }
         }
         return oldest != null && peers.remove(oldest.name()) != null;
     }
 
-    void forgetOldTombstones(long nowUs) {
-        peers.values().removeIf(peer -> !peer.present() && nowUs - peer.sinceUs > TOMBSTONE_US);
+    void removeExpiredTombstones(long nowUs) {
+        peers.values().removeIf(peer -> !peer.isPresent() && nowUs - peer.stateSinceUs > TOMBSTONE_LIFETIME_US);
     }
 
-    /** Nobody is there any more; tombstones stay, as others may still hold old claims on them. Gives the addresses. */
-    List<String> forgetPresent() {
+    /**
+     * Removes all present peers and returns their addresses. Tombstones stay, as outdated updates may still circulate.
+     */
+    List<String> removePresentPeers() {
         List<String> addresses = new ArrayList<>();
         for (Peer peer : peers.values()) {
-            if (peer.present()) {
+            if (peer.isPresent()) {
                 addresses.add(peer.address());
                 digest.toggle(peer.member);
             }
         }
-        peers.values().removeIf(Peer::present);
+        peers.values().removeIf(Peer::isPresent);
         rings.clear();
         suspects.clear();
-        others = 0;
-        unreached = 0;
+        presentPeerCount = 0;
+        unreachableCount = 0;
         return addresses;
     }
 
-    /** Takes a claim on a peer. */
-    void apply(long nowUs, Peer peer, Member claim, String cause) {
-        Member before = peer.member;
-        boolean wasPresent = before != null && before.state().isPresent();
-        boolean restarted = before != null && before.bootId() != claim.bootId();
-        if (before != null) {
-            digest.toggle(before);
+    /** Applies an update to a peer and reports the change. */
+    void applyUpdate(long nowUs, Peer peer, Member update, String cause) {
+        Member previous = peer.member;
+        boolean wasPresent = previous != null && previous.state().isPresent();
+        boolean restarted = previous != null && previous.bootId() != update.bootId();
+        if (previous != null) {
+            digest.toggle(previous);
         }
-        if (wasPresent && !claim.state().isPresent()) {
+        if (wasPresent && !update.state().isPresent()) {
             rings.remove(peer);
-            others--;
+            presentPeerCount--;
         }
-        if (!wasPresent && claim.state().isPresent()) {
-            peer.heardUs = Math.max(peer.heardUs, nowUs);
-            others++;
-            peer.member = claim;
+        if (!wasPresent && update.state().isPresent()) {
+            peer.lastHeardUs = Math.max(peer.lastHeardUs, nowUs);
+            presentPeerCount++;
+            peer.member = update;
             rings.add(peer);
         }
         if (restarted) {
-            proven.forget(before.bootId());
-            peer.heardUs = nowUs;
+            verified.remove(previous.bootId());
+            peer.lastHeardUs = nowUs;
         }
-        peer.member = claim;
-        noteSuspicion(peer);
-        clearUnreachedIfGone(peer);
-        digest.toggle(claim);
-        report(nowUs, peer, before, cause);
-        updateStanding(nowUs);
+        peer.member = update;
+        updateSuspicion(peer);
+        clearUnreachableIfGone(peer);
+        digest.toggle(update);
+        reportChange(nowUs, peer, previous, cause);
+        updateVisibility(nowUs);
     }
 
-    private void noteSuspicion(Peer peer) {
+    private void updateSuspicion(Peer peer) {
         peer.accusers.clear();
         suspects.remove(peer);
         if (peer.member.state() == MemberState.SUSPECT) {
@@ -235,61 +244,61 @@
         }
     }
 
-    private void clearUnreachedIfGone(Peer peer) {
-        if (!peer.present() && peer.unreached) {
-            peer.unreached = false;
-            unreached--;
+    private void clearUnreachableIfGone(Peer peer) {
+        if (!peer.isPresent() && peer.unreachable) {
+            peer.unreachable = false;
+            unreachableCount--;
         }
     }
 
-    private void report(long nowUs, Peer peer, Member before, String cause) {
-        Member now = peer.member;
-        MemberState from = before == null ? null : before.state();
-        boolean restarted = before != null && before.bootId() != now.bootId();
-        if (from == now.state() && !restarted) {
+    private void reportChange(long nowUs, Peer peer, Member previous, String cause) {
+        Member current = peer.member;
+        MemberState previousState = previous == null ? null : previous.state();
+        boolean restarted = previous != null && previous.bootId() != current.bootId();
+        if (previousState == current.state() && !restarted) {
             return;
         }
-        peer.sinceUs = nowUs;
+        peer.stateSinceUs = nowUs;
         peer.cause = cause;
         version++;
-        actions.onViewChanged(new ViewChange(nowUs, version, now, from, cause));
-        if (now.state() == MemberState.LEFT && from != null && from.isPresent()) {
-            standing.left();
+        callbacks.onViewChanged(new ViewChange(nowUs, version, current, previousState, cause));
+        if (current.state() == MemberState.LEFT && previousState != null && previousState.isPresent()) {
+            visibility.recordLeft();
         }
     }
 
-    /** Marks a member as not reached while this process hears nobody. */
-    void markUnreached(long nowUs, Peer peer) {
-        MemberState claimed = peer.member.state();
-        peer.unreached = true;
-        unreached++;
+    /** Marks a member as unreachable while this process is isolated. */
+    void markUnreachable(long nowUs, Peer peer) {
+        MemberState previousState = peer.member.state();
+        peer.unreachable = true;
+        unreachableCount++;
         version++;
-        Member shown = peer.member.as(MemberState.FAILED, "");
-        actions.onViewChanged(new ViewChange(nowUs, version, shown, claimed, "nobody is heard here"));
+        Member shown = peer.member.withState(MemberState.FAILED, "");
+        callbacks.onViewChanged(new ViewChange(nowUs, version, shown, previousState, "nobody is heard here"));
     }
 
-    /** Marks a member as reached again. */
-    void markReached(long nowUs, Peer peer) {
-        peer.unreached = false;
-        unreached--;
-        peer.heardUs = nowUs;
+    /** Marks an unreachable member as reachable again. */
+    void markReachable(long nowUs, Peer peer) {
+        peer.unreachable = false;
+        unreachableCount--;
+        peer.lastHeardUs = nowUs;
         version++;
-        actions.onViewChanged(new ViewChange(nowUs, version, peer.member, MemberState.FAILED, "heard again"));
+        callbacks.onViewChanged(new ViewChange(nowUs, version, peer.member, MemberState.FAILED, "heard again"));
     }
 
-    /** Holds all to have been heard just now and to be watched by nobody here. */
+    /** Resets all peers to just heard, reachable and not watched. */
     void resetObservations(long nowUs) {
         for (Peer peer : peers.values()) {
-            peer.unreached = false;
-            peer.heardUs = nowUs;
+            peer.unreachable = false;
+            peer.lastHeardUs = nowUs;
             peer.watched = false;
         }
-        unreached = 0;
+        unreachableCount = 0;
     }
 
-    /** Tells the standing if it is another than before. */
-    void updateStanding(long nowUs) {
+    /** Recomputes the fleet visibility and reports it if it has changed. */
+    void updateVisibility(long nowUs) {
         boolean member = self.state().isPresent();
-        standing.seen(nowUs, member ? 1 + others - unreached : 0);
+        visibility.update(nowUs, member ? 1 + presentPeerCount - unreachableCount : 0);
     }
 }
--- a/src/main/java/petrelstand/members/WatchRings.java
+++ b/src/main/java/petrelstand/members/WatchRings.java
@@ -9,40 +9,40 @@
 import java.util.TreeMap;
 
 /**
- * Who is watched by whom: members stand on several rings, on each in another order that all members compute alike, and
- * each is watched by its predecessor on each ring.
+ * Assigns watchers to members. The present members form several rings, ordered by hashes that differ from ring to ring
+ * and are the same in every process. Each member is watched by its predecessor on each ring.
  */
 final class WatchRings {
-    /** Orders in which members watch each other. */
-    static final int RINGS = 3;
-    /** Members watched beyond each that is silent, on one ring. */
-    static final int MOST_WALK = 8;
+    /** Number of rings, that is, of watchers per member. */
+    static final int RING_COUNT = 3;
+    /** Maximum number of consecutive members watched on one ring while they are silent. */
+    static final int MAX_WALK_STEPS = 8;
 
     private final long seed;
     private final List<TreeMap<Long, Peer>> rings = new ArrayList<>();
-    private final long[] ownPlaces = new long[RINGS];
+    private final long[] ownPositions = new long[RING_COUNT];
 
-    WatchRings(String fleet, String self) {
-        seed = Hash.of(fleet);
-        for (int ring = 0; ring < RINGS; ring++) {
+    WatchRings(String fleet, String ownName) {
+        seed = StableHash.hash(fleet);
+        for (int ring = 0; ring < RING_COUNT; ring++) {
             rings.add(new TreeMap<>());
-            ownPlaces[ring] = place(ring, self);
+            ownPositions[ring] = position(ring, ownName);
         }
     }
 
-    private long place(int ring, String name) {
-        return Hash.mix(Hash.of(name) + seed * (ring + 1));
+    private long position(int ring, String name) {
+        return StableHash.mix(StableHash.hash(name) + seed * (ring + 1));
     }
 
     void add(Peer peer) {
-        for (int ring = 0; ring < RINGS; ring++) {
-            rings.get(ring).put(place(ring, peer.name()), peer);
+        for (int ring = 0; ring < RING_COUNT; ring++) {
+            rings.get(ring).put(position(ring, peer.name()), peer);
         }
     }
 
     void remove(Peer peer) {
-        for (int ring = 0; ring < RINGS; ring++) {
-            rings.get(ring).remove(place(ring, peer.name()));
+        for (int ring = 0; ring < RING_COUNT; ring++) {
+            rings.get(ring).remove(position(ring, peer.name()));
         }
     }
 
@@ -50,37 +50,37 @@
         rings.forEach(TreeMap::clear);
     }
 
-    /** All members that are there, in the order of the first ring. */
+    /** All present members except this process, in the order of the first ring. */
     Collection<Peer> members() {
         return rings.get(0).values();
     }
 
-    /** Whom this process watches: on each ring the next member, and past those that are silent the next that is not. */
-    Set<Peer> subjects(long nowUs, long silentUs) {
-        Set<Peer> found = new LinkedHashSet<>();
-        for (int ring = 0; ring < RINGS; ring++) {
-            TreeMap<Long, Peer> order = rings.get(ring);
-            Map.Entry<Long, Peer> next = order.higherEntry(ownPlaces[ring]);
-            for (int step = 0; step < Math.min(MOST_WALK, order.size()); step++) {
-                next = next == null ? order.firstEntry() : next;
+    /** The members that this process watches: on each ring its successors up to the first that is not silent. */
+    Set<Peer> watchTargets(long nowUs, long silenceThresholdUs) {
+        Set<Peer> targets = new LinkedHashSet<>();
+        for (int ring = 0; ring < RING_COUNT; ring++) {
+            TreeMap<Long, Peer> peersByPosition = rings.get(ring);
+            Map.Entry<Long, Peer> next = peersByPosition.higherEntry(ownPositions[ring]);
+            for (int step = 0; step < Math.min(MAX_WALK_STEPS, peersByPosition.size()); step++) {
+                next = next == null ? peersByPosition.firstEntry() : next;
                 Peer peer = next.getValue();
-                found.add(peer);
-                if (!peer.watched || nowUs - peer.heardUs < silentUs) {
+                targets.add(peer);
+                if (!peer.watched || nowUs - peer.lastHeardUs < silenceThresholdUs) {
                     break;
                 }
-                next = order.higherEntry(next.getKey());
+                next = peersByPosition.higherEntry(next.getKey());
             }
         }
-        return found;
+        return targets;
     }
 
-    /** Those that watch this process, if they see what it sees. */
+    /** The members that watch this process, provided that they have the same view. */
     Set<Peer> watchers() {
-        Set<Peer> found = new LinkedHashSet<>();
-        for (int ring = 0; ring < RINGS && !rings.get(ring).isEmpty(); ring++) {
-            Map.Entry<Long, Peer> before = rings.get(ring).lowerEntry(ownPlaces[ring]);
-            found.add((before == null ? rings.get(ring).lastEntry() : before).getValue());
+        Set<Peer> watchers = new LinkedHashSet<>();
+        for (int ring = 0; ring < RING_COUNT && !rings.get(ring).isEmpty(); ring++) {
+            Map.Entry<Long, Peer> predecessor = rings.get(ring).lowerEntry(ownPositions[ring]);
+            watchers.add((predecessor == null ? rings.get(ring).lastEntry() : predecessor).getValue());
         }
-        return found;
+        return watchers;
     }
 }
