--- a/src/main/java/petrelstand/agreement/LeaseGrantor.java
+++ b/src/main/java/petrelstand/agreement/LeaseGrantor.java
@@ -2,44 +2,48 @@
 
 import java.util.ArrayList;
 import java.util.HashMap;
+import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import java.util.TreeMap;
 import petrelstand.agreement.RulesMessage.LeaseAnswer;
 import petrelstand.agreement.RulesMessage.LeaseRequest;
 
 /**
- * The leader's half of the leases: who may act on which version, and when the version that waits may be acted on. A
- * lease is given only after a majority has confirmed, later than it was asked for, that this voter leads; so a leader
- * that was replaced gives none. A new leader knows no leases: it waits until those of the one before have surely run
- * out. The version that waits becomes the one that is acted on once everyone whose lease may still run has confirmed
- * it. Deterministic: one thread at a time, messages and time (µs, never back) in, messages and decisions out.
+ * The leader's side of the leases: grants gateways leases on the active version, and decides when the pending version
+ * may be activated. A lease is granted only after a majority has confirmed this voter's leadership later than the
+ * request came in, so a replaced leader grants none. A new leader knows no leases and waits until those of its
+ * predecessor have expired. The pending version is activated once every gateway whose lease may still run has confirmed
+ * it. Deterministic; not thread-safe. Times are in µs and never go back.
  */
 public class LeaseGrantor {
-    /** Gateways with leases, and renewals that wait for one confirmation. */
+    /** Bound on the gateway processes that are tracked, and on the requests that wait for a confirmation. */
     static final int MAX_GATEWAYS = 2048;
-    /** Hints to those that have not confirmed come again after this time. */
+    /** Interval of the notices to gateways that are behind. */
     static final long HINT_INTERVAL_US = 200_000;
+    /** Time after which an activation that had no effect is tried again. */
+    private static final long ACTIVATION_RETRY_US = 5 * HINT_INTERVAL_US;
 
-    /** What the voter does for this module. */
+    /** What the grantor needs from its voter. */
     public interface Actions {
-        /** Sends to a gateway; it may get lost. */
-        void send(String name, RulesMessage talk);
+        /** Sends a message to a gateway; it may be lost. */
+        void send(String name, RulesMessage message);
 
-        /** Puts a command into the log; it may fail without a word. */
+        /** Appends a command to the log; this may fail without notice. */
         void commit(RegistryCommand command);
 
         /**
-         * Asks a majority whether this voter leads; {@link #leadershipConfirmed} or {@link #leadershipUnconfirmed}
-         * answers.
+         * Asks a majority whether this voter leads. The answer is a call of {@link #leadershipConfirmed} or
+         * {@link #leadershipUnconfirmed} with the same round.
          */
         void confirmLeadership(long round);
 
-        /** Something that an operator should read. */
+        /** Logs a line for the operator. */
         void log(String line);
     }
 
-    /** A process that was given a lease, or asked for one. */
+    /** What the leader knows of one gateway process that has asked for a lease. */
     public static final class GatewayState {
         final String name;
         final long instanceId;
@@ -47,35 +51,38 @@
         long lastHeardUs;
         long preparedVersion;
         long actingVersion;
-        /** The highest that it said it acted on: it never goes back, but what it says may come in another order. */
+        /** The highest version that it reported to apply; reports may arrive out of order. */
         long highestActedVersion;
 
         long actingSinceUs;
         String loadError = "";
         long lastHintUs = Long.MIN_VALUE / 2;
 
-        GatewayState(String name, long life) {
+        GatewayState(String name, long instanceId) {
             this.name = name;
-            this.instanceId = life;
+            this.instanceId = instanceId;
         }
 
         public String name() {
             return name;
         }
 
-        /** The version that it said it acts on, and since when that is known here. */
+        /** The version that it last reported to apply under a lease, or 0. */
         public long actingVersion() {
             return actingVersion;
         }
 
+        /** When that report first arrived here. */
         public long actingSinceUs() {
             return actingSinceUs;
         }
 
+        /** The newest version that it has confirmed to have loaded. */
         public long preparedVersion() {
             return preparedVersion;
         }
 
+        /** Why it can't load the pending version, or empty. */
         public String loadError() {
             return loadError;
         }
@@ -90,54 +97,58 @@
         }
     }
 
-    private record Waiting(String name, LeaseRequest renew, long receivedUs) {}
+    private record ReceivedRequest(String name, LeaseRequest request, long receivedUs) {}
 
     private final LeaseTiming timing;
     private final RuleRegistry registry;
     private final Actions actions;
     private final Map<String, GatewayState> gateways = new TreeMap<>();
-    private final Map<String, Long> registering = new HashMap<>();
-    private List<Waiting> waiting = new ArrayList<>();
-    private List<Waiting> asked = new ArrayList<>();
+    private final Map<String, Long> registeringSinceUs = new HashMap<>();
+    /** Requests that came in after the current confirmation round began; the next round answers them. */
+    private List<ReceivedRequest> nextRoundRequests = new ArrayList<>();
+
+    private List<ReceivedRequest> currentRoundRequests = new ArrayList<>();
     private boolean isLeader;
     private long term;
     private long electedUs;
     private long round;
-    private long activating;
-    private long activatingUs;
-    private long hinted = -1;
-    /** The version that is acted on as of the last tick, and since when. */
-    private long activeSeen = -1;
+    private long activatingVersion;
+    private long activatingSinceUs;
+    /** Combination of the active and the pending version that the gateways were last notified of. */
+    private long hintedVersions = -1;
+    /** The active version at the last tick, and since when it is active. */
+    private long activeAtLastTick = -1;
 
     private long activeSinceUs;
-    private String saidBlocked = "";
+    private String lastBlockedLine = "";
+    private long lastTickUs = Long.MIN_VALUE / 2;
 
-    public LeaseGrantor(LeaseTiming promise, RuleRegistry book, Actions act) {
-        this.timing = promise;
-        this.registry = book;
-        this.actions = act;
+    public LeaseGrantor(LeaseTiming timing, RuleRegistry registry, Actions actions) {
+        this.timing = timing;
+        this.registry = registry;
+        this.actions = actions;
     }
 
     public boolean isLeader() {
         return isLeader;
     }
 
-    /** The processes that have asked this leader in its term. */
+    /** The gateway processes that have asked for a lease in this leader's term. */
     public List<GatewayState> gateways() {
         return List.copyOf(gateways.values());
     }
 
-    /** This voter was elected, at this time or before. */
-    public void isLeader(long nowUs, long inTerm) {
-        if (!isLeader || inTerm != term) {
+    /** Called when this voter has been elected, at {@code nowUs} or before. */
+    public void becomeLeader(long nowUs, long newTerm) {
+        if (!isLeader || newTerm != term) {
             clearState();
             isLeader = true;
-            term = inTerm;
+            term = newTerm;
             electedUs = nowUs;
         }
     }
 
-    /** This voter does not lead any more. */
+    /** Called when this voter does not lead any more. */
     public void becomeFollower() {
         isLeader = false;
         clearState();
@@ -145,177 +156,184 @@
 
     private void clearState() {
         gateways.clear();
-        registering.clear();
-        waiting.clear();
-        asked = new ArrayList<>();
-        activating = 0;
-        hinted = -1;
-        activeSeen = -1;
+        registeringSinceUs.clear();
+        nextRoundRequests.clear();
+        currentRoundRequests = new ArrayList<>();
+        activatingVersion = 0;
+        hintedVersions = -1;
+        activeAtLastTick = -1;
         round++;
     }
 
-    /** A gateway asks. */
-    public void renew(long nowUs, String name, LeaseRequest renew) {
-        String key = name + " " + renew.instanceId();
-        GatewayState holder = gateways.get(key);
-        if (holder == null) {
+    /** Handles a gateway's lease request; it is answered once a majority has confirmed the leadership. */
+    public void renew(long nowUs, String name, LeaseRequest request) {
+        String key = name + " " + request.instanceId();
+        GatewayState gateway = gateways.get(key);
+        if (gateway == null) {
             if (gateways.size() >= MAX_GATEWAYS) {
                 return;
             }
-            holder = new GatewayState(name, renew.instanceId());
-            gateways.put(key, holder);
+            gateway = new GatewayState(name, request.instanceId());
+            gateways.put(key, gateway);
         }
-        holder.lastHeardUs = nowUs;
-        holder.preparedVersion = Math.max(holder.preparedVersion, renew.preparedVersion());
-        if (holder.actingVersion != renew.actingVersion()) {
-            holder.actingVersion = renew.actingVersion();
-            holder.actingSinceUs = nowUs;
+        gateway.lastHeardUs = nowUs;
+        gateway.preparedVersion = Math.max(gateway.preparedVersion, request.preparedVersion());
+        if (gateway.actingVersion != request.actingVersion()) {
+            gateway.actingVersion = request.actingVersion();
+            gateway.actingSinceUs = nowUs;
         }
-        holder.highestActedVersion = Math.max(holder.highestActedVersion, renew.actingVersion());
-        holder.loadError = renew.loadError();
+        gateway.highestActedVersion = Math.max(gateway.highestActedVersion, request.actingVersion());
+        gateway.loadError = request.loadError();
         if (!registry.gatewayNames().contains(name)
-                && nowUs - registering.getOrDefault(name, nowUs - HINT_INTERVAL_US) >= HINT_INTERVAL_US) {
-            registering.put(name, nowUs);
+                && nowUs - registeringSinceUs.getOrDefault(name, nowUs - HINT_INTERVAL_US) >= HINT_INTERVAL_US) {
+            registeringSinceUs.put(name, nowUs);
             actions.commit(new RegistryCommand.RegisterGateway(name));
         }
-        if (waiting.size() < MAX_GATEWAYS) {
-            waiting.add(new Waiting(name, renew, nowUs));
+        if (nextRoundRequests.size() < MAX_GATEWAYS) {
+            nextRoundRequests.add(new ReceivedRequest(name, request, nowUs));
         }
-        ask();
+        beginRound();
         tick(nowUs);
     }
 
-    private void ask() {
-        if (asked.isEmpty() && !waiting.isEmpty()) {
-            asked = waiting;
-            waiting = new ArrayList<>();
+    private void beginRound() {
+        if (currentRoundRequests.isEmpty() && !nextRoundRequests.isEmpty()) {
+            currentRoundRequests = nextRoundRequests;
+            nextRoundRequests = new ArrayList<>();
             actions.confirmLeadership(++round);
         }
     }
 
-    /** A majority holds this voter to be the leader, later than the round was asked for. */
-    public void leadershipConfirmed(long nowUs, long of) {
-        if (!isLeader || of != round) {
+    /** Called when a majority has confirmed the leadership, later than the round began. */
+    public void leadershipConfirmed(long nowUs, long confirmedRound) {
+        if (!isLeader || confirmedRound != round) {
             return;
         }
-        List<Waiting> answered = asked;
-        asked = new ArrayList<>();
-        for (Waiting one : answered) {
-            answer(nowUs, one);
+        List<ReceivedRequest> confirmedRequests = currentRoundRequests;
+        currentRoundRequests = new ArrayList<>();
+        for (ReceivedRequest request : confirmedRequests) {
+            answer(nowUs, request);
         }
-        ask();
+        beginRound();
         tick(nowUs);
     }
 
-    /** No majority could be asked: nobody gets a lease. */
-    public void leadershipUnconfirmed(long of) {
-        if (of == round) {
-            asked = new ArrayList<>();
-            ask();
+    /** Called when no majority confirmed the leadership: the requests of the round get no lease. */
+    public void leadershipUnconfirmed(long unconfirmedRound) {
+        if (unconfirmedRound == round) {
+            currentRoundRequests = new ArrayList<>();
+            beginRound();
         }
     }
 
-    private void answer(long nowUs, Waiting one) {
-        GatewayState holder = gateways.get(one.name + " " + one.renew.instanceId());
-        boolean confirmedIt = registry.pending() == 0 || holder.preparedVersion >= registry.pending() || blocked();
-        boolean lease = registry.active() > 0 && registry.gatewayNames().contains(one.name) && confirmedIt;
-        if (lease) {
-            // It asked before this voter heard of it, and may have been given nothing longer than a lease from then on.
-            holder.leaseUntilUs = Math.max(holder.leaseUntilUs, leaseEndUs(nowUs, one.receivedUs));
+    private void answer(long nowUs, ReceivedRequest received) {
+        GatewayState gateway = gateways.get(received.name + " " + received.request.instanceId());
+        boolean confirmedPending =
+                registry.pending() == 0 || gateway.preparedVersion >= registry.pending() || isActivationBlocked();
+        boolean granted = registry.active() > 0 && registry.gatewayNames().contains(received.name) && confirmedPending;
+        if (granted) {
+            // The gateway counts its lease from sending the request, so the lease expires no later than this.
+            gateway.leaseUntilUs = Math.max(gateway.leaseUntilUs, leaseEndUs(nowUs, received.receivedUs));
         }
-        actions.send(one.name, new LeaseAnswer(one.renew.nonce(), term, registry.active(), registry.pending(), lease));
+        actions.send(
+                received.name,
+                new LeaseAnswer(received.request.nonce(), term, registry.active(), registry.pending(), granted));
     }
 
-    /** When a lease that was asked for before a time has surely run out. */
+    /** The time, by this voter's clock, when a lease has expired whose request arrived at {@code receivedUs}. */
     protected long leaseEndUs(long nowUs, long receivedUs) {
         return receivedUs + timing.expiredAfterUs();
     }
 
     /**
-     * A member that can't load the version that waits: it stays as it is until that one is gone or this is withdrawn.
+     * Whether a gateway can't load the pending version. All gateways keep their leases on the active version until that
+     * gateway is gone or the pending version is withdrawn.
      */
-    private boolean blocked() {
+    private boolean isActivationBlocked() {
         return registry.pending() != 0
                 && gateways.values().stream()
-                        .anyMatch(h -> !h.loadError.isEmpty()
-                                && h.preparedVersion < registry.pending()
-                                && tickedUs < h.lastHeardUs + timing.expiredAfterUs());
+                        .anyMatch(gateway -> !gateway.loadError.isEmpty()
+                                && gateway.preparedVersion < registry.pending()
+                                && lastTickUs < gateway.lastHeardUs + timing.expiredAfterUs());
     }
 
-    private long tickedUs = Long.MIN_VALUE / 2;
-
-    /** What is due by now. */
+    /** Notifies gateways that are behind, and activates the pending version when that is due. */
     public void tick(long nowUs) {
-        tickedUs = nowUs;
+        lastTickUs = nowUs;
         if (!isLeader) {
             return;
         }
-        gateways.values().removeIf(h -> nowUs > Math.max(h.leaseUntilUs, h.lastHeardUs) + 2 * timing.expiredAfterUs());
-        long state = registry.active() * 31 + registry.pending();
-        for (GatewayState holder : gateways.values()) {
+        gateways.values()
+                .removeIf(gateway ->
+                        nowUs > Math.max(gateway.leaseUntilUs, gateway.lastHeardUs) + 2 * timing.expiredAfterUs());
+        long currentVersions = registry.active() * 31 + registry.pending();
+        for (GatewayState gateway : gateways.values()) {
             boolean behind =
-                    holder.highestActedVersion < registry.active() || holder.preparedVersion < registry.pending();
-            if (state != hinted || behind && nowUs - holder.lastHintUs >= HINT_INTERVAL_US) {
-                holder.lastHintUs = nowUs;
-                actions.send(holder.name, new RulesMessage.VersionsChanged(registry.active(), registry.pending()));
+                    gateway.highestActedVersion < registry.active() || gateway.preparedVersion < registry.pending();
+            if (currentVersions != hintedVersions || behind && nowUs - gateway.lastHintUs >= HINT_INTERVAL_US) {
+                gateway.lastHintUs = nowUs;
+                actions.send(gateway.name, new RulesMessage.VersionsChanged(registry.active(), registry.pending()));
             }
         }
-        hinted = state;
-        if (registry.active() != activeSeen) {
-            activeSeen = registry.active();
+        hintedVersions = currentVersions;
+        if (registry.active() != activeAtLastTick) {
+            activeAtLastTick = registry.active();
             activeSinceUs = nowUs;
         }
         if (registry.pending() == 0) {
             return;
         }
-        if (blocked()) {
-            GatewayState by = gateways.values().stream()
-                    .filter(h -> !h.loadError.isEmpty())
+        if (isActivationBlocked()) {
+            GatewayState blocking = gateways.values().stream()
+                    .filter(gateway -> !gateway.loadError.isEmpty())
                     .findFirst()
                     .orElseThrow();
-            String line = "version " + registry.pending() + " waits: " + by.name + " can't load it: " + by.loadError;
-            if (!line.equals(saidBlocked)) {
-                saidBlocked = line;
+            String line = "version " + registry.pending() + " stays pending: gateway " + blocking.name
+                    + " can't load it: " + blocking.loadError;
+            if (!line.equals(lastBlockedLine)) {
+                lastBlockedLine = line;
                 actions.log(line);
             }
             return;
         }
-        boolean mine = activating != registry.pending() || nowUs - activatingUs >= 5 * HINT_INTERVAL_US;
-        if (mine && mayActivate(nowUs)) {
-            activating = registry.pending();
-            activatingUs = nowUs;
-            java.util.Set<String> confirmed = new java.util.HashSet<>();
+        boolean attemptDue =
+                activatingVersion != registry.pending() || nowUs - activatingSinceUs >= ACTIVATION_RETRY_US;
+        if (attemptDue && mayActivate(nowUs)) {
+            activatingVersion = registry.pending();
+            activatingSinceUs = nowUs;
+            Set<String> confirmedNames = new HashSet<>();
             gateways.values().stream()
-                    .filter(h -> nowUs < h.leaseUntilUs && h.preparedVersion >= registry.pending())
-                    .forEach(h -> confirmed.add(h.name));
+                    .filter(gateway -> nowUs < gateway.leaseUntilUs && gateway.preparedVersion >= registry.pending())
+                    .forEach(gateway -> confirmedNames.add(gateway.name));
             actions.commit(new RegistryCommand.Activate(
                     registry.pending(),
-                    confirmed.containsAll(registry.gatewayNames()) ? registry.gatewayNamesHash() : 0));
+                    confirmedNames.containsAll(registry.gatewayNames()) ? registry.gatewayNamesHash() : 0));
         }
     }
 
     /**
-     * Whether everyone whose lease may still run has confirmed the version that waits, and acts on the one that it is
-     * to replace: else two that take turns in being late would contradict each other from version to version without
-     * end.
+     * Whether every gateway whose lease may still run has confirmed the pending version and applies the active one.
+     * Without the second condition two gateways that are late in turn could conflict over several versions without a
+     * break.
      */
     protected boolean mayActivate(long nowUs) {
         if (nowUs < electedUs + timing.expiredAfterUs()) {
             return false;
         }
-        boolean formerOver = nowUs >= activeSinceUs + timing.expiredAfterUs();
-        for (GatewayState holder : gateways.values()) {
-            if (nowUs < holder.leaseUntilUs
-                    && (holder.preparedVersion < registry.pending()
-                            || holder.highestActedVersion < registry.active() && !formerOver)) {
+        boolean formerLeasesExpired = nowUs >= activeSinceUs + timing.expiredAfterUs();
+        for (GatewayState gateway : gateways.values()) {
+            if (nowUs < gateway.leaseUntilUs
+                    && (gateway.preparedVersion < registry.pending()
+                            || gateway.highestActedVersion < registry.active() && !formerLeasesExpired)) {
                 return false;
             }
         }
         return true;
     }
 
-    /** Holders and renewals kept, for the test that each is bounded. */
+    /** The sizes of the gateway, request and registration tables, for the test of their bounds. */
     List<Integer> tableSizes() {
-        return List.of(gateways.size(), waiting.size() + asked.size(), registering.size());
+        return List.of(
+                gateways.size(), nextRoundRequests.size() + currentRoundRequests.size(), registeringSinceUs.size());
     }
 }
--- a/src/main/java/petrelstand/agreement/LeaseHolder.java
+++ b/src/main/java/petrelstand/agreement/LeaseHolder.java
@@ -15,73 +15,75 @@
 import petrelstand.agreement.RulesMessage.VersionsChanged;
 
 /**
- * A gateway's half of the leases: on which version it may act at a moment. A lease counts from when it was asked for,
- * by this process's own clock; {@link #effectiveRules} is asked with the turn's one time wherever a rule decides, so
- * that a process which stood still for a minute acts on nothing stale when it goes on. Without a lease it acts on the
- * floors of what it last knew, or the stricter of that and what it has heard of since. Deterministic: one thread at a
- * time.
+ * A gateway's side of the leases: which rules it may apply at a given time. A lease runs from the sending of its
+ * request, by this process's own clock. {@link #effectiveRules} checks the lease at each decision, so that a process
+ * that was suspended applies no stale rules when it resumes. Without a lease the gateway applies the fallback of its
+ * last leased version, restricted by the later versions that it has loaded. Deterministic; not thread-safe. Times are
+ * in µs.
  */
 public class LeaseHolder {
-    /** Questions out, and texts kept. */
+    /** Bound on the lease requests that may still be answered. */
     static final int MAX_OPEN_REQUESTS = 16;
-
+    /** Bound on the versions whose texts are kept. */
     static final int MAX_TEXTS = 4;
-    /** A question that is not answered by then goes to another voter. */
+    /** A request without an answer is sent again, to another voter, after this time. */
     static final long ANSWER_TIMEOUT_US = 200_000;
-    /** Renewals in a lease, so that three lost ones are no fault. */
-    private static final int RENEWALS = 4;
-    /** Pieces asked for at once. */
-    private static final int AHEAD = 4;
+    /** Renewals sent during a lease, so that up to three may be lost. */
+    private static final int RENEWALS_PER_LEASE = 4;
+    /** Bound on the pieces of a text that are requested at once. */
+    private static final int MAX_PIECES_PER_FETCH = 4;
 
-    /** How a gateway acts: under a lease, on floors, or on nothing that is agreed. */
+    /** Whether a gateway applies a version under a lease, the fallback of a version, or no agreed rules. */
     public enum Mode {
         LEASED,
         FALLBACK,
         NONE
     }
 
-    /** What it acts on at a moment. */
+    /** The rules that a gateway applies, the version that they come from, and why it may apply them. */
     public record EffectiveRules(long version, Mode mode, Rules rules) {}
 
-    /** What the process does for this module. */
+    /** What the holder needs from its process. */
     public interface Actions {
-        /** Sends to a voter; it may get lost. */
-        void send(String voter, RulesMessage talk);
+        /** Sends a message to a voter; it may be lost. */
+        void send(String voter, RulesMessage message);
 
-        /** What it acts on is another from now on; {@code why} in words. */
-        void effectiveRulesChanged(long nowUs, EffectiveRules acting, String why);
+        /** Called when other rules take effect; {@code reason} is a text for the log. */
+        void effectiveRulesChanged(long nowUs, EffectiveRules effective, String reason);
 
-        /** A version that came whole: to be kept for the next start. */
+        /** Stores a version that was received completely, for the next start of the process. */
         void storeVersion(long version, String text);
 
-        void count(String what);
+        /** Increments a counter. */
+        void count(String counter);
 
-        /** Something that an operator should read. */
+        /** Logs a line for the operator. */
         void log(String line);
     }
 
-    /** A text as it comes, and the rules that it loads to. */
-    private static final class Text {
+    /** The text of a version: its pieces as they arrive, then the rules or the error that it loads to. */
+    private static final class VersionText {
         String[] pieces = new String[0];
         Rules rules;
-        String whole;
-        String fault = "";
-        long askedUs = Long.MIN_VALUE / 2;
+        String text;
+        String loadError = "";
+        long lastFetchUs = Long.MIN_VALUE / 2;
 
-        boolean whole() {
-            return rules != null || !fault.isEmpty();
+        boolean isComplete() {
+            return rules != null || !loadError.isEmpty();
         }
     }
 
-    private static final EffectiveRules NOTHING = new EffectiveRules(0, Mode.NONE, Rules.NONE);
+    private static final EffectiveRules NO_RULES = new EffectiveRules(0, Mode.NONE, Rules.NONE);
 
-    private final long life;
-    private final LeaseTiming promise;
+    private final long instanceId;
+    private final LeaseTiming timing;
     private final List<String> voters;
     private final Function<String, Rules> loader;
     private final SplittableRandom random;
-    private final Actions act;
-    private final Map<Long, Long> asked = new LinkedHashMap<>() {
+    private final Actions actions;
+    /** When each open request was sent, by nonce. */
+    private final Map<Long, Long> openRequests = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1;
 
         @Override
@@ -89,164 +91,169 @@
             return size() > MAX_OPEN_REQUESTS;
         }
     };
-    private final TreeMap<Long, Text> texts = new TreeMap<>();
+
+    private final TreeMap<Long, VersionText> texts = new TreeMap<>();
     private String leader = "";
-    private int turn;
-    private long active;
-    private long waiting;
+    private int nextVoter;
+    private long activeVersion;
+    private long pendingVersion;
     private long leasedVersion;
     private long leasedUntilUs = Long.MIN_VALUE / 2;
-    /** A lease on a version whose text has not come: it begins to count for something when it has. */
-    private long comingVersion;
+    /** A version with a granted lease whose text has not arrived yet; the lease takes effect once it has. */
+    private long awaitedVersion;
 
-    private long comingUntilUs;
-    private EffectiveRules told = NOTHING;
-    private long toldSinceUs;
-    private long nextAskUs;
+    private long awaitedLeaseUntilUs;
+    private EffectiveRules effective = NO_RULES;
+    private long effectiveSinceUs;
+    private long nextRequestUs;
     private long lastAnswerUs;
-    private long lastAskUs = Long.MIN_VALUE / 2;
+    private long lastRequestUs = Long.MIN_VALUE / 2;
 
     /**
-     * A gateway that asks the voters.
+     * Creates a holder without a lease.
      *
-     * @param life a random number, another at each start
-     * @param loader what a text rules; throws an IllegalArgumentException of one line
+     * @param instanceId a random number that differs at each start of the process
+     * @param voters the names of the voters
+     * @param loader parses a rules text; throws an IllegalArgumentException with a one-line message
      */
     public LeaseHolder(
             long nowUs,
-            long life,
+            long instanceId,
             List<String> voters,
-            LeaseTiming promise,
+            LeaseTiming timing,
             long seed,
             Function<String, Rules> loader,
-            Actions act) {
-        this.life = life;
+            Actions actions) {
+        this.instanceId = instanceId;
         this.voters = List.copyOf(voters);
-        this.promise = promise;
+        this.timing = timing;
         this.loader = loader;
         this.random = new SplittableRandom(seed);
-        this.act = act;
-        this.nextAskUs = nowUs;
+        this.actions = actions;
+        this.nextRequestUs = nowUs;
         this.lastAnswerUs = nowUs;
-        this.toldSinceUs = nowUs;
+        this.effectiveSinceUs = nowUs;
     }
 
-    /** What an earlier life kept: its floors are acted on until a lease comes. */
+    /** Loads a version that an earlier process stored; its fallback applies until a lease is granted. */
     public void restore(long nowUs, long version, String text) {
-        Text kept = kept(version);
-        load(version, kept, text);
-        if (kept.rules != null) {
+        VersionText stored = textEntry(version);
+        load(version, stored, text);
+        if (stored.rules != null) {
             leasedVersion = version;
-            tell(nowUs, "kept by an earlier life");
+            updateEffectiveRules(nowUs, "restored from the last run");
         }
     }
 
-    // ---- What a decision asks ----
+    // ---- Queries ----
 
-    /** What may be acted on at a time, the turn's; costs a comparison. */
+    /** The rules to apply at {@code nowUs}; costs a comparison, to be called for each decision. */
     public EffectiveRules effectiveRules(long nowUs) {
         if (isLeaseValid(nowUs)) {
-            if (told.mode() != Mode.LEASED || told.version() != leasedVersion) {
-                tell(nowUs, "a lease");
+            if (effective.mode() != Mode.LEASED || effective.version() != leasedVersion) {
+                updateEffectiveRules(nowUs, "lease granted");
             }
-        } else if (told.mode() == Mode.LEASED) {
-            tell(nowUs, "the lease ran out");
+        } else if (effective.mode() == Mode.LEASED) {
+            updateEffectiveRules(nowUs, "lease expired");
         }
-        return told;
+        return effective;
     }
 
     protected boolean isLeaseValid(long nowUs) {
         return nowUs < leasedUntilUs;
     }
 
-    /** A version's text, where it has come whole; else null. */
+    /** The text of a version, or null if it has not been received completely. */
     public String text(long version) {
-        Text text = texts.get(version);
-        return text == null ? null : text.whole;
+        VersionText entry = texts.get(version);
+        return entry == null ? null : entry.text;
     }
 
-    /** Since when it acts on what it acts on. */
+    /** Since when the current rules are in effect. */
     public long effectiveSinceUs() {
-        return toldSinceUs;
+        return effectiveSinceUs;
     }
 
-    /** The version that the leader last said is acted on, and the one that waits. */
+    /** The active and the pending version, in this order, as last reported by the leader; 0 for none. */
     public long[] knownVersions() {
-        return new long[] {active, waiting};
+        return new long[] {activeVersion, pendingVersion};
     }
 
+    /** The name of the leader, or empty if none is known. */
     public String leader() {
         return leader;
     }
 
-    /** When the last answer of a leader came. */
+    /** When a voter last answered a lease request. */
     public long lastAnswerUs() {
         return lastAnswerUs;
     }
 
-    private void tell(long nowUs, String why) {
-        Text text = texts.get(leasedVersion);
-        EffectiveRules now = NOTHING;
-        if (text != null && text.rules != null) {
+    private void updateEffectiveRules(long nowUs, String reason) {
+        VersionText leased = texts.get(leasedVersion);
+        EffectiveRules updated = NO_RULES;
+        if (leased != null && leased.rules != null) {
             if (isLeaseValid(nowUs)) {
-                now = new EffectiveRules(leasedVersion, Mode.LEASED, text.rules);
+                updated = new EffectiveRules(leasedVersion, Mode.LEASED, leased.rules);
             } else {
-                Rules rules = text.rules;
-                for (Text later : texts.tailMap(leasedVersion, false).values()) {
+                Rules rules = leased.rules;
+                for (VersionText later : texts.tailMap(leasedVersion, false).values()) {
                     rules = later.rules == null ? rules : rules.restrictedBy(later.rules);
                 }
-                now = new EffectiveRules(leasedVersion, Mode.FALLBACK, rules.toFallback());
+                updated = new EffectiveRules(leasedVersion, Mode.FALLBACK, rules.toFallback());
             }
         }
-        if (!now.equals(told)) {
-            told = now;
-            toldSinceUs = nowUs;
-            act.effectiveRulesChanged(nowUs, now, why);
+        if (!updated.equals(effective)) {
+            effective = updated;
+            effectiveSinceUs = nowUs;
+            actions.effectiveRulesChanged(nowUs, updated, reason);
         }
     }
 
     // ---- Time ----
 
-    /** What is due by now; to be called some ten times a lease's quarter, and as often as it likes. */
+    /** Sends the requests that are due; to be called at least ten times per renewal interval. */
     public void tick(long nowUs) {
         effectiveRules(nowUs);
-        boolean unanswered = lastAskUs > lastAnswerUs && nowUs - lastAskUs >= ANSWER_TIMEOUT_US;
-        if (unanswered) {
+        boolean timedOut = lastRequestUs > lastAnswerUs && nowUs - lastRequestUs >= ANSWER_TIMEOUT_US;
+        if (timedOut) {
             leader = "";
         }
-        if (nowUs >= nextAskUs || unanswered) {
-            ask(nowUs);
+        if (nowUs >= nextRequestUs || timedOut) {
+            requestLease(nowUs);
         }
-        for (long version : new long[] {active, waiting}) {
-            if (version > 0 && !kept(version).whole() && nowUs - kept(version).askedUs >= ANSWER_TIMEOUT_US) {
+        for (long version : new long[] {activeVersion, pendingVersion}) {
+            if (version > 0
+                    && !textEntry(version).isComplete()
+                    && nowUs - textEntry(version).lastFetchUs >= ANSWER_TIMEOUT_US) {
                 fetch(nowUs, version, "");
             }
         }
     }
 
-    private void ask(long nowUs) {
+    private void requestLease(long nowUs) {
         long nonce = random.nextLong();
-        asked.put(nonce, nowUs);
-        lastAskUs = nowUs;
-        nextAskUs = nowUs + (long) (promise.leaseUs() / RENEWALS * (0.8 + 0.2 * random.nextDouble()));
-        Text next = texts.get(waiting);
-        act.send(
-                someVoter(),
+        openRequests.put(nonce, nowUs);
+        lastRequestUs = nowUs;
+        nextRequestUs = nowUs + (long) (timing.leaseUs() / RENEWALS_PER_LEASE * (0.8 + 0.2 * random.nextDouble()));
+        VersionText pending = texts.get(pendingVersion);
+        actions.send(
+                leaderOrNextVoter(),
                 new LeaseRequest(
                         nonce,
-                        life,
-                        told.mode() == Mode.LEASED ? told.version() : 0,
+                        instanceId,
+                        effective.mode() == Mode.LEASED ? effective.version() : 0,
                         preparedVersion(),
-                        waiting == 0 || next == null ? "" : next.fault));
+                        pendingVersion == 0 || pending == null ? "" : pending.loadError));
     }
 
-    private String someVoter() {
-        return !leader.isEmpty() ? leader : voters.get(Math.floorMod(turn++, voters.size()));
+    private String leaderOrNextVoter() {
+        return !leader.isEmpty() ? leader : voters.get(Math.floorMod(nextVoter++, voters.size()));
     }
 
-    /** The newest version that it has whole and could load. */
+    /** The newest version that was received completely and loaded, or 0. */
     public long preparedVersion() {
-        for (Map.Entry<Long, Text> entry : texts.descendingMap().entrySet()) {
+        for (Map.Entry<Long, VersionText> entry : texts.descendingMap().entrySet()) {
             if (entry.getValue().rules != null) {
                 return entry.getKey();
             }
@@ -256,154 +263,158 @@
 
     // ---- Messages ----
 
-    public void receive(long nowUs, String from, RulesMessage talk) {
-        if (talk instanceof LeaseAnswer grant) {
-            granted(nowUs, from, grant);
-        } else if (talk instanceof NotLeader elsewhere) {
-            if (asked.remove(elsewhere.nonce()) != null) {
+    /** Handles a message from a voter; messages of other kinds are ignored. */
+    public void receive(long nowUs, String sender, RulesMessage message) {
+        if (message instanceof LeaseAnswer answer) {
+            receiveLeaseAnswer(nowUs, sender, answer);
+        } else if (message instanceof NotLeader notLeader) {
+            if (openRequests.remove(notLeader.nonce()) != null) {
                 lastAnswerUs = nowUs;
-                // It may be a voter that was added since this process read its file.
-                boolean known =
-                        !elsewhere.leader().isEmpty() && !elsewhere.leader().equals(from);
-                leader = known ? elsewhere.leader() : "";
-                nextAskUs = Math.min(nextAskUs, nowUs + (known ? 0 : ANSWER_TIMEOUT_US / 2));
+                // The leader may be a voter that was added since this process read its configuration.
+                boolean leaderKnown =
+                        !notLeader.leader().isEmpty() && !notLeader.leader().equals(sender);
+                leader = leaderKnown ? notLeader.leader() : "";
+                nextRequestUs = Math.min(nextRequestUs, nowUs + (leaderKnown ? 0 : ANSWER_TIMEOUT_US / 2));
             }
-        } else if (talk instanceof VersionsChanged hint) {
-            // Also one that tells nothing new is answered: the leader gives them to those of whom it thinks they are
-            // behind.
-            if (hint.activeVersion() >= active && (hint.pendingVersion() >= waiting || hint.pendingVersion() == 0)) {
-                leader = from;
-                heardOf(nowUs, hint.activeVersion(), hint.pendingVersion());
-                if (!kept(Math.max(active, waiting)).whole()) {
-                    fetch(nowUs, Math.max(active, waiting), from);
+        } else if (message instanceof VersionsChanged changed) {
+            // A notice without news is answered too: it means that the leader takes this gateway to be behind.
+            if (changed.activeVersion() >= activeVersion
+                    && (changed.pendingVersion() >= pendingVersion || changed.pendingVersion() == 0)) {
+                leader = sender;
+                updateKnownVersions(nowUs, changed.activeVersion(), changed.pendingVersion());
+                if (!textEntry(Math.max(activeVersion, pendingVersion)).isComplete()) {
+                    fetch(nowUs, Math.max(activeVersion, pendingVersion), sender);
                 }
-                nextAskUs = Math.min(nextAskUs, nowUs);
+                nextRequestUs = Math.min(nextRequestUs, nowUs);
                 tick(nowUs);
             }
-        } else if (talk instanceof TextPiece piece) {
-            pieceCame(nowUs, from, piece);
+        } else if (message instanceof TextPiece piece) {
+            receivePiece(nowUs, sender, piece);
         }
     }
 
-    private void heardOf(long nowUs, long nowActive, long nowWaiting) {
-        active = Math.max(active, nowActive);
-        waiting = Math.max(nowWaiting, nowWaiting == 0 ? 0 : waiting);
-        if (waiting <= active) {
-            waiting = 0;
+    private void updateKnownVersions(long nowUs, long reportedActive, long reportedPending) {
+        activeVersion = Math.max(activeVersion, reportedActive);
+        pendingVersion = Math.max(reportedPending, reportedPending == 0 ? 0 : pendingVersion);
+        if (pendingVersion <= activeVersion) {
+            pendingVersion = 0;
         }
     }
 
-    private void granted(long nowUs, String from, LeaseAnswer grant) {
-        Long askedUs = asked.remove(grant.nonce());
-        if (askedUs == null) {
-            act.count("rules.refused.late");
+    private void receiveLeaseAnswer(long nowUs, String sender, LeaseAnswer answer) {
+        Long requestedUs = openRequests.remove(answer.nonce());
+        if (requestedUs == null) {
+            actions.count("rules.refused.late");
             return;
         }
         lastAnswerUs = nowUs;
-        leader = from;
-        heardOf(nowUs, grant.activeVersion(), grant.pendingVersion());
-        if (grant.granted() && grant.activeVersion() >= leasedVersion && grant.activeVersion() >= active) {
-            long untilUs = leaseEndUs(nowUs, askedUs);
-            if (texts.containsKey(grant.activeVersion()) && texts.get(grant.activeVersion()).rules != null) {
-                lease(nowUs, grant.activeVersion(), untilUs);
+        leader = sender;
+        updateKnownVersions(nowUs, answer.activeVersion(), answer.pendingVersion());
+        if (answer.granted() && answer.activeVersion() >= leasedVersion && answer.activeVersion() >= activeVersion) {
+            long untilUs = leaseEndUs(nowUs, requestedUs);
+            if (texts.containsKey(answer.activeVersion()) && texts.get(answer.activeVersion()).rules != null) {
+                startLease(nowUs, answer.activeVersion(), untilUs);
             } else {
-                comingVersion = grant.activeVersion();
-                comingUntilUs = untilUs;
+                awaitedVersion = answer.activeVersion();
+                awaitedLeaseUntilUs = untilUs;
             }
         }
-        for (long version : new long[] {active, waiting}) {
-            if (version > 0 && !kept(version).whole()) {
-                fetch(nowUs, version, from);
+        for (long version : new long[] {activeVersion, pendingVersion}) {
+            if (version > 0 && !textEntry(version).isComplete()) {
+                fetch(nowUs, version, sender);
             }
         }
     }
 
-    /** Until when a lease runs: counted from the asking, since the answer may have been under way for any time. */
-    protected long leaseEndUs(long nowUs, long askedUs) {
-        return askedUs + promise.leaseUs();
+    /** When a lease ends: counted from its request, since the answer may have been delayed for any time. */
+    protected long leaseEndUs(long nowUs, long requestedUs) {
+        return requestedUs + timing.leaseUs();
     }
 
-    private void lease(long nowUs, long version, long untilUs) {
+    private void startLease(long nowUs, long version, long untilUs) {
         leasedUntilUs = version == leasedVersion ? Math.max(leasedUntilUs, untilUs) : untilUs;
-        boolean other = version != leasedVersion;
+        boolean versionChanged = version != leasedVersion;
         leasedVersion = version;
         texts.headMap(version, false).clear();
-        if (isLeaseValid(nowUs) && (other || told.mode() != Mode.LEASED)) {
-            tell(nowUs, "a lease");
-            // Said at once: the next version waits until all act on this one.
-            nextAskUs = nowUs;
+        if (isLeaseValid(nowUs) && (versionChanged || effective.mode() != Mode.LEASED)) {
+            updateEffectiveRules(nowUs, "lease granted");
+            // Report the change at once: the next version can't be activated before all gateways apply this one.
+            nextRequestUs = nowUs;
         }
     }
 
     // ---- Texts ----
 
-    private Text kept(long version) {
-        Text text = texts.computeIfAbsent(version, v -> new Text());
+    private VersionText textEntry(long version) {
+        VersionText entry = texts.computeIfAbsent(version, v -> new VersionText());
         while (texts.size() > MAX_TEXTS) {
             Long eldest = texts.firstKey() == leasedVersion ? texts.higherKey(leasedVersion) : texts.firstKey();
             texts.remove(eldest);
         }
-        return text;
+        return entry;
     }
 
-    private void fetch(long nowUs, long version, String from) {
-        Text text = kept(version);
-        text.askedUs = nowUs;
-        int missing = 0;
-        for (int i = 0; i < Math.max(1, text.pieces.length) && missing < AHEAD; i++) {
-            if (text.pieces.length == 0 || text.pieces[i] == null) {
-                missing++;
-                act.send(from.isEmpty() ? someVoter() : from, new FetchPiece(random.nextLong(), version, i));
+    /** Requests missing pieces of a version's text from a voter, or from any if {@code voter} is empty. */
+    private void fetch(long nowUs, long version, String voter) {
+        VersionText entry = textEntry(version);
+        entry.lastFetchUs = nowUs;
+        int requested = 0;
+        for (int i = 0; i < Math.max(1, entry.pieces.length) && requested < MAX_PIECES_PER_FETCH; i++) {
+            if (entry.pieces.length == 0 || entry.pieces[i] == null) {
+                requested++;
+                actions.send(
+                        voter.isEmpty() ? leaderOrNextVoter() : voter, new FetchPiece(random.nextLong(), version, i));
             }
         }
     }
 
-    private void pieceCame(long nowUs, String from, TextPiece piece) {
-        Text text = texts.get(piece.version());
-        if (text == null
-                || text.whole()
+    private void receivePiece(long nowUs, String sender, TextPiece piece) {
+        VersionText entry = texts.get(piece.version());
+        if (entry == null
+                || entry.isComplete()
                 || piece.pieceCount() < 1
                 || piece.pieceCount() > RegistryCommand.MAX_PIECES
                 || piece.pieceIndex() < 0
                 || piece.pieceIndex() >= piece.pieceCount()) {
             return;
         }
-        if (text.pieces.length != piece.pieceCount()) {
-            text.pieces = new String[piece.pieceCount()];
+        if (entry.pieces.length != piece.pieceCount()) {
+            entry.pieces = new String[piece.pieceCount()];
         }
-        text.pieces[piece.pieceIndex()] = piece.text();
-        for (String part : text.pieces) {
-            if (part == null) {
-                fetch(nowUs, piece.version(), from);
+        entry.pieces[piece.pieceIndex()] = piece.text();
+        for (String received : entry.pieces) {
+            if (received == null) {
+                fetch(nowUs, piece.version(), sender);
                 return;
             }
         }
-        load(piece.version(), text, String.join("", text.pieces));
-        if (!text.fault.isEmpty()) {
-            act.log("version " + piece.version() + " can't be loaded: " + text.fault);
+        load(piece.version(), entry, String.join("", entry.pieces));
+        if (!entry.loadError.isEmpty()) {
+            actions.log("version " + piece.version() + " can't be loaded, so this gateway does not confirm it: "
+                    + entry.loadError);
         } else {
-            act.storeVersion(piece.version(), String.join("", text.pieces));
+            actions.storeVersion(piece.version(), String.join("", entry.pieces));
         }
-        if (comingVersion == piece.version() && text.rules != null && comingVersion >= active) {
-            lease(nowUs, comingVersion, comingUntilUs);
+        if (awaitedVersion == piece.version() && entry.rules != null && awaitedVersion >= activeVersion) {
+            startLease(nowUs, awaitedVersion, awaitedLeaseUntilUs);
         }
-        // Said at once: the version waits for it.
-        nextAskUs = nowUs;
+        // Report the loaded version at once: its activation waits for this.
+        nextRequestUs = nowUs;
         tick(nowUs);
     }
 
-    private void load(long version, Text text, String whole) {
-        text.whole = whole;
+    private void load(long version, VersionText entry, String text) {
+        entry.text = text;
         try {
-            text.rules = loader.apply(whole);
+            entry.rules = loader.apply(text);
         } catch (IllegalArgumentException e) {
             String line = String.valueOf(e.getMessage());
-            text.fault = line.substring(0, Math.min(line.length(), RulesMessage.MAX_LINE_CHARS));
+            entry.loadError = line.substring(0, Math.min(line.length(), RulesMessage.MAX_LINE_CHARS));
         }
     }
 
-    /** Questions and texts kept, for the test that each is bounded. */
-    List<Integer> kept() {
-        return new ArrayList<>(List.of(asked.size(), texts.size()));
+    /** The sizes of the request and text tables, for the test of their bounds. */
+    List<Integer> tableSizes() {
+        return new ArrayList<>(List.of(openRequests.size(), texts.size()));
     }
 }
--- a/src/main/java/petrelstand/agreement/LeaseTiming.java
+++ b/src/main/java/petrelstand/agreement/LeaseTiming.java
@@ -1,35 +1,35 @@
 package petrelstand.agreement;
 
 /**
- * The bound on contradictions and what follows from it, in microseconds. Two gateways that act on contradicting rules
- * have done so for less than {@code withinUs}, as long as no monotonic clock runs faster or slower than the others by
- * more than the drift.
+ * The bound on conflicts between gateways, and the lease times that follow from it, in microseconds. Two gateways apply
+ * conflicting rules for less than {@code maxConflictUs}, as long as no monotonic clock deviates from another by more
+ * than {@code drift}.
  *
- * @param withinUs the promise, T
- * @param drift by how much a second of one clock may differ from a second of another, at most 0.1
+ * @param maxConflictUs the bound, at least 200 ms
+ * @param drift maximum relative difference between the rates of two clocks, 0 to 0.1
  */
 public record LeaseTiming(long maxConflictUs, double drift) {
     public static final LeaseTiming DEFAULT = new LeaseTiming(5_000_000, 0.01);
-    /** Of the promise a lease takes so much; the rest is for turns that come late and for the history's own times. */
-    private static final double PART = 0.8;
+    /** Share of the bound that a lease lasts; the rest covers event loop delays. */
+    private static final double LEASE_SHARE = 0.8;
 
     public LeaseTiming {
         if (maxConflictUs < 200_000 || !(drift >= 0 && drift <= 0.1)) {
-            throw new IllegalArgumentException("a promise under 200 ms, or a drift over a tenth");
+            throw new IllegalArgumentException("the conflict bound is below 200 ms, or the drift is not from 0 to 0.1");
         }
     }
 
-    /** How long a gateway may act on a version, by its own clock, from the moment when it asked. */
+    /** How long a gateway may apply a version, by its own clock, from the time when it sent the lease request. */
     public long leaseUs() {
-        return (long) (maxConflictUs * PART / stretch());
+        return (long) (maxConflictUs * LEASE_SHARE / clockRateRatio());
     }
 
-    /** After so long, by the leader's clock, a lease that was asked for before has surely run out by its holder's. */
+    /** How long after a lease request, by the leader's clock, the lease has expired by the clock of its holder. */
     public long expiredAfterUs() {
-        return (long) Math.ceil(leaseUs() * stretch()) + 1;
+        return (long) Math.ceil(leaseUs() * clockRateRatio()) + 1;
     }
 
-    private double stretch() {
+    private double clockRateRatio() {
         return (1 + drift) / (1 - drift);
     }
 }
--- a/src/main/java/petrelstand/agreement/PlanLimiter.java
+++ b/src/main/java/petrelstand/agreement/PlanLimiter.java
@@ -5,68 +5,74 @@
 import java.util.Map;
 
 /**
- * Holds the agreed limits at a gateway's door: each plan's part of its limit, an even one among the gateways that the
- * rules name, as a store of a quarter second of it, or of one largest request. When a rule changes, what was left moves
- * over in proportion and never above the new size, so that no second is counted twice. Asked before the decision
- * module, never in its place.
+ * Enforces the agreed plan limits at one gateway. Each plan has a token bucket that refills at the gateway's even share
+ * of the limit and holds a quarter second of it, or the largest request if that is more. When the share changes, the
+ * bucket keeps its fill ratio, so that a change admits nothing twice. Consulted before the decision module.
  */
 public final class PlanLimiter {
-    /** The largest request; a store holds that much at least, or a small part could never be used. */
-    private final double mostUnits;
+    /** Units of the largest request: the minimum bucket size, without which a small share could never admit it. */
+    private final double largestRequestUnits;
 
     private final List<String> plans;
     private final LeaseHolder holder;
-    private final Map<String, Store> stores = new HashMap<>();
+    private final Map<String, Bucket> buckets = new HashMap<>();
 
-    private static final class Store {
-        double perSecond;
-        double size;
+    private static final class Bucket {
+        double unitsPerSecond;
+        double capacity;
         double level;
-        long atUs;
+        long updatedUs;
     }
 
-    /** For the plans as the settings order them. */
-    public PlanLimiter(LeaseHolder holder, List<String> plans, double mostUnits) {
+    /**
+     * Creates the limiter.
+     *
+     * @param plans the plans' names; a request's plan is an index into this list
+     */
+    public PlanLimiter(LeaseHolder holder, List<String> plans, double largestRequestUnits) {
         this.holder = holder;
         this.plans = List.copyOf(plans);
-        this.mostUnits = mostUnits;
+        this.largestRequestUnits = largestRequestUnits;
     }
 
-    /** Takes a request's units; 0 where they were there, else after how many µs they will be. */
+    /** Takes a request's units and returns 0, or takes nothing and returns the µs until they are available. */
     public long takeOrDelayUs(long nowUs, int plan, double units) {
-        LeaseHolder.EffectiveRules acting = holder.effectiveRules(nowUs);
+        LeaseHolder.EffectiveRules effective = holder.effectiveRules(nowUs);
         String name = plans.get(plan);
-        Rules.Limit limit = acting.rules().limits().get(name);
+        Rules.Limit limit = effective.rules().limits().get(name);
         if (limit == null) {
-            stores.remove(name);
+            buckets.remove(name);
             return 0;
         }
-        double perSecond = (double) limit.units() / acting.rules().gateways();
-        Store store = stores.get(name);
-        if (store == null) {
-            store = new Store();
-            store.atUs = nowUs;
-            store.level = 0;
-            stores.put(name, store);
-            shape(store, perSecond);
-            store.level = store.size;
+        double unitsPerSecond = (double) limit.units() / effective.rules().gateways();
+        Bucket bucket = buckets.get(name);
+        if (bucket == null) {
+            bucket = new Bucket();
+            bucket.updatedUs = nowUs;
+            bucket.level = 0;
+            buckets.put(name, bucket);
+            resize(bucket, unitsPerSecond);
+            bucket.level = bucket.capacity;
         }
-        store.level = Math.min(store.size, store.level + (nowUs - store.atUs) / 1e6 * store.perSecond);
-        store.atUs = nowUs;
-        if (store.perSecond != perSecond) {
-            double part = store.size > 0 ? store.level / store.size : 0;
-            shape(store, perSecond);
-            store.level = Math.min(store.level, part * store.size);
+        bucket.level =
+                Math.min(bucket.capacity, bucket.level + (nowUs - bucket.updatedUs) / 1e6 * bucket.unitsPerSecond);
+        bucket.updatedUs = nowUs;
+        if (bucket.unitsPerSecond != unitsPerSecond) {
+            double fillRatio = bucket.capacity > 0 ? bucket.level / bucket.capacity : 0;
+            resize(bucket, unitsPerSecond);
+            bucket.level = Math.min(bucket.level, fillRatio * bucket.capacity);
         }
-        if (store.level >= units) {
-            store.level -= units;
+        if (bucket.level >= units) {
+            bucket.level -= units;
             return 0;
         }
-        return perSecond <= 0 ? 1_000_000 : Math.max(1, (long) Math.ceil((units - store.level) / perSecond * 1e6));
+        return unitsPerSecond <= 0
+                ? 1_000_000
+                : Math.max(1, (long) Math.ceil((units - bucket.level) / unitsPerSecond * 1e6));
     }
 
-    private void shape(Store store, double perSecond) {
-        store.perSecond = perSecond;
-        store.size = perSecond <= 0 ? 0 : Math.max(mostUnits, perSecond / 4);
+    private void resize(Bucket bucket, double unitsPerSecond) {
+        bucket.unitsPerSecond = unitsPerSecond;
+        bucket.capacity = unitsPerSecond <= 0 ? 0 : Math.max(largestRequestUnits, unitsPerSecond / 4);
     }
 }
--- a/src/main/java/petrelstand/agreement/RuleRegistry.java
+++ b/src/main/java/petrelstand/agreement/RuleRegistry.java
@@ -6,26 +6,34 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.SortedSet;
 import java.util.TreeMap;
 import java.util.TreeSet;
 
 /**
- * The versions that are agreed on: the state that the voters' log leads to, the same at each voter after the same
- * commands. At most one version waits beside the one that is acted on. Bounded: {@link #MAX_VERSIONS} versions,
- * {@link #MAX_PROPOSALS} proposals under way, {@link #MAX_GATEWAYS} gateways.
+ * The versions of the rules: the state machine behind the voters' log, equal at all voters after equal commands. At
+ * most one version is pending beside the active one. Bounded by {@link #MAX_VERSIONS}, {@link #MAX_PROPOSALS} and
+ * {@link #MAX_GATEWAYS}. Deterministic; not thread-safe.
  */
 public final class RuleRegistry {
-    /** Versions kept with their texts. */
+    /** Versions that are kept with their texts. */
     public static final int MAX_VERSIONS = 16;
-    /** A version's number is its epoch times this, and its place in the epoch. */
+    /** A version's number is its epoch times this, plus its number within the epoch. */
     public static final long VERSIONS_PER_EPOCH = 1_000_000;
-    /** Of an epoch's number the part that is drawn. */
+    /** An epoch is a sequence number times this, plus a random tag that tells independent recoveries apart. */
     public static final int TAGS_PER_EPOCH_NUMBER = 1000;
 
     static final int MAX_PROPOSALS = 4;
     static final int MAX_GATEWAYS = 1024;
 
-    /** What a version is. */
+    /**
+     * The beginning of the error for a proposal on an old base. Proposers recognize it, also those of other releases.
+     */
+    static final String STALE_BASE = "it is based on";
+    /** Part of the error for a proposal while a version is pending. Recognized like {@link #STALE_BASE}. */
+    static final String STILL_PENDING = "still on its way";
+
+    /** The state of a version: pending, active, replaced or withdrawn. */
     public enum State {
         WAITS,
         ACTED_ON,
@@ -33,7 +41,12 @@
         WITHDRAWN
     }
 
-    /** A version: who proposed it, when, why, on which base. */
+    /**
+     * A version of the rules.
+     *
+     * @param base the version that was the newest one when this was proposed
+     * @param wallMs wall-clock time of the proposal
+     */
     public record Version(
             long number,
             long base,
@@ -47,12 +60,17 @@
             limits = List.copyOf(limits);
         }
 
-        Version withState(State changed) {
-            return new Version(number, base, author, reason, wallMs, changed, limits, text);
+        Version withState(State newState) {
+            return new Version(number, base, author, reason, wallMs, newState, limits, text);
         }
     }
 
-    /** The answer to a command: the version that it made, or the one line why not. */
+    /**
+     * The result of a command.
+     *
+     * @param version the version that the command concerned, or the newest one
+     * @param error one line that says why the command was refused, or empty
+     */
     public record Result(long version, String error) {}
 
     private final TreeMap<Long, Version> versions = new TreeMap<>();
@@ -63,45 +81,45 @@
     private long pending;
     private long newest;
 
-    /** The version that is acted on; 0 where there is none yet. */
+    /** The active version, or 0 before the first one. */
     public long active() {
         return active;
     }
 
-    /** The epoch of a version: another one after each recovery by the operator. */
+    /** The epoch of a version; each recovery by the operator begins a new one. */
     public static long epoch(long version) {
         return version / VERSIONS_PER_EPOCH;
     }
 
-    /** The version that waits until all that act on the one before have confirmed it; 0 where none does. */
+    /** The version that waits for confirmations before it becomes active, or 0. */
     public long pending() {
         return pending;
     }
 
-    /** The highest number given; a proposal's base. */
+    /** The highest version number given so far; a proposal must be based on it. */
     public long newest() {
         return newest;
     }
 
-    /** Kept versions by number. */
+    /** The kept versions by number. */
     public Map<Long, Version> versions() {
         return Collections.unmodifiableMap(versions);
     }
 
-    /** Gateways that may act on some version, or on the floors of one. */
+    /** The names of the registered gateways: those that may apply a version, or the floors of one. */
     public java.util.Set<String> gatewayNames() {
         return Collections.unmodifiableSet(gatewayNames);
     }
 
-    /** By plan, the highest floor that a gateway which is cut off may still act on. */
+    /** By plan, the highest floor that a gateway without a lease may still apply; no limit may be set below it. */
     public Map<String, Long> reservedFloors() {
         return Collections.unmodifiableMap(reservedFloors);
     }
 
-    /** Applies a command. */
+    /** Applies the next command of the log. */
     public Result apply(RegistryCommand command) {
-        if (command instanceof RegistryCommand.AddPiece part) {
-            return part(part);
+        if (command instanceof RegistryCommand.AddPiece piece) {
+            return addPiece(piece);
         } else if (command instanceof RegistryCommand.Propose propose) {
             return propose(propose);
         } else if (command instanceof RegistryCommand.Activate activate) {
@@ -112,38 +130,41 @@
             return gatewayNames.contains(register.name())
                             || gatewayNames.size() < MAX_GATEWAYS && gatewayNames.add(register.name())
                     ? new Result(newest, "")
-                    : new Result(newest, "no room for more than " + MAX_GATEWAYS + " gateways");
+                    : new Result(newest, "the maximum of " + MAX_GATEWAYS + " registered gateways is reached");
         } else if (command instanceof RegistryCommand.ForgetGateway forget) {
             return gatewayNames.remove(forget.name())
                     ? new Result(newest, "")
-                    : new Result(newest, forget.name() + " is not known");
+                    : new Result(newest, forget.name() + " is not a registered gateway");
         }
         return new Result(newest, "");
     }
 
-    private Result part(RegistryCommand.AddPiece part) {
-        if (part.pieceCount() < 1
-                || part.pieceCount() > RegistryCommand.MAX_PIECES
-                || part.pieceIndex() < 0
-                || part.pieceIndex() >= part.pieceCount()) {
-            return new Result(newest, "a text of more than " + RegistryCommand.MAX_TEXT_CHARS + " characters");
+    private Result addPiece(RegistryCommand.AddPiece piece) {
+        if (piece.pieceCount() < 1
+                || piece.pieceCount() > RegistryCommand.MAX_PIECES
+                || piece.pieceIndex() < 0
+                || piece.pieceIndex() >= piece.pieceCount()) {
+            return new Result(
+                    newest,
+                    "the rules text is longer than " + RegistryCommand.MAX_TEXT_CHARS
+                            + " characters, or a piece has a wrong index");
         }
-        String[] pieces = proposals.get(part.proposalId());
-        if (pieces == null || pieces.length != part.pieceCount()) {
-            pieces = new String[part.pieceCount()];
-            proposals.remove(part.proposalId());
+        String[] pieces = proposals.get(piece.proposalId());
+        if (pieces == null || pieces.length != piece.pieceCount()) {
+            pieces = new String[piece.pieceCount()];
+            proposals.remove(piece.proposalId());
             if (proposals.size() >= MAX_PROPOSALS) {
                 proposals.remove(proposals.keySet().iterator().next());
             }
-            proposals.put(part.proposalId(), pieces);
+            proposals.put(piece.proposalId(), pieces);
         }
-        pieces[part.pieceIndex()] = part.text();
+        pieces[piece.pieceIndex()] = piece.text();
         return new Result(newest, "");
     }
 
     private Result propose(RegistryCommand.Propose propose) {
         for (Version version : versions.values()) {
-            // The answer was lost, and the proposer asks again.
+            // The proposal was applied before and its answer was lost; give the same answer again.
             if (version.wallMs() == propose.wallMs()
                     && version.author().equals(propose.author())
                     && version.base() == propose.base()
@@ -156,21 +177,24 @@
         if (pieces == null
                 || pieces.length != propose.pieceCount()
                 || Arrays.asList(pieces).contains(null)) {
-            return new Result(newest, "the text did not come whole; propose it again");
+            return new Result(newest, "pieces of the rules text are missing; propose it again");
         }
         if (propose.base() != newest) {
-            return new Result(newest, "it is based on version " + propose.base() + ", and the newest is " + newest);
+            return new Result(
+                    newest, STALE_BASE + " version " + propose.base() + ", and the newest version is " + newest);
         }
         if (pending != 0) {
-            return new Result(newest, "version " + pending + " is still on its way; wait, or withdraw it");
+            return new Result(
+                    newest,
+                    "version " + pending + (" is " + STILL_PENDING + "; wait until it is active, or withdraw it"));
         }
-        for (RegistryCommand.PlanLimit figure : propose.limits()) {
-            long mark = reservedFloors.getOrDefault(figure.plan(), 0L);
-            if (figure.units() < mark) {
+        for (RegistryCommand.PlanLimit limit : propose.limits()) {
+            long reservedFloor = reservedFloors.getOrDefault(limit.plan(), 0L);
+            if (limit.units() < reservedFloor) {
                 return new Result(
                         newest,
-                        "limit " + figure.plan() + ": units " + figure.units() + " is below " + mark
-                                + ", the floor that gateways which are cut off may act on; lower the floor first");
+                        "limit " + limit.plan() + ": units " + limit.units() + " is below " + reservedFloor
+                                + ", the floor that gateways without a lease may still apply; lower the floor first");
             }
         }
         proposals.remove(propose.proposalId());
@@ -188,7 +212,7 @@
                         String.join("", pieces)));
         while (versions.size() > MAX_VERSIONS) {
             versions.remove(versions.keySet().stream()
-                    .filter(v -> v != active && v != pending)
+                    .filter(number -> number != active && number != pending)
                     .findFirst()
                     .orElseThrow());
         }
@@ -197,33 +221,33 @@
 
     private Result activate(RegistryCommand.Activate activate) {
         if (activate.version() != pending || pending == 0) {
-            return new Result(active, "version " + activate.version() + " does not wait");
+            return new Result(active, "version " + activate.version() + " is not pending");
         }
         if (active != 0) {
-            versions.computeIfPresent(active, (n, v) -> v.withState(State.PAST));
+            versions.computeIfPresent(active, (number, version) -> version.withState(State.PAST));
         }
         active = pending;
         pending = 0;
-        Version now = versions.get(active).withState(State.ACTED_ON);
-        versions.put(active, now);
-        // Whoever has not confirmed this version may be cut off, and act on the floors of any before.
+        Version activated = versions.get(active).withState(State.ACTED_ON);
+        versions.put(active, activated);
+        // A gateway that has not confirmed this version may be disconnected and apply the floors of an earlier one.
         if (activate.confirmedNamesHash() != 0 && activate.confirmedNamesHash() == hash(gatewayNames)) {
             reservedFloors.clear();
         }
-        now.limits().forEach(figure -> reservedFloors.merge(figure.plan(), figure.floor(), Math::max));
+        activated.limits().forEach(limit -> reservedFloors.merge(limit.plan(), limit.floor(), Math::max));
         return new Result(active, "");
     }
 
-    /** A number of a set of names, never 0. */
-    static long hash(java.util.SortedSet<String> of) {
-        long print = 1;
-        for (String name : of) {
+    /** Hashes a set of names; never 0. */
+    static long hash(SortedSet<String> names) {
+        long hash = 1;
+        for (String name : names) {
             for (int i = 0; i < name.length(); i++) {
-                print = print * 1_000_003 + name.charAt(i);
+                hash = hash * 1_000_003 + name.charAt(i);
             }
-            print = print * 31 + 7;
+            hash = hash * 31 + 7;
         }
-        return print | 1L << 62;
+        return hash | 1L << 62;
     }
 
     long gatewayNamesHash() {
@@ -232,27 +256,27 @@
 
     private Result withdraw(RegistryCommand.Withdraw withdraw) {
         if (withdraw.version() != pending || pending == 0) {
-            return new Result(newest, "version " + withdraw.version() + " does not wait");
+            return new Result(newest, "version " + withdraw.version() + " is not pending");
         }
-        Version old = versions.get(pending);
+        Version withdrawn = versions.get(pending);
         versions.put(
                 pending,
                 new Version(
-                        old.number(),
-                        old.base(),
-                        old.author(),
-                        old.reason() + "; withdrawn by " + withdraw.author() + ": " + withdraw.reason(),
-                        old.wallMs(),
+                        withdrawn.number(),
+                        withdrawn.base(),
+                        withdrawn.author(),
+                        withdrawn.reason() + "; withdrawn by " + withdraw.author() + ": " + withdraw.reason(),
+                        withdrawn.wallMs(),
                         State.WITHDRAWN,
-                        old.limits(),
-                        old.text()));
+                        withdrawn.limits(),
+                        withdrawn.text()));
         pending = 0;
         return new Result(newest, "");
     }
 
-    // ---- Whole, for snapshots ----
+    // ---- Snapshots ----
 
-    /** Everything, as a value that another book can begin with. */
+    /** The complete state of a registry. */
     public record Snapshot(
             long active,
             long pending,
@@ -262,9 +286,10 @@
             Map<String, Long> reservedFloors,
             Map<Long, List<String>> proposals) {}
 
+    /** Copies the state. */
     public Snapshot snapshot() {
-        Map<Long, List<String>> under = new LinkedHashMap<>();
-        proposals.forEach((id, pieces) -> under.put(id, Arrays.asList(pieces.clone())));
+        Map<Long, List<String>> proposalPieces = new LinkedHashMap<>();
+        proposals.forEach((id, pieces) -> proposalPieces.put(id, Arrays.asList(pieces.clone())));
         return new Snapshot(
                 active,
                 pending,
@@ -272,21 +297,21 @@
                 new ArrayList<>(versions.values()),
                 new ArrayList<>(gatewayNames),
                 new TreeMap<>(reservedFloors),
-                under);
+                proposalPieces);
     }
 
-    /** Takes another book's state in the place of this one's. */
-    public void restore(Snapshot whole) {
+    /** Replaces this registry's state. */
+    public void restore(Snapshot snapshot) {
         versions.clear();
-        whole.versions().forEach(version -> versions.put(version.number(), version));
+        snapshot.versions().forEach(version -> versions.put(version.number(), version));
         gatewayNames.clear();
-        gatewayNames.addAll(whole.gatewayNames());
+        gatewayNames.addAll(snapshot.gatewayNames());
         reservedFloors.clear();
-        reservedFloors.putAll(whole.reservedFloors());
+        reservedFloors.putAll(snapshot.reservedFloors());
         proposals.clear();
-        whole.proposals().forEach((id, pieces) -> proposals.put(id, pieces.toArray(new String[0])));
-        active = whole.active();
-        pending = whole.pending();
-        newest = whole.newest();
+        snapshot.proposals().forEach((id, pieces) -> proposals.put(id, pieces.toArray(new String[0])));
+        active = snapshot.active();
+        pending = snapshot.pending();
+        newest = snapshot.newest();
     }
 }
--- a/src/main/java/petrelstand/agreement/Rules.java
+++ b/src/main/java/petrelstand/agreement/Rules.java
@@ -7,15 +7,15 @@
 import java.util.TreeMap;
 
 /**
- * A set of rules, as every gateway that acts on one version has it. Two sets contradict each other where a plan has
- * different limits, a module is open in one and not in the other (or to other credentials), a node is listed by one and
- * removed or elsewhere by the other, or a switch stands differently.
+ * The rules of one version. Two sets of rules conflict if a plan has different limits, a module is open in only one of
+ * them or to other credentials, a node is listed by one and removed or at another address in the other, or a switch has
+ * different values.
  *
- * @param gateways among how many each limit is divided evenly
+ * @param gateways the number of gateways that share each limit evenly
  * @param limits by plan
  * @param modules of the rsync front, by name
  * @param nodes that operators list, by name
- * @param switches what is switched on, by name
+ * @param switches by name; true is on
  */
 public record Rules(
         int gateways,
@@ -23,15 +23,15 @@
         Map<String, Module> modules,
         Map<String, Node> nodes,
         Map<String, Boolean> switches) {
-    /** No version: nothing is ruled. */
+    /** The rules before the first version: they limit nothing. */
     public static final Rules NONE = new Rules(1, Map.of(), Map.of(), Map.of(), Map.of());
 
     /**
      * What all gateways together admit for a plan.
      *
-     * @param units a second
-     * @param floor units a second that gateways which are cut off may go on admitting together; no later version may be
-     *     below it until every gateway has confirmed a lower one
+     * @param units units a second
+     * @param floor units a second that gateways without a lease may go on admitting together; no later version may set
+     *     a lower limit until every gateway has confirmed a lower floor
      */
     public record Limit(long units, long floor) {}
 
@@ -56,66 +56,66 @@
         return Collections.unmodifiableMap(new TreeMap<>(map));
     }
 
-    /**
-     * What may be acted on without a lease: each limit is its floor, what is open stays open and nothing opens, no node
-     * is dropped.
-     */
+    /** The rules that a gateway may apply without a lease: these with each limit lowered to its floor. */
     public Rules toFallback() {
         Map<String, Limit> floors = new TreeMap<>();
         limits.forEach((plan, limit) -> floors.put(plan, new Limit(limit.floor(), limit.floor())));
         return new Rules(gateways, floors, modules, nodes, switches);
     }
 
-    /** The stricter of two in each place: the lower limit, open only where both are, nodes that both list. */
+    /**
+     * The strictest combination of both: the lower limits, and only those modules, nodes and switches of these rules
+     * that the other rules allow as well.
+     */
     public Rules restrictedBy(Rules other) {
-        Map<String, Limit> less = new TreeMap<>(limits);
-        other.limits.forEach((plan, limit) -> less.merge(
+        Map<String, Limit> lowerLimits = new TreeMap<>(limits);
+        other.limits.forEach((plan, limit) -> lowerLimits.merge(
                 plan, limit, (a, b) -> new Limit(Math.min(a.units(), b.units()), Math.min(a.floor(), b.floor()))));
-        Map<String, Module> both = new TreeMap<>();
+        Map<String, Module> commonModules = new TreeMap<>();
         modules.forEach((name, module) -> {
-            Module there = other.modules.get(name);
+            Module otherModule = other.modules.get(name);
             List<String> allowed = new ArrayList<>(module.credentials());
-            allowed.retainAll(there == null ? List.of() : there.credentials());
-            both.put(name, new Module(module.open() && there != null && there.open(), allowed));
+            allowed.retainAll(otherModule == null ? List.of() : otherModule.credentials());
+            commonModules.put(name, new Module(module.open() && otherModule != null && otherModule.open(), allowed));
         });
-        Map<String, Node> listed = new TreeMap<>();
+        Map<String, Node> commonNodes = new TreeMap<>();
         nodes.forEach((name, node) -> {
-            Node there = other.nodes.get(name);
-            boolean same = there != null && there.address().equals(node.address());
-            listed.put(name, new Node(node.address(), node.removed() || !same || there.removed()));
+            Node otherNode = other.nodes.get(name);
+            boolean sameAddress = otherNode != null && otherNode.address().equals(node.address());
+            commonNodes.put(name, new Node(node.address(), node.removed() || !sameAddress || otherNode.removed()));
         });
-        Map<String, Boolean> on = new TreeMap<>();
-        switches.forEach((name, set) -> on.put(name, set && other.switches.getOrDefault(name, false)));
-        return new Rules(Math.max(gateways, other.gateways), less, both, listed, on);
+        Map<String, Boolean> commonSwitches = new TreeMap<>();
+        switches.forEach((name, on) -> commonSwitches.put(name, on && other.switches.getOrDefault(name, false)));
+        return new Rules(Math.max(gateways, other.gateways), lowerLimits, commonModules, commonNodes, commonSwitches);
     }
 
-    /** Where two sets contradict each other, a line each. */
+    /** The conflicts with other rules, as texts of a kind and a name such as {@code limit basic}. */
     public List<String> conflictsWith(Rules other) {
-        List<String> found = new ArrayList<>();
-        for (String plan : keys(limits, other.limits)) {
+        List<String> conflicts = new ArrayList<>();
+        for (String plan : unionOfKeys(limits, other.limits)) {
             Limit a = limits.get(plan);
             Limit b = other.limits.get(plan);
             if (a == null || b == null || a.units() != b.units() || gateways != other.gateways) {
-                found.add("limit " + plan);
+                conflicts.add("limit " + plan);
             }
         }
-        differ("module", modules, other.modules, found);
-        differ("node", nodes, other.nodes, found);
-        differ("switch", switches, other.switches, found);
-        return found;
+        addDifferences("module", modules, other.modules, conflicts);
+        addDifferences("node", nodes, other.nodes, conflicts);
+        addDifferences("switch", switches, other.switches, conflicts);
+        return conflicts;
     }
 
-    private static <V> void differ(String kind, Map<String, V> a, Map<String, V> b, List<String> found) {
-        for (String key : keys(a, b)) {
+    private static <V> void addDifferences(String kind, Map<String, V> a, Map<String, V> b, List<String> conflicts) {
+        for (String key : unionOfKeys(a, b)) {
             if (!a.containsKey(key) || !a.get(key).equals(b.get(key))) {
-                found.add(kind + " " + key);
+                conflicts.add(kind + " " + key);
             }
         }
     }
 
-    private static <V> Iterable<String> keys(Map<String, V> a, Map<String, V> b) {
-        Map<String, V> all = new TreeMap<>(a);
-        all.putAll(b);
-        return all.keySet();
+    private static <V> Iterable<String> unionOfKeys(Map<String, V> a, Map<String, V> b) {
+        Map<String, V> union = new TreeMap<>(a);
+        union.putAll(b);
+        return union.keySet();
     }
 }
--- a/src/main/java/petrelstand/agreement/RulesFileProposer.java
+++ b/src/main/java/petrelstand/agreement/RulesFileProposer.java
@@ -4,114 +4,116 @@
 import java.util.SplittableRandom;
 
 /**
- * Proposes what an operator wrote into this gateway's file. Every gateway of a fleet may be given the same file at
- * about the same time: whoever comes first proposes it, the others find it agreed on. Where the newest version is
- * neither the one that the file was last in step with nor the file's own text, nothing is overwritten: a line says so.
- * Deterministic.
+ * Proposes the rules that an operator wrote into this gateway's file. All gateways of a fleet may get the same file at
+ * about the same time: the first one proposes it, and the others find it agreed. If another text has become the newest
+ * version since the file changed, nothing is proposed and a log line says so. Deterministic; not thread-safe.
  */
 public final class RulesFileProposer {
-    static final long AGAIN_US = 200_000;
-    /** Without an answer for so long a proposal is given up. */
-    static final long PATIENCE_US = 30_000_000;
-    /** Others may propose the same file in this moment: each waits a part of this time, drawn, before it does. */
-    static final long SPREAD_US = 1_000_000;
+    static final long RETRY_US = 200_000;
+    /** A proposal that has no answer after this time is given up. */
+    static final long GIVE_UP_US = 30_000_000;
+    /** Maximum random delay before the first attempt, so that gateways with the same file don't propose it at once. */
+    static final long MAX_START_DELAY_US = 1_000_000;
 
-    /** What the process does for this module. */
+    /** What the proposer needs from its process. */
     public interface Actions {
-        /** Sends to a voter, or to whoever leads where the name is empty. */
-        void send(String voter, RulesMessage talk);
+        /** Sends a message, which may be lost; to any voter if the name is empty. */
+        void send(String voter, RulesMessage message);
 
         void log(String line);
     }
 
-    private final String who;
-    private final String why;
+    private final String author;
+    private final String reason;
     private final LeaseHolder holder;
     private final SplittableRandom random;
-    private final Actions act;
+    private final Actions actions;
     private String text;
     private List<String> pieces;
     private long id;
     private long base;
-    private int next;
+    private int nextPiece;
     private long wallMs;
-    private long beginUs;
-    private long askedUs;
+    private long startUs;
+    private long lastSentUs;
 
-    /** For a file; {@code why} is kept with each version. */
-    public RulesFileProposer(String who, String why, LeaseHolder holder, long seed, Actions act) {
-        this.who = who;
-        this.why = why;
+    /** Creates a proposer; {@code author} and {@code reason} are stored with each version that it proposes. */
+    public RulesFileProposer(String author, String reason, LeaseHolder holder, long seed, Actions actions) {
+        this.author = author;
+        this.reason = reason;
         this.holder = holder;
         this.random = new SplittableRandom(seed);
-        this.act = act;
+        this.actions = actions;
     }
 
-    /** The file has another text, one that loads; {@code wallMs} is told to people. */
-    public void fileChanged(long nowUs, String to, long wall) {
-        text = to;
-        pieces = RegistryCommand.splitIntoPieces(to);
+    /** Begins to propose the file's new text, which must be loadable; {@code newWallMs} is the wall-clock time. */
+    public void fileChanged(long nowUs, String newText, long newWallMs) {
+        text = newText;
+        pieces = RegistryCommand.splitIntoPieces(newText);
         id = random.nextLong();
-        base = newest();
-        next = 0;
-        wallMs = wall;
-        beginUs = nowUs + random.nextLong(SPREAD_US);
-        askedUs = Long.MIN_VALUE / 2;
+        base = newestVersion();
+        nextPiece = 0;
+        wallMs = newWallMs;
+        startUs = nowUs + random.nextLong(MAX_START_DELAY_US);
+        lastSentUs = Long.MIN_VALUE / 2;
     }
 
-    private long newest() {
+    private long newestVersion() {
         return Math.max(holder.knownVersions()[0], holder.knownVersions()[1]);
     }
 
-    /** Whether a text is on its way. */
+    /** Whether a text is being proposed. */
     public boolean hasPendingProposal() {
         return text != null;
     }
 
-    /** What is due by now. */
+    /** Sends or gives up what is due; to be called regularly. */
     public void tick(long nowUs) {
-        if (text == null || nowUs < beginUs) {
+        if (text == null || nowUs < startUs) {
             return;
         }
-        long newest = newest();
+        long newest = newestVersion();
         if (text.equals(holder.text(newest))) {
-            act.log("the file's rules are version " + newest);
+            actions.log("the file's rules are version " + newest);
             text = null;
-        } else if (nowUs - beginUs >= PATIENCE_US) {
-            act.log("nobody who leads took the file's rules in " + PATIENCE_US / 1_000_000
+        } else if (nowUs - startUs >= GIVE_UP_US) {
+            actions.log("the file's rules were not proposed: no leader answered in " + GIVE_UP_US / 1_000_000
                     + " s; change the file again, or use 'rules propose'");
             text = null;
         } else if (newest != base && holder.text(newest) != null) {
-            act.log("the file was changed on version " + base + ", and the newest is " + newest
-                    + " with another text: not proposed; look with 'rules diff', then use 'rules propose'");
+            actions.log("the file's rules were not proposed: the file was changed on version " + base
+                    + ", and the newest version " + newest
+                    + " has another text; compare them with 'rules diff', then use 'rules propose'");
             text = null;
-        } else if (nowUs - askedUs >= AGAIN_US) {
-            ask(nowUs);
+        } else if (nowUs - lastSentUs >= RETRY_US) {
+            sendNextPiece(nowUs);
         }
     }
 
-    private void ask(long nowUs) {
-        askedUs = nowUs;
-        act.send(
+    private void sendNextPiece(long nowUs) {
+        lastSentUs = nowUs;
+        actions.send(
                 holder.leader(),
-                new RulesMessage.ProposalPiece(id, base, who, why, wallMs, next, pieces.size(), pieces.get(next)));
+                new RulesMessage.ProposalPiece(
+                        id, base, author, reason, wallMs, nextPiece, pieces.size(), pieces.get(nextPiece)));
     }
 
-    /** An answer to an offer, this one's or another's. */
-    public void receive(long nowUs, RulesMessage.RequestAnswer taken) {
-        if (text == null || taken.id() != id) {
+    /** Handles an answer; one to another request is ignored. */
+    public void receive(long nowUs, RulesMessage.RequestAnswer answer) {
+        if (text == null || answer.id() != id) {
             return;
         }
-        if (taken.nextPiece() >= 0) {
-            next = Math.min(taken.nextPiece(), pieces.size() - 1);
-            ask(nowUs);
-        } else if (taken.error().isEmpty()) {
-            act.log("the file's rules were proposed and are version " + taken.version());
+        if (answer.nextPiece() >= 0) {
+            nextPiece = Math.min(answer.nextPiece(), pieces.size() - 1);
+            sendNextPiece(nowUs);
+        } else if (answer.error().isEmpty()) {
+            actions.log("the file's rules were proposed and are version " + answer.version());
             text = null;
-        } else if (!taken.error().startsWith("it is based on") && !taken.error().contains("still on its way")) {
-            act.log("the file's rules were refused: " + taken.error());
+        } else if (!answer.error().startsWith(RuleRegistry.STALE_BASE)
+                && !answer.error().contains(RuleRegistry.STILL_PENDING)) {
+            actions.log("the file's rules were refused: " + answer.error());
             text = null;
         }
-        // Else another was faster: its text will come, and tells whether it is the same.
+        // Otherwise another proposal came first; tick() compares its text with the file's once it has arrived.
     }
 }
--- a/src/main/java/petrelstand/agreement/RulesMessage.java
+++ b/src/main/java/petrelstand/agreement/RulesMessage.java
@@ -1,52 +1,75 @@
 package petrelstand.agreement;
 
-/** What gateways and voters say to each other about leases, texts and proposals. */
+/** A message between gateways, voters and operator tools about leases, rules texts and proposals. */
 public sealed interface RulesMessage {
-    /** Characters of a line that says why. */
+    /** Maximum length in characters of an error text in a message. */
     int MAX_LINE_CHARS = 300;
 
     /**
-     * Asks for a lease.
+     * Asks the leader for a lease on the active version.
      *
-     * @param life of the process: a restarted one's former lease may still run
-     * @param acting the version that it acts on
-     * @param prepared the newest version that it has whole and could load
-     * @param refuses why it can't load the version that waits, or empty
+     * @param nonce random number that the answer repeats
+     * @param instanceId random number of the sender's process; the lease of an earlier process of the same name may
+     *     still run
+     * @param actingVersion the version that the sender applies under a lease, or 0
+     * @param preparedVersion the newest version that the sender has received completely and loaded
+     * @param loadError why the sender can't load the pending version, or empty
      */
     record LeaseRequest(long nonce, long instanceId, long actingVersion, long preparedVersion, String loadError)
             implements RulesMessage {}
 
-    /** The answer: what is acted on, what waits, and whether the asker may act on the former for a lease. */
+    /**
+     * The leader's answer to a {@link LeaseRequest}.
+     *
+     * @param pendingVersion the version that waits for confirmations, or 0
+     * @param granted whether the sender of the request has a lease on the active version
+     */
     record LeaseAnswer(long nonce, long term, long activeVersion, long pendingVersion, boolean granted)
             implements RulesMessage {}
 
-    /** The answer of one that does not lead; the leader's name, or empty. */
+    /**
+     * The answer of a voter that does not lead.
+     *
+     * @param leader the leader's name, or empty if none is known
+     */
     record NotLeader(long nonce, String leader) implements RulesMessage {}
 
-    /** Versions have changed: ask at once. */
+    /** Tells a gateway that the versions changed, so that it renews its lease at once. */
     record VersionsChanged(long activeVersion, long pendingVersion) implements RulesMessage {}
 
-    /** Asks for a piece of a version's text. */
+    /** Asks a voter for one piece of a version's text. */
     record FetchPiece(long nonce, long version, int pieceIndex) implements RulesMessage {}
 
-    /** A piece; of is 0 where the version is not known. */
+    /** The answer to a {@link FetchPiece}; {@code pieceCount} is 0 if the version is unknown. */
     record TextPiece(long nonce, long version, int pieceIndex, int pieceCount, String text) implements RulesMessage {}
 
-    /** A piece of a proposal; the last one proposes. */
+    /** One piece of a proposed text; the leader proposes the text once it has every piece. */
     record ProposalPiece(
             long id, long base, String author, String reason, long wallMs, int pieceIndex, int pieceCount, String text)
             implements RulesMessage {}
 
-    /** An order to the leader: {@code withdraw} a version, {@code forget} a gateway. */
+    /**
+     * An operator's request to the leader.
+     *
+     * @param action {@code withdraw} a version, {@code forget} a gateway, {@code add-voter} or {@code remove-voter}
+     * @param version the version of {@code withdraw}
+     * @param name the gateway or voter of the other actions
+     */
     record AdminRequest(long id, String action, long version, String name, String author, String reason)
             implements RulesMessage {}
 
-    /** A voter that starts asks how far the others have heard it. */
+    /** Sent by a starting voter: asks which generation of its files the receiver has heard of. */
     record GenerationQuery(long nonce) implements RulesMessage {}
 
-    /** The answer: the highest generation of the asker's store that was heard, 0 for none. */
+    /** The answer: the highest generation that was heard of the sender's files, or 0 for none. */
     record GenerationAnswer(long nonce, long generation) implements RulesMessage {}
 
-    /** The answer to an offer or an order: the next piece that is wanted, or -1 at the end with version or fault. */
+    /**
+     * The answer to a {@link ProposalPiece} or an {@link AdminRequest}.
+     *
+     * @param nextPiece the index of the piece that is wanted next, or -1 if the request is finished
+     * @param version the resulting version of a finished request
+     * @param error why a finished request was refused, or empty
+     */
     record RequestAnswer(long id, int nextPiece, long version, String error) implements RulesMessage {}
 }
--- a/src/main/java/petrelstand/agreement/StaleFolderCheck.java
+++ b/src/main/java/petrelstand/agreement/StaleFolderCheck.java
@@ -4,13 +4,13 @@
 import java.util.Map;
 
 /**
- * Whether a voter that starts may vote: its folder may be an old copy, and then it would forget votes that it gave.
- * Every message of a voter carries how often its store was written; the others remember the highest. It votes once so
- * many of them have answered that any majority with one of its votes in it has, or once the patience is over, with
- * whoever answered; never where one of them has heard it further on. Deterministic.
+ * Decides whether a starting voter may vote. Its folder may be an old copy that lacks votes it has given. Each message
+ * of a voter carries the generation of its files, a count of its writes, and the others remember the highest one. The
+ * voter votes once enough others have answered that every majority which includes it is represented, or once the
+ * timeout is over; it never votes if one of the others has heard of a later generation. Deterministic; not thread-safe.
  */
 public final class StaleFolderCheck {
-    /** What is to be done. */
+    /** The decision so far. */
     public enum Verdict {
         WAIT,
         VOTE,
@@ -19,47 +19,51 @@
 
     private final int voters;
     private final long generation;
-    private final long untilUs;
-    private final Map<String, Long> recordAnswer = new HashMap<>();
+    private final long deadlineUs;
+    private final Map<String, Long> heardGenerations = new HashMap<>();
 
     /**
-     * A voter that starts.
+     * Begins the check.
      *
-     * @param voters all, this one among them
-     * @param generation how often its folder says that it was written
-     * @param patienceUs how long it waits for the others
+     * @param voters the number of voters, with this one
+     * @param generation the generation of this voter's files
+     * @param timeoutUs how long to wait for the others
      */
-    public StaleFolderCheck(long nowUs, int voters, long generation, long patienceUs) {
+    public StaleFolderCheck(long nowUs, int voters, long generation, long timeoutUs) {
         this.voters = voters;
         this.generation = generation;
-        this.untilUs = nowUs + patienceUs;
+        this.deadlineUs = nowUs + timeoutUs;
     }
 
-    /** Another voter has heard this one with a generation, 0 where never. */
-    public void recordAnswer(String voter, long of) {
-        recordAnswer.merge(voter, of, Math::max);
+    /** Records the generation that another voter has heard of this one's files, or 0 for none. */
+    public void recordAnswer(String voter, long heardGeneration) {
+        heardGenerations.merge(voter, heardGeneration, Math::max);
     }
 
-    /** The others whose answers are enough: all but those that a majority can do without. */
+    /** The number of other voters whose answers suffice: one more than a majority can do without. */
     public int requiredAnswers() {
         return voters - (voters / 2 + 1) + 1;
     }
 
     public Verdict verdict(long nowUs) {
-        if (recordAnswer.values().stream().anyMatch(of -> of > generation)) {
+        if (heardGenerations.values().stream().anyMatch(heard -> heard > generation)) {
             return Verdict.REFUSE;
         }
-        return recordAnswer.size() >= Math.min(requiredAnswers(), voters - 1) || nowUs >= untilUs
+        return heardGenerations.size() >= Math.min(requiredAnswers(), voters - 1) || nowUs >= deadlineUs
                 ? Verdict.VOTE
                 : Verdict.WAIT;
     }
 
-    /** The highest generation that another has heard, and how many have answered. */
+    /** The highest generation that another voter has heard of, or 0. */
     public long highestGeneration() {
-        return recordAnswer.values().stream().mapToLong(Long::longValue).max().orElse(0);
+        return heardGenerations.values().stream()
+                .mapToLong(Long::longValue)
+                .max()
+                .orElse(0);
     }
 
+    /** The number of other voters that have answered. */
     public int answerCount() {
-        return recordAnswer.size();
+        return heardGenerations.size();
     }
 }
--- a/src/main/java/petrelstand/consensus/Envelope.java
+++ b/src/main/java/petrelstand/consensus/Envelope.java
@@ -4,11 +4,13 @@
 import petrelstand.agreement.RulesMessage;
 
 /**
- * What goes from one gateway to another about rules: a voters' message or a talk, one of them null.
+ * A message about rules between two gateways, or between an operator's tool and a gateway. Exactly one of
+ * {@code raftMessage} and {@code rulesMessage} is not null.
  *
- * @param generation of the sender's store: how often it has written, so that an old copy of a folder is told; 0 where
- *     it is no voter
- * @param epoch of the sender's votes: voters of different ones do not hear each other
+ * @param senderAddress where answers to a sender that is not in the fleet go
+ * @param generation of the sender's files, a count of its writes by which an old copy of its folder is detected; 0 if
+ *     the sender is not a voter
+ * @param epoch of the sender's versions; voters ignore consensus messages of another epoch
  */
 public record Envelope(
         String fleet,
--- a/src/main/java/petrelstand/consensus/QuorumRecovery.java
+++ b/src/main/java/petrelstand/consensus/QuorumRecovery.java
@@ -8,15 +8,16 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Map;
 import java.util.Set;
 import petrelstand.agreement.RegistryCommand;
 import petrelstand.agreement.RuleRegistry;
 
 /**
- * Makes one voter's folder the beginning of a new epoch, after a majority of voters was lost for ever. Its book becomes
- * a snapshot that this voter alone holds; others are added to it afterwards. The version that was acted on gets a
- * number of the new epoch, above all of the one before, so that no gateway that has heard of it goes back to the old
- * voters. The epoch has a drawn part: two recoveries that know nothing of each other do not pass for one.
+ * Begins a new epoch from one voter's folder after a majority of the voters is lost for good. The registry becomes a
+ * snapshot with this voter as the only one; others are added afterwards. The active version gets a number of the new
+ * epoch, higher than all numbers of the old one, so that no gateway that knows it returns to the old voters. A random
+ * tag in the epoch tells two independent recoveries apart.
  */
 public final class QuorumRecovery {
     private final RaftFiles files;
@@ -26,57 +27,58 @@
     private final int term;
     private final long index;
 
-    /** Looks at a folder that no process has; writes nothing. */
+    /** Reads the state of a stopped voter; writes nothing. */
     public QuorumRecovery(RaftFiles files) throws IOException {
         this.files = files;
         RestoredRaftState state = files.restoredState();
         if (state == null) {
-            throw new IOException("the folder holds no votes");
+            throw new IOException("the folder holds no state of a voter");
         }
         voterName = String.valueOf(
                 state.getLocalEndpointPersistentState().getLocalEndpoint().getId());
-        long at = 0;
-        int last = state.getTermPersistentState().getTerm();
+        long lastIndex = 0;
+        int lastTerm = state.getTermPersistentState().getTerm();
         RaftGroupMembersView members = state.getInitialGroupMembers();
         if (state.getSnapshotEntry() != null) {
             List<Object> chunks = new ArrayList<>();
             for (Object chunk : (List<?>) state.getSnapshotEntry().getOperation()) {
                 chunks.add(((SnapshotChunk) chunk).getOperation());
             }
-            registry.restore(Wire.whole(chunks));
-            at = state.getSnapshotEntry().getIndex();
+            registry.restore(Wire.decodeSnapshot(chunks));
+            lastIndex = state.getSnapshotEntry().getIndex();
             members = state.getSnapshotEntry().getGroupMembersView();
         }
-        // What is in the log may have been acknowledged by a majority with this voter in it, and is taken whole.
+        // Any entry of the log may have been acknowledged by a majority that included this voter, so all are applied.
         for (LogEntry entry : state.getLogEntries()) {
             if (entry.getOperation() instanceof RegistryCommand command) {
                 registry.apply(command);
             }
-            at = Math.max(at, entry.getIndex());
-            last = Math.max(last, entry.getTerm());
+            lastIndex = Math.max(lastIndex, entry.getIndex());
+            lastTerm = Math.max(lastTerm, entry.getTerm());
         }
         for (RaftEndpoint voter : members.getVotingMembers()) {
             voters.add(String.valueOf(voter.getId()));
         }
-        term = last;
-        index = at;
+        term = lastTerm;
+        index = lastIndex;
     }
 
-    /** Whose folder it is. */
+    /** The name of the voter whose folder this is. */
     public String voterName() {
         return voterName;
     }
 
-    /** The voters as this folder first knew them, or since its last snapshot. */
+    /** The voters as of the folder's last snapshot, or as of its first start if it has none. */
     public List<String> voters() {
         return List.copyOf(voters);
     }
 
+    /** The registry with all of the folder's log applied. */
     public RuleRegistry registry() {
         return registry;
     }
 
-    /** A word that names what was looked at; to be given back, so that nobody recovers another folder than he saw. */
+    /** A hash of the state, by which an operator confirms that the folder to recover is the one that was inspected. */
     public String fingerprint() {
         return String.format(
                 "%08x",
@@ -84,12 +86,15 @@
     }
 
     /**
-     * Writes the new beginning; {@code drawn} is a random number. Returns the version that is acted on from then on.
+     * Writes the start of the new epoch over the folder's state.
+     *
+     * @param randomTag a random number
+     * @return the first version of the new epoch, which is active if the folder had an active version
      */
-    public long write(String who, String why, long wallMs, int drawn) throws IOException {
+    public long write(String author, String reason, long wallMs, int randomTag) throws IOException {
         long epoch = (RuleRegistry.epoch(registry.newest()) / RuleRegistry.TAGS_PER_EPOCH_NUMBER + 1)
                         * RuleRegistry.TAGS_PER_EPOCH_NUMBER
-                + Math.floorMod(drawn, RuleRegistry.TAGS_PER_EPOCH_NUMBER);
+                + Math.floorMod(randomTag, RuleRegistry.TAGS_PER_EPOCH_NUMBER);
         RuleRegistry.Snapshot old = registry.snapshot();
         long number = epoch * RuleRegistry.VERSIONS_PER_EPOCH;
         List<RuleRegistry.Version> versions = new ArrayList<>();
@@ -98,26 +103,26 @@
                 versions.add(new RuleRegistry.Version(
                         number,
                         version.number(),
-                        who,
-                        "recovered: " + why,
+                        author,
+                        "recovered: " + reason,
                         wallMs,
                         RuleRegistry.State.ACTED_ON,
                         version.limits(),
                         version.text()));
             }
         }
-        boolean acted = !versions.isEmpty();
-        RuleRegistry.Snapshot fresh = new RuleRegistry.Snapshot(
-                acted ? number : 0, 0, number, versions, old.gatewayNames(), old.reservedFloors(), java.util.Map.of());
-        Set<RaftEndpoint> alone = Set.of(new VoterEndpoint(voterName));
-        RaftGroupMembersView view = Wire.MODEL
+        boolean hasActive = !versions.isEmpty();
+        RuleRegistry.Snapshot recovered = new RuleRegistry.Snapshot(
+                hasActive ? number : 0, 0, number, versions, old.gatewayNames(), old.reservedFloors(), Map.of());
+        Set<RaftEndpoint> onlyThisVoter = Set.of(new VoterEndpoint(voterName));
+        RaftGroupMembersView members = Wire.MODEL
                 .createRaftGroupMembersViewBuilder()
                 .setLogIndex(0)
-                .setMembers(alone)
-                .setVotingMembers(alone)
+                .setMembers(onlyThisVoter)
+                .setVotingMembers(onlyThisVoter)
                 .build();
-        List<byte[]> chunks = Wire.chunks(fresh);
-        files.reset(voterName, view, term + 1, index + 1, chunks);
+        List<byte[]> chunks = Wire.encodeSnapshot(recovered);
+        files.reset(voterName, members, term + 1, index + 1, chunks);
         return number;
     }
 }
--- a/src/main/java/petrelstand/consensus/RaftFiles.java
+++ b/src/main/java/petrelstand/consensus/RaftFiles.java
@@ -24,35 +24,37 @@
 import petrelstand.store.StateFault;
 
 /**
- * A voter's files. Each write is one small file with the next number, synced before the voter says anything that rests
- * on it; once there are {@link #MOST_FILES}, one file takes their place. A last file that is torn was never acted on
- * and is left out; a fault in any other, or a gap in the numbers, is refused: a voter that forgot votes twice. The last
- * number is the store's generation: it tells an old copy of a folder from the one that others have heard.
+ * A voter's files. Each flush writes a small numbered file and syncs it before the voter sends anything that depends on
+ * it. After {@link #MAX_FILES} files a base file with the complete state replaces them. A truncated last file was never
+ * acted on and is deleted; damage in any other file, or a missing number, is an error, since a voter that lost a vote
+ * could vote twice. The highest number is the generation, by which an old copy of the folder is detected.
  */
 public final class RaftFiles implements RaftStore {
-    /** Files until they are put together. */
-    static final int MOST_FILES = 64;
+    /** Files that are written before a base file replaces them. */
+    static final int MAX_FILES = 64;
 
-    private static final int MOST_BYTES = 8 << 20;
-    private static final int MOST_NAMES = 10_000;
+    private static final int MAX_FILE_BYTES = 8 << 20;
+    private static final int MAX_FOLDER_ENTRIES = 10_000;
+    private static final int MAX_RECORDS = 1 << 20;
     private static final byte[] MAGIC = "PSVOTE1\n".getBytes(StandardCharsets.US_ASCII);
-    private static final int TAIL = 4;
+    private static final int CHECKSUM_BYTES = 4;
+    // Kinds of records in a file.
     private static final int ENDPOINT = 1,
             MEMBERS = 2,
             TERM = 3,
             ENTRY = 4,
             CHUNK = 5,
-            CUT = 6,
-            FORGET = 7,
-            DROP = 8,
-            WHOLE = 9;
+            TRUNCATE_FROM = 6,
+            TRUNCATE_UNTIL = 7,
+            DELETE_SNAPSHOT = 8,
+            BASE = 9;
 
     private final Folder folder;
     private final Consumer<String> log;
-    private final List<Wire.Body> pending = new ArrayList<>();
+    private final List<Wire.ArrayBody> unflushedRecords = new ArrayList<>();
     private long generation;
-    private int files;
-    // What the files say, so that they can be put together.
+    private int fileCount;
+    // The state that the files hold, from which a base file is written.
     private String endpoint;
     private boolean voting;
     private RaftGroupMembersView members;
@@ -61,23 +63,29 @@
     private final TreeMap<Long, LogEntry> entries = new TreeMap<>();
     private final TreeMap<Long, TreeMap<Integer, SnapshotChunk>> chunks = new TreeMap<>();
 
-    /** Takes a folder for this process alone and reads it; a fault is one line that names the file. */
+    /**
+     * Locks and reads a folder.
+     *
+     * @param log takes a line for the operator
+     * @throws IOException if the folder can't be read or another process has locked it
+     * @throws StateFault if a file is damaged or missing; the message names the file
+     */
     public RaftFiles(Folder folder, Consumer<String> log) throws IOException, StateFault {
         this.folder = folder;
         this.log = log;
         if (!folder.lock()) {
-            throw new IOException("another process has the folder");
+            throw new IOException("the folder is locked by another process");
         }
         read();
     }
 
-    private static String name(long number) {
+    private static String fileName(long number) {
         return String.format("vote-%012d", number);
     }
 
     private void read() throws IOException, StateFault {
         List<Long> numbers = new ArrayList<>();
-        for (String name : folder.list(MOST_NAMES)) {
+        for (String name : folder.list(MAX_FOLDER_ENTRIES)) {
             if (name.matches("vote-[0-9]{12}")) {
                 numbers.add(Long.parseLong(name.substring("vote-".length())));
             }
@@ -85,159 +93,159 @@
         numbers.sort(null);
         List<byte[]> contents = new ArrayList<>();
         for (long number : numbers) {
-            contents.add(folder.read(name(number), MOST_BYTES));
+            contents.add(folder.read(fileName(number), MAX_FILE_BYTES));
         }
-        // What a file that is whole in itself stands for is on its way out, and may be there in part.
+        // Files before the last valid base file are obsolete; a crash may have left some of them undeleted.
         int first = numbers.size();
-        while (first > 0 && !stands(contents.get(first - 1))) {
+        while (first > 0 && !isBaseFile(contents.get(first - 1))) {
             first--;
         }
         first = Math.max(0, first - 1);
         for (int i = 0; i < first; i++) {
-            folder.delete(name(numbers.get(i)));
+            folder.delete(fileName(numbers.get(i)));
         }
         for (int i = first; i < numbers.size(); i++) {
             long number = numbers.get(i);
-            if (number != (i > first ? generation + 1 : stands(contents.get(i)) ? number : 1)) {
+            if (number != (i > first ? generation + 1 : isBaseFile(contents.get(i)) ? number : 1)) {
                 throw new StateFault(
                         0,
-                        "a file before " + name(number) + " is missing; this voter does not vote with a"
+                        "a file before " + fileName(number) + " is missing; this voter does not vote with a"
                                 + " damaged folder");
             }
             try {
-                take(contents.get(i));
+                applyFile(contents.get(i));
             } catch (IOException e) {
                 if (i < numbers.size() - 1) {
                     throw new StateFault(
                             0,
-                            name(number) + ": " + e.getMessage() + "; this voter does not vote with a damaged folder");
+                            fileName(number) + ": " + e.getMessage()
+                                    + "; this voter does not vote with a damaged folder");
                 }
-                log.accept(name(number) + " was not finished and is left out: " + e.getMessage());
-                folder.delete(name(number));
+                log.accept(fileName(number) + " was not finished and is deleted: " + e.getMessage());
+                folder.delete(fileName(number));
                 break;
             }
-            files++;
+            fileCount++;
             generation = number;
         }
     }
 
-    /** Whether a file is sound and the ones before it can be done without. */
-    private static boolean stands(byte[] content) {
-        try (CborReader from = payload(content)) {
-            from.expect(JsonToken.START_ARRAY);
-            from.expect(JsonToken.START_ARRAY);
-            from.expect(JsonToken.START_ARRAY);
-            return from.count() == WHOLE;
+    /** Whether a file is valid and holds the complete state, so that the files before it are obsolete. */
+    private static boolean isBaseFile(byte[] content) {
+        try (CborReader reader = verifiedPayload(content)) {
+            reader.expect(JsonToken.START_ARRAY);
+            reader.expect(JsonToken.START_ARRAY);
+            reader.expect(JsonToken.START_ARRAY);
+            return reader.count() == BASE;
         } catch (IOException e) {
             return false;
         }
     }
 
-    private static CborReader payload(byte[] content) throws IOException {
-        int payload = content.length - MAGIC.length - TAIL;
-        if (payload < 0
+    private static CborReader verifiedPayload(byte[] content) throws IOException {
+        int payloadLength = content.length - MAGIC.length - CHECKSUM_BYTES;
+        if (payloadLength < 0
                 || !Arrays.equals(content, 0, MAGIC.length, MAGIC, 0, MAGIC.length)
-                || ByteBuffer.wrap(content).getInt(content.length - TAIL)
-                        != SnapshotFormat.checksum(content, 0, content.length - TAIL)) {
-            throw new IOException("it ends early, or its checksum is another's");
+                || ByteBuffer.wrap(content).getInt(content.length - CHECKSUM_BYTES)
+                        != SnapshotFormat.checksum(content, 0, content.length - CHECKSUM_BYTES)) {
+            throw new IOException("it is truncated, or its checksum does not match");
         }
-        return new CborReader(Arrays.copyOfRange(content, MAGIC.length, MAGIC.length + payload));
+        return new CborReader(Arrays.copyOfRange(content, MAGIC.length, MAGIC.length + payloadLength));
     }
 
-    /** Takes a file's records in. */
-    private void take(byte[] content) throws IOException {
-        try (CborReader from = payload(content)) {
-            from.expect(JsonToken.START_ARRAY);
-            from.list(1 << 20, () -> {
-                int kind = from.count();
-                record(from, kind);
+    private void applyFile(byte[] content) throws IOException {
+        try (CborReader reader = verifiedPayload(content)) {
+            reader.expect(JsonToken.START_ARRAY);
+            reader.list(MAX_RECORDS, () -> {
+                int kind = reader.count();
+                applyRecord(reader, kind);
                 return kind;
             });
-            from.expect(JsonToken.END_ARRAY);
-            from.end();
+            reader.expect(JsonToken.END_ARRAY);
+            reader.end();
         }
     }
 
-    private void record(CborReader from, int kind) throws IOException {
+    private void applyRecord(CborReader reader, int kind) throws IOException {
         switch (kind) {
             case ENDPOINT -> {
-                endpoint = from.text(Wire.MOST_NAME);
-                voting = from.flag();
+                endpoint = reader.text(Wire.MAX_NAME_CHARS);
+                voting = reader.flag();
             }
-            case MEMBERS -> members = Wire.view(from);
+            case MEMBERS -> members = Wire.readMembers(reader);
             case TERM -> {
-                term = from.count();
-                String voted = from.text(Wire.MOST_NAME);
-                votedFor = voted.isEmpty() ? null : voted;
+                term = reader.count();
+                String candidate = reader.text(Wire.MAX_NAME_CHARS);
+                votedFor = candidate.isEmpty() ? null : candidate;
             }
             case ENTRY -> {
-                LogEntry entry = Wire.entry(from);
+                LogEntry entry = Wire.readEntry(reader);
                 entries.put(entry.getIndex(), entry);
             }
             case CHUNK -> {
-                SnapshotChunk chunk = Wire.chunk(from);
+                SnapshotChunk chunk = Wire.readChunk(reader);
                 chunks.computeIfAbsent(chunk.getIndex(), i -> new TreeMap<>())
                         .put(chunk.getSnapshotChunkIndex(), chunk);
             }
-            case CUT -> entries.tailMap(from.whole(), true).clear();
-            case FORGET -> entries.headMap(from.whole(), true).clear();
-            case DROP -> chunks.remove(from.whole());
-            case WHOLE -> {
+            case TRUNCATE_FROM -> entries.tailMap(reader.whole(), true).clear();
+            case TRUNCATE_UNTIL -> entries.headMap(reader.whole(), true).clear();
+            case DELETE_SNAPSHOT -> chunks.remove(reader.whole());
+            case BASE -> {
                 entries.clear();
                 chunks.clear();
             }
-            default -> throw new IOException("no record has the kind " + kind);
+            default -> throw new IOException("unknown record kind " + kind);
         }
     }
 
-    /** How often it has been written. */
+    /** The number of the last file, which increases with each write; 0 for an empty folder. */
     public long generation() {
         return generation;
     }
 
-    /** What an earlier life left, or null. */
+    /** The state that the folder holds, or null if it holds none. */
     public RestoredRaftState restoredState() {
         if (endpoint == null || members == null) {
             return null;
         }
-        RaftEndpointPersistentState self = Wire.MODEL
+        RaftEndpointPersistentState endpointState = Wire.MODEL
                 .createRaftEndpointPersistentStateBuilder()
                 .setLocalEndpoint(new VoterEndpoint(endpoint))
                 .setVoting(voting)
                 .build();
-        RaftTermPersistentState voted = Wire.MODEL
+        RaftTermPersistentState termState = Wire.MODEL
                 .createRaftTermPersistentStateBuilder()
                 .setTerm(term)
                 .setVotedFor(votedFor == null ? null : new VoterEndpoint(votedFor))
                 .build();
         SnapshotEntry snapshot = null;
-        for (TreeMap<Integer, SnapshotChunk> of : chunks.values()) {
-            SnapshotChunk first = of.firstEntry().getValue();
-            if (of.size() == first.getSnapshotChunkCount()) {
+        for (TreeMap<Integer, SnapshotChunk> snapshotChunks : chunks.values()) {
+            SnapshotChunk first = snapshotChunks.firstEntry().getValue();
+            if (snapshotChunks.size() == first.getSnapshotChunkCount()) {
                 snapshot = Wire.MODEL
                         .createSnapshotEntryBuilder()
                         .setIndex(first.getIndex())
                         .setTerm(first.getTerm())
-                        .setSnapshotChunks(new ArrayList<>(of.values()))
+                        .setSnapshotChunks(new ArrayList<>(snapshotChunks.values()))
                         .setGroupMembersView(first.getGroupMembersView())
                         .build();
             }
         }
-        long from = snapshot == null ? 0 : snapshot.getIndex();
+        long snapshotIndex = snapshot == null ? 0 : snapshot.getIndex();
         return new RestoredRaftState(
-                self,
+                endpointState,
                 members,
-                voted,
+                termState,
                 snapshot,
-                new ArrayList<>(entries.tailMap(from, false).values()));
+                new ArrayList<>(entries.tailMap(snapshotIndex, false).values()));
     }
 
-    private void add(int kind, Wire.Body body) {
-        pending.add(to -> {
-            to.writeStartArray();
-            to.writeNumber(kind);
-            body.write(to);
-            to.writeEndArray();
+    private void addRecord(int kind, Wire.ArrayBody body) {
+        unflushedRecords.add(generator -> {
+            generator.writeStartArray();
+            generator.writeNumber(kind);
+            body.write(generator);
+            generator.writeEndArray();
         });
     }
 
@@ -245,102 +253,102 @@
     public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState state) throws IOException {
         endpoint = String.valueOf(state.getLocalEndpoint().getId());
         voting = state.isVoting();
-        add(ENDPOINT, endpointBody());
+        addRecord(ENDPOINT, endpointBody());
         flush();
     }
 
-    private Wire.Body endpointBody() {
+    private Wire.ArrayBody endpointBody() {
         String name = endpoint;
-        boolean votes = voting;
-        return to -> {
-            to.writeString(name);
-            to.writeBoolean(votes);
+        boolean isVoting = voting;
+        return generator -> {
+            generator.writeString(name);
+            generator.writeBoolean(isVoting);
         };
     }
 
     @Override
     public void persistAndFlushInitialGroupMembers(RaftGroupMembersView view) throws IOException {
         members = view;
-        add(MEMBERS, to -> Wire.write(to, view));
+        addRecord(MEMBERS, generator -> Wire.write(generator, view));
         flush();
     }
 
     @Override
     public void persistAndFlushTerm(RaftTermPersistentState state) throws IOException {
         term = state.getTerm();
-        RaftEndpoint voted = state.getVotedFor();
-        votedFor = voted == null ? null : String.valueOf(voted.getId());
-        add(TERM, termBody());
+        RaftEndpoint candidate = state.getVotedFor();
+        votedFor = candidate == null ? null : String.valueOf(candidate.getId());
+        addRecord(TERM, termBody());
         flush();
     }
 
-    private Wire.Body termBody() {
-        int number = term;
-        String voted = votedFor == null ? "" : votedFor;
-        return to -> {
-            to.writeNumber(number);
-            to.writeString(voted);
+    private Wire.ArrayBody termBody() {
+        int currentTerm = term;
+        String candidate = votedFor == null ? "" : votedFor;
+        return generator -> {
+            generator.writeNumber(currentTerm);
+            generator.writeString(candidate);
         };
     }
 
     @Override
-    public void persistLogEntries(List<LogEntry> more) {
-        for (LogEntry entry : more) {
+    public void persistLogEntries(List<LogEntry> newEntries) {
+        for (LogEntry entry : newEntries) {
             entries.put(entry.getIndex(), entry);
-            add(ENTRY, to -> Wire.write(to, entry));
+            addRecord(ENTRY, generator -> Wire.write(generator, entry));
         }
     }
 
     @Override
     public void persistSnapshotChunk(SnapshotChunk chunk) {
         chunks.computeIfAbsent(chunk.getIndex(), i -> new TreeMap<>()).put(chunk.getSnapshotChunkIndex(), chunk);
-        add(CHUNK, to -> Wire.write(to, chunk));
+        addRecord(CHUNK, generator -> Wire.write(generator, chunk));
     }
 
     @Override
     public void truncateLogEntriesFrom(long index) {
         entries.tailMap(index, true).clear();
-        add(CUT, to -> to.writeNumber(index));
+        addRecord(TRUNCATE_FROM, generator -> generator.writeNumber(index));
     }
 
     @Override
     public void truncateLogEntriesUntil(long index) {
         entries.headMap(index, true).clear();
-        add(FORGET, to -> to.writeNumber(index));
+        addRecord(TRUNCATE_UNTIL, generator -> generator.writeNumber(index));
     }
 
     @Override
     public void deleteSnapshotChunks(long index, int count) {
         chunks.remove(index);
-        add(DROP, to -> to.writeNumber(index));
+        addRecord(DELETE_SNAPSHOT, generator -> generator.writeNumber(index));
     }
 
-    /** Returns once all is on the disk; where this fails, nothing that rests on it may be said. */
+    /** Returns once all records are synced to disk; if this fails, the voter must send nothing that depends on them. */
     @Override
     public void flush() throws IOException {
-        if (pending.isEmpty()) {
+        if (unflushedRecords.isEmpty()) {
             return;
         }
-        if (files >= MOST_FILES && endpoint != null && members != null) {
-            putTogether();
+        if (fileCount >= MAX_FILES && endpoint != null && members != null) {
+            writeBaseFile();
             return;
         }
-        write(pending);
-        files++;
+        writeFile(unflushedRecords);
+        fileCount++;
     }
 
-    /** Puts a snapshot, a term and one voter in the place of all that is there, in one step. */
-    void reset(String voter, RaftGroupMembersView view, int newTerm, long index, List<byte[]> pieces)
+    /** Atomically replaces the stored state by a snapshot, a term and a group of members. */
+    void reset(String voter, RaftGroupMembersView view, int newTerm, long index, List<byte[]> snapshotChunks)
             throws IOException {
         entries.clear();
         chunks.clear();
-        pending.clear();
+        unflushedRecords.clear();
         endpoint = voter;
         voting = true;
         members = view;
         term = newTerm;
         votedFor = null;
-        for (int i = 0; i < pieces.size(); i++) {
+        for (int i = 0; i < snapshotChunks.size(); i++) {
             chunks.computeIfAbsent(index, n -> new TreeMap<>())
                     .put(
                             i,
@@ -349,55 +357,58 @@
                                     .setIndex(index)
                                     .setTerm(newTerm)
                                     .setSnapshotChunkIndex(i)
-                                    .setSnapshotChunkCount(pieces.size())
-                                    .setOperation(pieces.get(i))
+                                    .setSnapshotChunkCount(snapshotChunks.size())
+                                    .setOperation(snapshotChunks.get(i))
                                     .setGroupMembersView(view)
                                     .build());
         }
-        putTogether();
+        writeBaseFile();
         folder.syncNames();
     }
 
-    private void write(List<Wire.Body> records) throws IOException {
-        byte[] payload = Wire.array(to -> {
-            to.writeStartArray();
-            for (Wire.Body record : records) {
-                record.write(to);
+    private void writeFile(List<Wire.ArrayBody> records) throws IOException {
+        byte[] payload = Wire.encodeArray(generator -> {
+            generator.writeStartArray();
+            for (Wire.ArrayBody record : records) {
+                record.write(generator);
             }
-            to.writeEndArray();
+            generator.writeEndArray();
         });
-        ByteBuffer file = ByteBuffer.allocate(MAGIC.length + payload.length + TAIL);
+        ByteBuffer file = ByteBuffer.allocate(MAGIC.length + payload.length + CHECKSUM_BYTES);
         file.put(MAGIC).put(payload);
         file.putInt(SnapshotFormat.checksum(file.array(), 0, MAGIC.length + payload.length));
-        String name = name(generation + 1);
+        String name = fileName(generation + 1);
         folder.create(name, file.array());
         folder.sync(name);
         folder.syncNames();
         generation++;
-        pending.clear();
+        unflushedRecords.clear();
     }
 
-    private void putTogether() throws IOException {
-        long former = generation;
-        List<Wire.Body> all = new ArrayList<>(List.of(to -> {
-            to.writeStartArray();
-            to.writeNumber(WHOLE);
-            to.writeEndArray();
+    private void writeBaseFile() throws IOException {
+        long lastObsolete = generation;
+        List<Wire.ArrayBody> records = new ArrayList<>(List.of(generator -> {
+            generator.writeStartArray();
+            generator.writeNumber(BASE);
+            generator.writeEndArray();
         }));
-        List<Wire.Body> kept = new ArrayList<>(pending);
-        pending.clear();
-        add(ENDPOINT, endpointBody());
-        add(MEMBERS, to -> Wire.write(to, members));
-        add(TERM, termBody());
-        entries.values().forEach(entry -> add(ENTRY, to -> Wire.write(to, entry)));
-        chunks.values().forEach(of -> of.values().forEach(chunk -> add(CHUNK, to -> Wire.write(to, chunk))));
-        all.addAll(pending);
-        pending.clear();
-        pending.addAll(kept);
-        write(all);
-        files = 1;
-        for (long number = former; number > 0 && number > former - 2 * MOST_FILES; number--) {
-            folder.delete(name(number));
+        List<Wire.ArrayBody> previouslyUnflushed = new ArrayList<>(unflushedRecords);
+        unflushedRecords.clear();
+        addRecord(ENDPOINT, endpointBody());
+        addRecord(MEMBERS, generator -> Wire.write(generator, members));
+        addRecord(TERM, termBody());
+        entries.values().forEach(entry -> addRecord(ENTRY, generator -> Wire.write(generator, entry)));
+        chunks.values()
+                .forEach(snapshotChunks -> snapshotChunks
+                        .values()
+                        .forEach(chunk -> addRecord(CHUNK, generator -> Wire.write(generator, chunk))));
+        records.addAll(unflushedRecords);
+        unflushedRecords.clear();
+        unflushedRecords.addAll(previouslyUnflushed);
+        writeFile(records);
+        fileCount = 1;
+        for (long number = lastObsolete; number > 0 && number > lastObsolete - 2 * MAX_FILES; number--) {
+            folder.delete(fileName(number));
         }
     }
 }
--- a/src/main/java/petrelstand/consensus/RulesStatus.java
+++ b/src/main/java/petrelstand/consensus/RulesStatus.java
@@ -10,11 +10,17 @@
 import petrelstand.agreement.RuleRegistry;
 import petrelstand.agreement.Rules;
 
-/** What a gateway says of its rules, as JSON for {@code GET /rules}. */
+/** Builds the JSON body of {@code GET /rules}: a gateway's effective rules and, at a voter, the versions and leases. */
 public final class RulesStatus {
     private RulesStatus() {}
 
-    /** A process that asks this leader for leases. */
+    /**
+     * A gateway process that has asked this leader for a lease.
+     *
+     * @param actingForMs time since the process reported {@code actingVersion}
+     * @param leaseLeftMs time until its lease has expired, or 0
+     * @param sinceHeardMs time since its last request
+     */
     public record LeaseRequester(
             String name,
             long actingVersion,
@@ -24,7 +30,7 @@
             long leaseLeftMs,
             long sinceHeardMs) {}
 
-    /** What a voter shows, taken on its thread. */
+    /** An immutable copy of a voter's state, for other threads. */
     public record VoterStatus(
             String leader,
             long term,
@@ -32,17 +38,17 @@
             List<String> voters,
             RuleRegistry.Snapshot registry,
             List<LeaseRequester> requesters) {
-        /** What it shows now. */
+        /** Copies the state of a voter; to be called on the voter's executor. */
         public static VoterStatus of(Voter voter, long nowUs) {
-            List<LeaseRequester> askers = voter.grantor().gateways().stream()
-                    .map((LeaseGrantor.GatewayState h) -> new LeaseRequester(
-                            h.name(),
-                            h.actingVersion(),
-                            (nowUs - h.actingSinceUs()) / 1000,
-                            h.preparedVersion(),
-                            h.loadError(),
-                            Math.max(0, (h.leaseUntilUs() - nowUs) / 1000),
-                            (nowUs - h.lastHeardUs()) / 1000))
+            List<LeaseRequester> requesters = voter.grantor().gateways().stream()
+                    .map((LeaseGrantor.GatewayState gateway) -> new LeaseRequester(
+                            gateway.name(),
+                            gateway.actingVersion(),
+                            (nowUs - gateway.actingSinceUs()) / 1000,
+                            gateway.preparedVersion(),
+                            gateway.loadError(),
+                            Math.max(0, (gateway.leaseUntilUs() - nowUs) / 1000),
+                            (nowUs - gateway.lastHeardUs()) / 1000))
                     .toList();
             return new VoterStatus(
                     voter.leader(),
@@ -50,78 +56,79 @@
                     voter.grantor().isLeader(),
                     voter.voters(),
                     voter.registry().snapshot(),
-                    askers);
+                    requesters);
         }
     }
 
-    /** The page; {@code votes} is null at a gateway that does not vote. */
-    public static String toJson(String name, long nowUs, LeaseHolder holder, VoterStatus votes) {
+    /** The body for the gateway {@code name}; {@code voter} is null at a gateway that is not a voter. */
+    public static String toJson(String name, long nowUs, LeaseHolder holder, VoterStatus voter) {
         JsonObject page = new JsonObject();
-        LeaseHolder.EffectiveRules acting = holder.effectiveRules(nowUs);
+        LeaseHolder.EffectiveRules effective = holder.effectiveRules(nowUs);
         page.addProperty("name", name);
-        page.addProperty("acts_on", acting.version());
-        page.addProperty("mode", acting.mode().name().toLowerCase(Locale.ROOT));
+        page.addProperty("acts_on", effective.version());
+        page.addProperty("mode", effective.mode().name().toLowerCase(Locale.ROOT));
         page.addProperty("for_ms", (nowUs - holder.effectiveSinceUs()) / 1000);
         page.addProperty("active", holder.knownVersions()[0]);
         page.addProperty("waiting", holder.knownVersions()[1]);
-        page.addProperty("leader", votes == null || votes.leader().isEmpty() ? holder.leader() : votes.leader());
-        page.addProperty("votes", votes != null);
-        page.add("rules", rules(acting.rules()));
-        if (votes != null) {
-            page.addProperty("term", votes.term());
+        page.addProperty("leader", voter == null || voter.leader().isEmpty() ? holder.leader() : voter.leader());
+        page.addProperty("votes", voter != null);
+        page.add("rules", rules(effective.rules()));
+        if (voter != null) {
+            page.addProperty("term", voter.term());
             JsonArray voters = new JsonArray();
-            votes.voters().forEach(voters::add);
+            voter.voters().forEach(voters::add);
             page.add("voters", voters);
-            page.addProperty("newest", votes.registry().newest());
-            JsonObject marks = new JsonObject();
-            for (Map.Entry<String, Long> mark :
-                    votes.registry().reservedFloors().entrySet()) {
-                marks.addProperty(mark.getKey(), mark.getValue());
+            page.addProperty("newest", voter.registry().newest());
+            JsonObject reservedFloors = new JsonObject();
+            for (Map.Entry<String, Long> floor :
+                    voter.registry().reservedFloors().entrySet()) {
+                reservedFloors.addProperty(floor.getKey(), floor.getValue());
             }
-            page.add("floors_kept_free", marks);
-            JsonArray names = new JsonArray();
-            votes.registry().gatewayNames().forEach(names::add);
-            page.add("gateways", names);
+            page.add("floors_kept_free", reservedFloors);
+            JsonArray gatewayNames = new JsonArray();
+            voter.registry().gatewayNames().forEach(gatewayNames::add);
+            page.add("gateways", gatewayNames);
             JsonArray versions = new JsonArray();
-            for (RuleRegistry.Version version : votes.registry().versions()) {
-                JsonObject one = new JsonObject();
-                one.addProperty("version", version.number());
-                one.addProperty("base", version.base());
-                one.addProperty(
+            for (RuleRegistry.Version version : voter.registry().versions()) {
+                JsonObject entry = new JsonObject();
+                entry.addProperty("version", version.number());
+                entry.addProperty("base", version.base());
+                entry.addProperty(
                         "state", version.state().name().toLowerCase(Locale.ROOT).replace('_', ' '));
-                one.addProperty("who", version.author());
-                one.addProperty("why", version.reason());
-                one.addProperty("wall_ms", version.wallMs());
-                one.addProperty("text", version.text());
-                versions.add(one);
+                entry.addProperty("who", version.author());
+                entry.addProperty("why", version.reason());
+                entry.addProperty("wall_ms", version.wallMs());
+                entry.addProperty("text", version.text());
+                versions.add(entry);
             }
             page.add("versions", versions);
-            if (votes.isLeader()) {
-                JsonArray askers = new JsonArray();
-                for (LeaseRequester asker : votes.requesters()) {
-                    JsonObject one = new JsonObject();
-                    one.addProperty("name", asker.name());
-                    one.addProperty("acts_on", asker.actingVersion());
-                    one.addProperty("for_ms", asker.actingForMs());
-                    one.addProperty("has", asker.preparedVersion());
-                    one.addProperty("refuses", asker.loadError());
-                    one.addProperty("lease_ms", asker.leaseLeftMs());
-                    one.addProperty("heard_ms", asker.sinceHeardMs());
-                    askers.add(one);
+            if (voter.isLeader()) {
+                JsonArray requesters = new JsonArray();
+                for (LeaseRequester requester : voter.requesters()) {
+                    JsonObject entry = new JsonObject();
+                    entry.addProperty("name", requester.name());
+                    entry.addProperty("acts_on", requester.actingVersion());
+                    entry.addProperty("for_ms", requester.actingForMs());
+                    entry.addProperty("has", requester.preparedVersion());
+                    entry.addProperty("refuses", requester.loadError());
+                    entry.addProperty("lease_ms", requester.leaseLeftMs());
+                    entry.addProperty("heard_ms", requester.sinceHeardMs());
+                    requesters.add(entry);
                 }
-                page.add("who", askers);
+                page.add("who", requesters);
             }
         }
         return page.toString();
     }
 
     private static JsonObject rules(Rules rules) {
-        JsonObject all = new JsonObject();
-        rules.limits().forEach((plan, limit) -> all.addProperty("limit " + plan, limit.units()));
-        rules.modules().forEach((name, module) -> all.addProperty("module " + name, module.open() ? "open" : "closed"));
+        JsonObject json = new JsonObject();
+        rules.limits().forEach((plan, limit) -> json.addProperty("limit " + plan, limit.units()));
+        rules.modules()
+                .forEach((name, module) -> json.addProperty("module " + name, module.open() ? "open" : "closed"));
         rules.nodes()
-                .forEach((name, node) -> all.addProperty("node " + name, node.removed() ? "removed" : node.address()));
-        rules.switches().forEach((name, on) -> all.addProperty("switch " + name, on ? "on" : "off"));
-        return all;
+                .forEach((name, node) -> json.addProperty("node " + name, node.removed() ? "removed" : node.address()));
+        rules.switches().forEach((name, on) -> json.addProperty("switch " + name, on ? "on" : "off"));
+        return json;
     }
 }
--- a/src/main/java/petrelstand/consensus/Voter.java
+++ b/src/main/java/petrelstand/consensus/Voter.java
@@ -15,6 +15,9 @@
 import io.microraft.transport.Transport;
 import java.io.IOException;
 import java.time.Clock;
+import java.time.Instant;
+import java.time.ZoneId;
+import java.time.ZoneOffset;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -34,90 +37,92 @@
 import petrelstand.agreement.RulesMessage;
 
 /**
- * A voter: MicroRaft's node with the rule book as its state, and the leader's half of the leases. All of it runs on one
- * executor, a thread of its own or an event queue in virtual time; nothing here waits but the store.
+ * A voter: a MicroRaft node with a {@link RuleRegistry} as its state machine, and the leader's side of the leases. All
+ * methods run on one executor, which is a dedicated thread or the event queue of a simulation; only the store blocks.
  */
 public final class Voter implements LeaseGrantor.Actions {
-    private static final int SNAPSHOT_AFTER = 500;
-    private static final int MOST_PENDING = 256;
-    private static final int MOST_OFFERS = 8;
-    /**
-     * A leader that ends has so long to hand on; shorter than the time in which a gateway that ends takes what comes.
-     */
+    private static final int COMMITS_PER_SNAPSHOT = 500;
+    private static final int MAX_PENDING_ENTRIES = 256;
+    private static final int MAX_PROPOSALS = 8;
+    /** Time that a stopping leader has to transfer its leadership; a stopping gateway receives messages for longer. */
     public static final long LEADERSHIP_TRANSFER_MS = 300;
-    /** A new voter is sent the log or a snapshot for so long before it counts. */
-    private static final long LISTENS_MS = 2_000;
+    /** Time for which a new voter receives the log as a learner before it votes. */
+    private static final long LEARNER_MS = 2_000;
 
-    /** What the process does for a voter. */
+    /** What a voter needs from its process. */
     public interface Callbacks {
-        /** Sends to a voter; it may get lost. */
-        void sendRaftMessage(String to, RaftMessage message);
+        /** Sends a consensus message to a voter; it may be lost. */
+        void sendRaftMessage(String voter, RaftMessage message);
 
-        /** Sends to a gateway or, where the name is an address, to whoever asked from there. */
-        void sendRulesMessage(String to, RulesMessage talk);
+        /** Sends a message to a gateway, or to an address if {@code recipient} is "@" and an address; may be lost. */
+        void sendRulesMessage(String recipient, RulesMessage message);
 
-        /** The voter's world changed: what was applied, who leads. */
+        /** Called when the registry or the leader may have changed. */
         void stateChanged();
 
         void log(String line);
     }
 
-    /** Offers whose pieces come one by one. */
-    private static final class Offer {
+    /** A proposal whose pieces are being received. */
+    private static final class Proposal {
         String[] pieces = new String[0];
-        boolean proposing;
+        boolean submitted;
     }
 
     private final String name;
     private final RaftNodeExecutor executor;
     private final LongSupplier nowUs;
-    private final Callbacks carrier;
+    private final Callbacks callbacks;
     private final Function<String, Rules> loader;
     private final RuleRegistry registry = new RuleRegistry();
     private final LeaseGrantor grantor;
     private final RaftNode node;
-    private final Map<Long, Offer> offers = new LinkedHashMap<>(16, 0.75f, true) {
+    private final Map<Long, Proposal> proposals = new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<Long, Offer> eldest) {
-            return size() > MOST_OFFERS;
+        protected boolean removeEldestEntry(Map.Entry<Long, Proposal> eldest) {
+            return size() > MAX_PROPOSALS;
         }
     };
     private String leader = "";
     private long term;
-    private long joined;
-    /** Commands of this voter's that are not in the log of a majority yet. */
-    private int outstanding;
+    /** The epoch of a new voter that has no versions yet: the highest one of the messages it received. */
+    private long joinedEpoch;
 
-    /** Makes the leader's half of the leases; the usual one, but for tests that plant a defect. */
+    /** Commands of this voter that are not committed yet. */
+    private int uncommitted;
+
+    /** Creates the leader's side of the leases; tests inject defective ones. */
     public interface GrantorFactory {
-        LeaseGrantor create(LeaseTiming promise, RuleRegistry book, LeaseGrantor.Actions actions);
+        LeaseGrantor create(LeaseTiming timing, RuleRegistry registry, LeaseGrantor.Actions actions);
     }
 
     /**
-     * A voter.
+     * Creates a voter from its stored state or, without one, for its first start.
      *
-     * @param voters those of the very first start, the same at all; one that is none of them is added later by an order
-     * @param files its store, or null for one that keeps nothing (tests)
+     * @param voters the initial voters, the same list at each of them; other voters are added by an operator's request
+     * @param files the store, or null to keep nothing (tests)
+     * @param nowUs a monotonic clock in µs
+     * @param loader parses a rules text; throws an IllegalArgumentException with a one-line message
      */
     public Voter(
             String name,
             List<String> voters,
-            LeaseTiming promise,
+            LeaseTiming timing,
             RaftFiles files,
-            GrantorFactory maker,
+            GrantorFactory grantorFactory,
             RaftNodeExecutor executor,
             LongSupplier nowUs,
             long seed,
             Function<String, Rules> loader,
-            Callbacks carrier) {
+            Callbacks callbacks) {
         this.name = name;
         this.executor = executor;
         this.nowUs = nowUs;
-        this.carrier = carrier;
+        this.callbacks = callbacks;
         this.loader = loader;
-        this.grantor = maker.create(promise, registry, this);
+        this.grantor = grantorFactory.create(timing, registry, this);
         List<RaftEndpoint> members = new ArrayList<>();
         voters.forEach(voter -> members.add(new VoterEndpoint(voter)));
         RaftNode.RaftNodeBuilder builder = RaftNode.newBuilder()
@@ -127,17 +132,17 @@
                         .setLeaderHeartbeatPeriodSecs(1)
                         .setLeaderHeartbeatTimeoutSecs(2)
                         .setAppendEntriesRequestBatchSize(1)
-                        .setMaxPendingLogEntryCount(MOST_PENDING)
-                        .setCommitCountToTakeSnapshot(SNAPSHOT_AFTER)
+                        .setMaxPendingLogEntryCount(MAX_PENDING_ENTRIES)
+                        .setCommitCountToTakeSnapshot(COMMITS_PER_SNAPSHOT)
                         .setTransferSnapshotsFromFollowersEnabled(false)
                         .build())
                 .setExecutor(executor)
-                .setTransport(new Post())
-                .setStateMachine(new Machine())
+                .setTransport(new CallbackTransport())
+                .setStateMachine(new RegistryStateMachine())
                 .setRandom(new Random(seed))
-                .setClock(new LoopClock(nowUs))
+                .setClock(new MonotonicClock(nowUs))
                 .setModelFactory(Wire.MODEL)
-                .setRaftNodeReportListener(this::reported)
+                .setRaftNodeReportListener(this::handleReport)
                 .setStore(files == null ? new NopRaftStore() : files);
         if (files != null && files.restoredState() != null) {
             builder.setRestoredState(files.restoredState());
@@ -151,78 +156,75 @@
         node.start();
     }
 
-    /** Takes no further part. */
+    /** Stops at once. */
     public void stop() {
         node.terminate();
     }
 
-    /**
-     * Ends in order: a leader hands on to another voter first, or ends without where that takes too long; on the
-     * executor.
-     */
+    /** Stops; a leader first tries to transfer its leadership for up to {@link #LEADERSHIP_TRANSFER_MS}. */
     public void leave() {
         VoterEndpoint self = new VoterEndpoint(name);
         if (grantor.isLeader()) {
             node.getCommittedMembers().getVotingMembers().stream()
                     .filter(other -> !other.equals(self))
                     .findFirst()
-                    .ifPresent(other ->
-                            node.transferLeadership(other).whenComplete((done, fault) -> executor.execute(this::stop)));
+                    .ifPresent(other -> node.transferLeadership(other)
+                            .whenComplete((transferred, failure) -> executor.execute(this::stop)));
             executor.schedule(this::stop, LEADERSHIP_TRANSFER_MS, TimeUnit.MILLISECONDS);
         } else {
             stop();
         }
     }
 
-    /** What is due by now; on the executor. */
+    /** Does what is due; to be called regularly. */
     public void tick() {
         grantor.tick(nowUs.getAsLong());
-        if (outstanding > 0 && grantor.isLeader()) {
-            node.query(ASK, QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.empty())
-                    .exceptionally(fault -> null);
+        if (uncommitted > 0 && grantor.isLeader()) {
+            node.query(EMPTY_QUERY, QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.empty())
+                    .exceptionally(failure -> null);
         }
     }
 
-    /** A voters' message, on the executor; one of another epoch is passed over. */
-    public void receiveRaftMessage(RaftMessage message, long ofEpoch) {
+    /** Handles a consensus message; one of another epoch is ignored. */
+    public void receiveRaftMessage(RaftMessage message, long senderEpoch) {
         if (registry.newest() == 0) {
-            // It was just added, and learns from the first that writes to it.
-            joined = Math.max(joined, ofEpoch);
+            // A voter that was just added takes the epoch from the messages that it receives.
+            joinedEpoch = Math.max(joinedEpoch, senderEpoch);
         }
-        if (ofEpoch == epoch()) {
+        if (senderEpoch == epoch()) {
             node.handle(message);
         }
     }
 
-    /** The epoch that it votes in. */
+    /** The epoch that this voter votes in. */
     public long epoch() {
-        return registry.newest() == 0 ? joined : RuleRegistry.epoch(registry.newest());
+        return registry.newest() == 0 ? joinedEpoch : RuleRegistry.epoch(registry.newest());
     }
 
-    // ---- MicroRaft's side ----
+    // ---- Called by MicroRaft ----
 
-    private final class Post implements Transport {
+    private final class CallbackTransport implements Transport {
         @Override
-        public void send(RaftEndpoint to, RaftMessage message) {
-            carrier.sendRaftMessage(String.valueOf(to.getId()), message);
+        public void send(RaftEndpoint target, RaftMessage message) {
+            callbacks.sendRaftMessage(String.valueOf(target.getId()), message);
         }
 
         @Override
-        public boolean isReachable(RaftEndpoint to) {
+        public boolean isReachable(RaftEndpoint endpoint) {
             return true;
         }
     }
 
-    /** Something for a query to carry: the answer is that it was asked. */
-    private static final Object ASK = new Object();
+    /** A query without content: only its confirmation by a majority matters. */
+    private static final Object EMPTY_QUERY = new Object();
 
-    private final class Machine implements StateMachine {
+    private final class RegistryStateMachine implements StateMachine {
         @Override
         public Object runOperation(long index, Object operation) {
             if (operation instanceof RegistryCommand command) {
                 RuleRegistry.Result result = registry.apply(command);
                 executor.execute(Voter.this::tick);
-                carrier.stateChanged();
+                callbacks.stateChanged();
                 return result;
             }
             return null;
@@ -230,16 +232,16 @@
 
         @Override
         public void takeSnapshot(long index, Consumer<Object> chunks) {
-            Wire.chunks(registry.snapshot()).forEach(chunks);
+            Wire.encodeSnapshot(registry.snapshot()).forEach(chunks);
         }
 
         @Override
         public void installSnapshot(long index, List<Object> chunks) {
             try {
-                registry.restore(Wire.whole(chunks));
-                carrier.stateChanged();
+                registry.restore(Wire.decodeSnapshot(chunks));
+                callbacks.stateChanged();
             } catch (IOException e) {
-                throw new IllegalStateException("a snapshot that can't be read: " + e.getMessage(), e);
+                throw new IllegalStateException("a snapshot from the leader can't be decoded: " + e.getMessage(), e);
             }
         }
 
@@ -249,39 +251,40 @@
         }
     }
 
-    private void reported(RaftNodeReport report) {
+    private void handleReport(RaftNodeReport report) {
         term = report.getTerm().getTerm();
-        RaftEndpoint leads = report.getTerm().getLeaderEndpoint();
-        String now = leads == null ? "" : String.valueOf(leads.getId());
+        RaftEndpoint leaderEndpoint = report.getTerm().getLeaderEndpoint();
+        String newLeader = leaderEndpoint == null ? "" : String.valueOf(leaderEndpoint.getId());
         if (report.getRole() == RaftRole.LEADER) {
-            grantor.isLeader(nowUs.getAsLong(), term);
+            grantor.becomeLeader(nowUs.getAsLong(), term);
         } else {
             grantor.becomeFollower();
         }
-        if (!now.equals(leader)) {
-            leader = now;
-            carrier.log(now.isEmpty() ? "no leader is known, term " + term : now + " leads in term " + term);
+        if (!newLeader.equals(leader)) {
+            leader = newLeader;
+            callbacks.log(
+                    newLeader.isEmpty() ? "no leader is known, term " + term : newLeader + " leads in term " + term);
         }
-        carrier.stateChanged();
+        callbacks.stateChanged();
     }
 
-    // ---- The grantor's side ----
+    // ---- Called by the grantor ----
 
     @Override
-    public void send(String to, RulesMessage talk) {
-        carrier.sendRulesMessage(to, talk);
+    public void send(String gateway, RulesMessage message) {
+        callbacks.sendRulesMessage(gateway, message);
     }
 
     @Override
     public void commit(RegistryCommand command) {
-        replicate(command, (done, fault) -> {});
+        replicate(command, (committed, failure) -> {});
     }
 
     @Override
     public void confirmLeadership(long round) {
-        node.query(ASK, QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.empty())
-                .whenComplete((answer, fault) -> executor.execute(() -> {
-                    if (fault == null) {
+        node.query(EMPTY_QUERY, QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.empty())
+                .whenComplete((result, failure) -> executor.execute(() -> {
+                    if (failure == null) {
                         grantor.leadershipConfirmed(nowUs.getAsLong(), round);
                     } else {
                         grantor.leadershipUnconfirmed(round);
@@ -291,173 +294,185 @@
 
     @Override
     public void log(String line) {
-        carrier.log(line);
+        callbacks.log(line);
     }
 
-    // ---- What gateways and the command line ask; on the executor ----
+    // ---- Requests of gateways and operator tools ----
 
-    /** Something that a gateway asks, or whoever listens at {@code from}. */
-    public void receiveRequest(String from, RulesMessage talk) {
+    /**
+     * Handles a request of a gateway or an operator tool.
+     *
+     * @param sender a gateway's name, or "@" and an address to which the answer goes
+     */
+    public void receiveRequest(String sender, RulesMessage message) {
         long now = nowUs.getAsLong();
-        if (talk instanceof RulesMessage.LeaseRequest renew) {
+        if (message instanceof RulesMessage.LeaseRequest leaseRequest) {
             if (grantor.isLeader()) {
-                grantor.renew(now, from, renew);
+                grantor.renew(now, sender, leaseRequest);
             } else {
-                carrier.sendRulesMessage(from, new RulesMessage.NotLeader(renew.nonce(), leader));
+                callbacks.sendRulesMessage(sender, new RulesMessage.NotLeader(leaseRequest.nonce(), leader));
             }
-        } else if (talk instanceof RulesMessage.FetchPiece fetch) {
+        } else if (message instanceof RulesMessage.FetchPiece fetch) {
             RuleRegistry.Version version = registry.versions().get(fetch.version());
             List<String> pieces = version == null ? List.of() : RegistryCommand.splitIntoPieces(version.text());
-            boolean has = fetch.pieceIndex() >= 0 && fetch.pieceIndex() < pieces.size();
-            carrier.sendRulesMessage(
-                    from,
+            boolean found = fetch.pieceIndex() >= 0 && fetch.pieceIndex() < pieces.size();
+            callbacks.sendRulesMessage(
+                    sender,
                     new RulesMessage.TextPiece(
                             fetch.nonce(),
                             fetch.version(),
                             fetch.pieceIndex(),
                             pieces.size(),
-                            has ? pieces.get(fetch.pieceIndex()) : ""));
-        } else if (talk instanceof RulesMessage.ProposalPiece offer) {
-            if (leads(from, offer.id())) {
-                offered(from, offer);
+                            found ? pieces.get(fetch.pieceIndex()) : ""));
+        } else if (message instanceof RulesMessage.ProposalPiece piece) {
+            if (checkLeader(sender, piece.id())) {
+                receiveProposalPiece(sender, piece);
             }
-        } else if (talk instanceof RulesMessage.AdminRequest order) {
-            if (leads(from, order.id())) {
-                if (order.action().endsWith("-voter")) {
-                    changeVoters(from, order);
+        } else if (message instanceof RulesMessage.AdminRequest request) {
+            if (checkLeader(sender, request.id())) {
+                if (request.action().endsWith("-voter")) {
+                    changeVoters(sender, request);
                     return;
                 }
-                RegistryCommand command = switch (order.action()) {
-                    case "withdraw" -> new RegistryCommand.Withdraw(order.version(), order.author(), order.reason());
-                    case "forget" -> new RegistryCommand.ForgetGateway(order.name());
+                RegistryCommand command = switch (request.action()) {
+                    case "withdraw" ->
+                        new RegistryCommand.Withdraw(request.version(), request.author(), request.reason());
+                    case "forget" -> new RegistryCommand.ForgetGateway(request.name());
                     default -> null;
                 };
                 if (command == null) {
-                    carrier.sendRulesMessage(
-                            from,
+                    callbacks.sendRulesMessage(
+                            sender,
                             new RulesMessage.RequestAnswer(
-                                    order.id(), -1, 0, "no order is called '" + order.action() + "'"));
+                                    request.id(), -1, 0, "unknown request '" + request.action() + "'"));
                 } else {
-                    answer(from, order.id(), command);
+                    replicateAndAnswer(sender, request.id(), command);
                 }
             }
         }
     }
 
     /**
-     * Adds or removes a voter, one at a time. One that is added first only listens, so that a majority never counts on
-     * an empty folder, and votes from {@link #LISTENS_MS} on; where the leader changes meanwhile it is to be added
-     * again.
+     * Adds or removes one voter. A new voter first receives the log as a learner for {@link #LEARNER_MS}, so that no
+     * majority depends on a voter without the log. If the leader changes meanwhile, the request has to be repeated.
      */
-    private void changeVoters(String from, RulesMessage.AdminRequest order) {
-        VoterEndpoint voter = new VoterEndpoint(order.name());
-        boolean there = node.getCommittedMembers().getVotingMembers().contains(voter);
-        if (order.action().equals("add-voter") && !there) {
-            boolean listens = node.getCommittedMembers().getMembers().contains(voter);
-            change(
-                    from,
-                    order,
+    private void changeVoters(String sender, RulesMessage.AdminRequest request) {
+        VoterEndpoint voter = new VoterEndpoint(request.name());
+        boolean isVoter = node.getCommittedMembers().getVotingMembers().contains(voter);
+        if (request.action().equals("add-voter") && !isVoter) {
+            boolean isLearner = node.getCommittedMembers().getMembers().contains(voter);
+            changeMembership(
+                    sender,
+                    request,
                     voter,
-                    listens ? MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER : MembershipChangeMode.ADD_LEARNER);
-        } else if (order.action().equals("remove-voter")
+                    isLearner ? MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER : MembershipChangeMode.ADD_LEARNER);
+        } else if (request.action().equals("remove-voter")
                 && node.getCommittedMembers().getMembers().contains(voter)) {
-            if (node.getCommittedMembers().getVotingMembers().size() < 2 && there) {
-                carrier.sendRulesMessage(
-                        from, new RulesMessage.RequestAnswer(order.id(), -1, 0, "it is the only voter"));
+            if (node.getCommittedMembers().getVotingMembers().size() < 2 && isVoter) {
+                callbacks.sendRulesMessage(
+                        sender, new RulesMessage.RequestAnswer(request.id(), -1, 0, "the only voter can't be removed"));
                 return;
             }
-            change(from, order, voter, MembershipChangeMode.REMOVE_MEMBER);
+            changeMembership(sender, request, voter, MembershipChangeMode.REMOVE_MEMBER);
         } else {
-            carrier.sendRulesMessage(from, new RulesMessage.RequestAnswer(order.id(), -1, registry.newest(), ""));
+            callbacks.sendRulesMessage(sender, new RulesMessage.RequestAnswer(request.id(), -1, registry.newest(), ""));
         }
     }
 
-    private void change(String from, RulesMessage.AdminRequest order, VoterEndpoint voter, MembershipChangeMode mode) {
+    private void changeMembership(
+            String sender, RulesMessage.AdminRequest request, VoterEndpoint voter, MembershipChangeMode mode) {
         node.changeMembership(voter, mode, node.getCommittedMembers().getLogIndex())
-                .whenComplete((done, fault) -> executor.execute(() -> {
-                    if (fault != null) {
+                .whenComplete((changed, failure) -> executor.execute(() -> {
+                    if (failure != null) {
                         return;
                     }
-                    carrier.log("voters are now " + voters()
-                            + (mode == MembershipChangeMode.ADD_LEARNER ? "; " + voter + " listens first" : ""));
+                    callbacks.log("voters are now " + voters()
+                            + (mode == MembershipChangeMode.ADD_LEARNER ? "; " + voter + " is a learner first" : ""));
                     if (mode == MembershipChangeMode.ADD_LEARNER) {
                         executor.schedule(
                                 () -> {
                                     if (grantor.isLeader()) {
-                                        change(from, order, voter, MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER);
+                                        changeMembership(
+                                                sender,
+                                                request,
+                                                voter,
+                                                MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER);
                                     }
                                 },
-                                LISTENS_MS,
+                                LEARNER_MS,
                                 TimeUnit.MILLISECONDS);
                     } else {
-                        carrier.sendRulesMessage(
-                                from, new RulesMessage.RequestAnswer(order.id(), -1, registry.newest(), ""));
+                        callbacks.sendRulesMessage(
+                                sender, new RulesMessage.RequestAnswer(request.id(), -1, registry.newest(), ""));
                     }
                 }));
     }
 
-    /** The names that vote, as of the last change that a majority has. */
+    /** The names of the voters as of the last committed change, sorted. */
     public List<String> voters() {
         return node.getCommittedMembers().getVotingMembers().stream()
-                .map(e -> String.valueOf(e.getId()))
+                .map(endpoint -> String.valueOf(endpoint.getId()))
                 .sorted()
                 .toList();
     }
 
-    private boolean leads(String from, long id) {
+    /** Whether this voter leads; if not, the sender gets the leader's name. */
+    private boolean checkLeader(String sender, long id) {
         if (!grantor.isLeader()) {
-            carrier.sendRulesMessage(from, new RulesMessage.NotLeader(id, leader));
+            callbacks.sendRulesMessage(sender, new RulesMessage.NotLeader(id, leader));
         }
         return grantor.isLeader();
     }
 
-    private void offered(String from, RulesMessage.ProposalPiece piece) {
+    private void receiveProposalPiece(String sender, RulesMessage.ProposalPiece piece) {
         if (piece.pieceCount() < 1
                 || piece.pieceCount() > RegistryCommand.MAX_PIECES
                 || piece.pieceIndex() < 0
                 || piece.pieceIndex() >= piece.pieceCount()) {
-            carrier.sendRulesMessage(
-                    from,
+            callbacks.sendRulesMessage(
+                    sender,
                     new RulesMessage.RequestAnswer(
                             piece.id(),
                             -1,
                             0,
-                            "a text of more than " + RegistryCommand.MAX_TEXT_CHARS + " characters"));
+                            "the rules text is longer than " + RegistryCommand.MAX_TEXT_CHARS
+                                    + " characters, or a piece has a wrong index"));
             return;
         }
-        Offer offer = offers.computeIfAbsent(piece.id(), id -> new Offer());
-        if (offer.pieces.length != piece.pieceCount()) {
-            offer.pieces = new String[piece.pieceCount()];
+        Proposal proposal = proposals.computeIfAbsent(piece.id(), id -> new Proposal());
+        if (proposal.pieces.length != piece.pieceCount()) {
+            proposal.pieces = new String[piece.pieceCount()];
         }
-        offer.pieces[piece.pieceIndex()] = piece.text();
+        proposal.pieces[piece.pieceIndex()] = piece.text();
         for (int i = 0; i < piece.pieceCount(); i++) {
-            if (offer.pieces[i] == null) {
-                carrier.sendRulesMessage(from, new RulesMessage.RequestAnswer(piece.id(), i, 0, ""));
+            if (proposal.pieces[i] == null) {
+                callbacks.sendRulesMessage(sender, new RulesMessage.RequestAnswer(piece.id(), i, 0, ""));
                 return;
             }
         }
-        if (offer.proposing) {
+        if (proposal.submitted) {
             return;
         }
-        String text = String.join("", offer.pieces);
-        List<RegistryCommand.PlanLimit> figures = new ArrayList<>();
+        String text = String.join("", proposal.pieces);
+        List<RegistryCommand.PlanLimit> limits = new ArrayList<>();
         try {
             loader.apply(text)
                     .limits()
                     .forEach((plan, limit) ->
-                            figures.add(new RegistryCommand.PlanLimit(plan, limit.units(), limit.floor())));
+                            limits.add(new RegistryCommand.PlanLimit(plan, limit.units(), limit.floor())));
         } catch (IllegalArgumentException e) {
-            offers.remove(piece.id());
-            carrier.sendRulesMessage(
-                    from, new RulesMessage.RequestAnswer(piece.id(), -1, 0, cut(String.valueOf(e.getMessage()))));
+            proposals.remove(piece.id());
+            callbacks.sendRulesMessage(
+                    sender,
+                    new RulesMessage.RequestAnswer(piece.id(), -1, 0, truncate(String.valueOf(e.getMessage()))));
             return;
         }
-        offer.proposing = true;
-        for (int i = 0; i < offer.pieces.length; i++) {
-            commit(new RegistryCommand.AddPiece(piece.id(), i, offer.pieces.length, offer.pieces[i]));
+        proposal.submitted = true;
+        for (int i = 0; i < proposal.pieces.length; i++) {
+            commit(new RegistryCommand.AddPiece(piece.id(), i, proposal.pieces.length, proposal.pieces[i]));
         }
-        answer(
-                from,
+        replicateAndAnswer(
+                sender,
                 piece.id(),
                 new RegistryCommand.Propose(
                         piece.id(),
@@ -465,38 +480,38 @@
                         piece.author(),
                         piece.reason(),
                         piece.wallMs(),
-                        offer.pieces.length,
-                        figures));
+                        proposal.pieces.length,
+                        limits));
     }
 
-    /** Puts a command into the log; {@code then} is told how that went, on the executor. */
-    private void replicate(RegistryCommand command, BiConsumer<Ordered<RuleRegistry.Result>, Throwable> then) {
-        outstanding++;
+    /** Appends a command to the log; {@code whenDone} gets the result or the failure, on the executor. */
+    private void replicate(RegistryCommand command, BiConsumer<Ordered<RuleRegistry.Result>, Throwable> whenDone) {
+        uncommitted++;
         node.<RuleRegistry.Result>replicate(command)
-                .whenComplete((done, fault) -> executor.execute(() -> {
-                    outstanding--;
-                    then.accept(done, fault);
+                .whenComplete((committed, failure) -> executor.execute(() -> {
+                    uncommitted--;
+                    whenDone.accept(committed, failure);
                 }));
     }
 
-    /** Answers once the command is in the log of a majority; where that can't be told, the asker asks again. */
-    private void answer(String to, long id, RegistryCommand command) {
-        replicate(command, (done, fault) -> {
-            offers.remove(id);
-            if (fault == null) {
-                RuleRegistry.Result result = done.getResult();
-                carrier.sendRulesMessage(
-                        to, new RulesMessage.RequestAnswer(id, -1, result.version(), cut(result.error())));
+    /** Answers once the command is committed; if that is unknown, there is no answer and the sender asks again. */
+    private void replicateAndAnswer(String recipient, long id, RegistryCommand command) {
+        replicate(command, (committed, failure) -> {
+            proposals.remove(id);
+            if (failure == null) {
+                RuleRegistry.Result result = committed.getResult();
+                callbacks.sendRulesMessage(
+                        recipient, new RulesMessage.RequestAnswer(id, -1, result.version(), truncate(result.error())));
                 grantor.tick(nowUs.getAsLong());
             }
         });
     }
 
-    private static String cut(String line) {
+    private static String truncate(String line) {
         return line.substring(0, Math.min(line.length(), RulesMessage.MAX_LINE_CHARS));
     }
 
-    // ---- What is shown; on the executor ----
+    // ---- State ----
 
     public RuleRegistry registry() {
         return registry;
@@ -506,6 +521,7 @@
         return grantor;
     }
 
+    /** The name of the leader, or empty if none is known. */
     public String leader() {
         return leader;
     }
@@ -518,21 +534,21 @@
         return name;
     }
 
-    /** The loop's clock as MicroRaft asks for it; it decides when a leader was last heard, never what time it is. */
-    private static final class LoopClock extends Clock {
+    /** Presents the monotonic clock to MicroRaft, which only compares its times. */
+    private static final class MonotonicClock extends Clock {
         private final LongSupplier nowUs;
 
-        LoopClock(LongSupplier nowUs) {
+        MonotonicClock(LongSupplier nowUs) {
             this.nowUs = nowUs;
         }
 
         @Override
-        public java.time.ZoneId getZone() {
-            return java.time.ZoneOffset.UTC;
+        public ZoneId getZone() {
+            return ZoneOffset.UTC;
         }
 
         @Override
-        public Clock withZone(java.time.ZoneId zone) {
+        public Clock withZone(ZoneId zone) {
             return this;
         }
 
@@ -542,8 +558,8 @@
         }
 
         @Override
-        public java.time.Instant instant() {
-            return java.time.Instant.ofEpochMilli(millis());
+        public Instant instant() {
+            return Instant.ofEpochMilli(millis());
         }
     }
 }
--- a/src/main/java/petrelstand/consensus/VoterEndpoint.java
+++ b/src/main/java/petrelstand/consensus/VoterEndpoint.java
@@ -2,7 +2,7 @@
 
 import io.microraft.RaftEndpoint;
 
-/** A voter, by its name in the fleet. */
+/** Identifies a voter to MicroRaft by its gateway's name. */
 record VoterEndpoint(String name) implements RaftEndpoint {
     @Override
     public Object getId() {
