--- a/src/main/java/petrelstand/consensus/Wire.java
+++ b/src/main/java/petrelstand/consensus/Wire.java
@@ -25,6 +25,7 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.Collection;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
@@ -38,300 +39,353 @@
 import petrelstand.cbor.CborReader;
 
 /**
- * Parcels, log entries and whole books as CBOR (RFC 8949) by Jackson: one array each, its layout in
- * docs/design/agreement.md. A log entry of the longest command fits one datagram.
+ * Encodes and decodes envelopes, log entries and registry snapshots as CBOR arrays (RFC 8949). docs/design/agreement.md
+ * describes the layouts; the kinds and the order of the fields are part of the wire format and of the stored files. A
+ * log entry with the longest command fits into one datagram.
  */
 public final class Wire {
     static final int VERSION = 1;
     static final String GROUP = "rules";
-    static final int MOST_NAME = 64;
-    static final int MOST_ADDRESS = 64;
-    static final int MOST_CHUNK = 900;
-    private static final int MOST_VOTERS = 16;
-    private static final int MOST_CHUNKS = 4096;
+    static final int MAX_NAME_CHARS = 64;
+    static final int MAX_ADDRESS_CHARS = 64;
+    /** Size of a snapshot chunk; a message with one chunk fits into a datagram. */
+    static final int CHUNK_BYTES = 900;
+
+    private static final int MAX_ENDPOINTS = 16;
+    private static final int MAX_CHUNKS = 4096;
+    private static final int MAX_LIST_LENGTH = 4096;
+    private static final int MAX_ENTRIES_PER_MESSAGE = 64;
+    private static final int MAX_PROPOSALS = 64;
+    private static final int MAX_ACTION_CHARS = 16;
+    // Kinds of consensus messages.
+    private static final int APPEND_ENTRIES_REQUEST = 1,
+            APPEND_ENTRIES_SUCCESS = 2,
+            APPEND_ENTRIES_FAILURE = 3,
+            INSTALL_SNAPSHOT_REQUEST = 4,
+            INSTALL_SNAPSHOT_RESPONSE = 5,
+            PRE_VOTE_REQUEST = 6,
+            PRE_VOTE_RESPONSE = 7,
+            VOTE_REQUEST = 8,
+            VOTE_RESPONSE = 9,
+            TRIGGER_LEADER_ELECTION = 10;
+    // Kinds of rules messages; all are above the kinds of consensus messages.
+    private static final int MIN_RULES_MESSAGE_KIND = 20;
+    private static final int LEASE_REQUEST = 21,
+            LEASE_ANSWER = 22,
+            NOT_LEADER = 23,
+            VERSIONS_CHANGED = 24,
+            FETCH_PIECE = 25,
+            TEXT_PIECE = 26,
+            PROPOSAL_PIECE = 27,
+            ADMIN_REQUEST = 28,
+            REQUEST_ANSWER = 29,
+            GENERATION_QUERY = 30,
+            GENERATION_ANSWER = 31;
+    // Kinds of operations in a log entry.
+    private static final int NEW_TERM = 1,
+            ADD_PIECE = 2,
+            PROPOSE = 3,
+            ACTIVATE = 4,
+            WITHDRAW = 5,
+            REGISTER_GATEWAY = 6,
+            FORGET_GATEWAY = 7,
+            CHANGE_MEMBERS = 20;
     private static final CBORFactory CBOR = new CBORFactory();
     static final DefaultRaftModelFactory MODEL = new DefaultRaftModelFactory();
 
     private Wire() {}
 
-    /** Writes the fields of an array. */
-    interface Body {
-        void write(CBORGenerator to) throws IOException;
+    /** Writes the elements of an array, without its start and end. */
+    interface ArrayBody {
+        void write(CBORGenerator generator) throws IOException;
     }
 
-    static byte[] array(Body body) {
+    /** Encodes one array. */
+    static byte[] encodeArray(ArrayBody body) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(512);
-        try (CBORGenerator to = CBOR.createGenerator(bytes)) {
-            to.writeStartArray();
-            body.write(to);
-            to.writeEndArray();
+        try (CBORGenerator generator = CBOR.createGenerator(bytes)) {
+            generator.writeStartArray();
+            body.write(generator);
+            generator.writeEndArray();
         } catch (IOException e) {
-            throw new UncheckedIOException("an array in memory takes all that is written to it", e);
+            throw new UncheckedIOException("writing to memory failed", e);
         }
         return bytes.toByteArray();
     }
 
-    // ---- Parcels ----
-
-    /** The content of a parcel's datagram. */
-    public static byte[] encode(Envelope parcel) {
-        return array(to -> {
-            to.writeNumber(VERSION);
-            to.writeString(parcel.fleet());
-            to.writeString(parcel.sender());
-            to.writeString(parcel.senderAddress());
-            to.writeNumber(parcel.generation());
-            to.writeNumber(parcel.epoch());
-            if (parcel.raftMessage() != null) {
-                write(to, parcel.raftMessage());
+    // ---- Envelopes ----
+
+    /** Encodes an envelope as the content of a datagram. */
+    public static byte[] encode(Envelope envelope) {
+        return encodeArray(generator -> {
+            generator.writeNumber(VERSION);
+            generator.writeString(envelope.fleet());
+            generator.writeString(envelope.sender());
+            generator.writeString(envelope.senderAddress());
+            generator.writeNumber(envelope.generation());
+            generator.writeNumber(envelope.epoch());
+            if (envelope.raftMessage() != null) {
+                write(generator, envelope.raftMessage());
             } else {
-                write(to, parcel.rulesMessage());
+                write(generator, envelope.rulesMessage());
             }
         });
     }
 
-    /** Reads a parcel whole; an IOException says that it is malformed, and where. */
+    /** Decodes the content of a datagram; throws an IOException that says where it is malformed. */
     public static Envelope decode(byte[] content) throws IOException {
-        try (CborReader from = new CborReader(content)) {
-            from.expect(JsonToken.START_ARRAY);
-            long version = from.whole();
+        try (CborReader reader = new CborReader(content)) {
+            reader.expect(JsonToken.START_ARRAY);
+            long version = reader.whole();
             if (version != VERSION) {
-                throw new IOException("form " + version + " is not " + VERSION);
+                throw new IOException("wire format version " + version + " is not " + VERSION);
             }
-            String fleet = from.text(MOST_NAME);
-            String name = from.text(MOST_NAME);
-            String address = from.text(MOST_ADDRESS);
-            long generation = from.whole();
-            long epoch = from.whole();
-            int kind = from.count();
-            Envelope parcel = kind < 20
+            String fleet = reader.text(MAX_NAME_CHARS);
+            String sender = reader.text(MAX_NAME_CHARS);
+            String senderAddress = reader.text(MAX_ADDRESS_CHARS);
+            long generation = reader.whole();
+            long epoch = reader.whole();
+            int kind = reader.count();
+            Envelope envelope = kind < MIN_RULES_MESSAGE_KIND
                     ? new Envelope(
-                            fleet, name, address, generation, epoch, raft(from, kind, new VoterEndpoint(name)), null)
-                    : new Envelope(fleet, name, address, generation, epoch, null, talk(from, kind));
-            from.expect(JsonToken.END_ARRAY);
-            from.end();
-            return parcel;
+                            fleet,
+                            sender,
+                            senderAddress,
+                            generation,
+                            epoch,
+                            readRaftMessage(reader, kind, new VoterEndpoint(sender)),
+                            null)
+                    : new Envelope(
+                            fleet, sender, senderAddress, generation, epoch, null, readRulesMessage(reader, kind));
+            reader.expect(JsonToken.END_ARRAY);
+            reader.end();
+            return envelope;
         }
     }
 
-    private static void write(CBORGenerator to, RaftMessage message) throws IOException {
+    private static void write(CBORGenerator generator, RaftMessage message) throws IOException {
         int kind = message instanceof AppendEntriesRequest
-                ? 1
+                ? APPEND_ENTRIES_REQUEST
                 : message instanceof AppendEntriesSuccessResponse
-                        ? 2
+                        ? APPEND_ENTRIES_SUCCESS
                         : message instanceof AppendEntriesFailureResponse
-                                ? 3
+                                ? APPEND_ENTRIES_FAILURE
                                 : message instanceof InstallSnapshotRequest
-                                        ? 4
+                                        ? INSTALL_SNAPSHOT_REQUEST
                                         : message instanceof InstallSnapshotResponse
-                                                ? 5
+                                                ? INSTALL_SNAPSHOT_RESPONSE
                                                 : message instanceof PreVoteRequest
-                                                        ? 6
+                                                        ? PRE_VOTE_REQUEST
                                                         : message instanceof PreVoteResponse
-                                                                ? 7
+                                                                ? PRE_VOTE_RESPONSE
                                                                 : message instanceof VoteRequest
-                                                                        ? 8
-                                                                        : message instanceof VoteResponse ? 9 : 10;
-        to.writeNumber(kind);
-        to.writeNumber(message.getTerm());
-        if (message instanceof AppendEntriesRequest one) {
-            to.writeNumber(one.getPreviousLogTerm());
-            to.writeNumber(one.getPreviousLogIndex());
-            to.writeNumber(one.getCommitIndex());
-            to.writeNumber(one.getQuerySequenceNumber());
-            to.writeNumber(one.getFlowControlSequenceNumber());
-            to.writeStartArray();
-            for (LogEntry entry : one.getLogEntries()) {
-                to.writeStartArray();
-                write(to, entry);
-                to.writeEndArray();
+                                                                        ? VOTE_REQUEST
+                                                                        : message instanceof VoteResponse
+                                                                                ? VOTE_RESPONSE
+                                                                                : TRIGGER_LEADER_ELECTION;
+        generator.writeNumber(kind);
+        generator.writeNumber(message.getTerm());
+        if (message instanceof AppendEntriesRequest request) {
+            generator.writeNumber(request.getPreviousLogTerm());
+            generator.writeNumber(request.getPreviousLogIndex());
+            generator.writeNumber(request.getCommitIndex());
+            generator.writeNumber(request.getQuerySequenceNumber());
+            generator.writeNumber(request.getFlowControlSequenceNumber());
+            generator.writeStartArray();
+            for (LogEntry entry : request.getLogEntries()) {
+                generator.writeStartArray();
+                write(generator, entry);
+                generator.writeEndArray();
             }
-            to.writeEndArray();
-        } else if (message instanceof AppendEntriesSuccessResponse one) {
-            to.writeNumber(one.getLastLogIndex());
-            to.writeNumber(one.getQuerySequenceNumber());
-            to.writeNumber(one.getFlowControlSequenceNumber());
-        } else if (message instanceof AppendEntriesFailureResponse one) {
-            to.writeNumber(one.getExpectedNextIndex());
-            to.writeNumber(one.getQuerySequenceNumber());
-            to.writeNumber(one.getFlowControlSequenceNumber());
-        } else if (message instanceof InstallSnapshotRequest one) {
-            to.writeBoolean(one.isSenderLeader());
-            to.writeNumber(one.getSnapshotTerm());
-            to.writeNumber(one.getSnapshotIndex());
-            to.writeNumber(one.getTotalSnapshotChunkCount());
-            to.writeNumber(one.getQuerySequenceNumber());
-            to.writeNumber(one.getFlowControlSequenceNumber());
-            names(to, one.getSnapshottedMembers());
-            write(to, one.getGroupMembersView());
-            to.writeStartArray();
-            if (one.getSnapshotChunk() != null) {
-                to.writeStartArray();
-                write(to, one.getSnapshotChunk());
-                to.writeEndArray();
+            generator.writeEndArray();
+        } else if (message instanceof AppendEntriesSuccessResponse response) {
+            generator.writeNumber(response.getLastLogIndex());
+            generator.writeNumber(response.getQuerySequenceNumber());
+            generator.writeNumber(response.getFlowControlSequenceNumber());
+        } else if (message instanceof AppendEntriesFailureResponse response) {
+            generator.writeNumber(response.getExpectedNextIndex());
+            generator.writeNumber(response.getQuerySequenceNumber());
+            generator.writeNumber(response.getFlowControlSequenceNumber());
+        } else if (message instanceof InstallSnapshotRequest request) {
+            generator.writeBoolean(request.isSenderLeader());
+            generator.writeNumber(request.getSnapshotTerm());
+            generator.writeNumber(request.getSnapshotIndex());
+            generator.writeNumber(request.getTotalSnapshotChunkCount());
+            generator.writeNumber(request.getQuerySequenceNumber());
+            generator.writeNumber(request.getFlowControlSequenceNumber());
+            writeEndpoints(generator, request.getSnapshottedMembers());
+            write(generator, request.getGroupMembersView());
+            generator.writeStartArray();
+            if (request.getSnapshotChunk() != null) {
+                generator.writeStartArray();
+                write(generator, request.getSnapshotChunk());
+                generator.writeEndArray();
             }
-            to.writeEndArray();
-        } else if (message instanceof InstallSnapshotResponse one) {
-            to.writeNumber(one.getSnapshotIndex());
-            to.writeNumber(one.getRequestedSnapshotChunkIndex());
-            to.writeNumber(one.getQuerySequenceNumber());
-            to.writeNumber(one.getFlowControlSequenceNumber());
-        } else if (message instanceof PreVoteRequest one) {
-            to.writeNumber(one.getLastLogTerm());
-            to.writeNumber(one.getLastLogIndex());
-        } else if (message instanceof PreVoteResponse one) {
-            to.writeBoolean(one.isGranted());
-        } else if (message instanceof VoteRequest one) {
-            to.writeNumber(one.getLastLogTerm());
-            to.writeNumber(one.getLastLogIndex());
-            to.writeBoolean(one.isSticky());
-        } else if (message instanceof VoteResponse one) {
-            to.writeBoolean(one.isGranted());
-        } else if (message instanceof TriggerLeaderElectionRequest one) {
-            to.writeNumber(one.getLastLogTerm());
-            to.writeNumber(one.getLastLogIndex());
+            generator.writeEndArray();
+        } else if (message instanceof InstallSnapshotResponse response) {
+            generator.writeNumber(response.getSnapshotIndex());
+            generator.writeNumber(response.getRequestedSnapshotChunkIndex());
+            generator.writeNumber(response.getQuerySequenceNumber());
+            generator.writeNumber(response.getFlowControlSequenceNumber());
+        } else if (message instanceof PreVoteRequest request) {
+            generator.writeNumber(request.getLastLogTerm());
+            generator.writeNumber(request.getLastLogIndex());
+        } else if (message instanceof PreVoteResponse response) {
+            generator.writeBoolean(response.isGranted());
+        } else if (message instanceof VoteRequest request) {
+            generator.writeNumber(request.getLastLogTerm());
+            generator.writeNumber(request.getLastLogIndex());
+            generator.writeBoolean(request.isSticky());
+        } else if (message instanceof VoteResponse response) {
+            generator.writeBoolean(response.isGranted());
+        } else if (message instanceof TriggerLeaderElectionRequest request) {
+            generator.writeNumber(request.getLastLogTerm());
+            generator.writeNumber(request.getLastLogIndex());
         }
     }
 
-    private static RaftMessage raft(CborReader from, int kind, VoterEndpoint sender) throws IOException {
-        int term = from.count();
+    private static RaftMessage readRaftMessage(CborReader reader, int kind, VoterEndpoint sender) throws IOException {
+        int term = reader.count();
         return switch (kind) {
-            case 1 ->
+            case APPEND_ENTRIES_REQUEST ->
                 MODEL.createAppendEntriesRequestBuilder()
                         .setGroupId(GROUP)
                         .setSender(sender)
                         .setTerm(term)
-                        .setPreviousLogTerm(from.count())
-                        .setPreviousLogIndex(from.whole())
-                        .setCommitIndex(from.whole())
-                        .setQuerySequenceNumber(from.whole())
-                        .setFlowControlSequenceNumber(from.whole())
-                        .setLogEntries(from.list(64, () -> entry(from)))
+                        .setPreviousLogTerm(reader.count())
+                        .setPreviousLogIndex(reader.whole())
+                        .setCommitIndex(reader.whole())
+                        .setQuerySequenceNumber(reader.whole())
+                        .setFlowControlSequenceNumber(reader.whole())
+                        .setLogEntries(reader.list(MAX_ENTRIES_PER_MESSAGE, () -> readEntry(reader)))
                         .build();
-            case 2 ->
+            case APPEND_ENTRIES_SUCCESS ->
                 MODEL.createAppendEntriesSuccessResponseBuilder()
                         .setGroupId(GROUP)
                         .setSender(sender)
                         .setTerm(term)
-                        .setLastLogIndex(from.whole())
-                        .setQuerySequenceNumber(from.whole())
-                        .setFlowControlSequenceNumber(from.whole())
+                        .setLastLogIndex(reader.whole())
+                        .setQuerySequenceNumber(reader.whole())
+                        .setFlowControlSequenceNumber(reader.whole())
                         .build();
-            case 3 ->
+            case APPEND_ENTRIES_FAILURE ->
                 MODEL.createAppendEntriesFailureResponseBuilder()
                         .setGroupId(GROUP)
                         .setSender(sender)
                         .setTerm(term)
-                        .setExpectedNextIndex(from.whole())
-                        .setQuerySequenceNumber(from.whole())
-                        .setFlowControlSequenceNumber(from.whole())
+                        .setExpectedNextIndex(reader.whole())
+                        .setQuerySequenceNumber(reader.whole())
+                        .setFlowControlSequenceNumber(reader.whole())
                         .build();
-            case 4 -> {
-                boolean leader = from.flag();
-                int snapshotTerm = from.count();
-                long index = from.whole();
-                int total = from.count();
-                long query = from.whole();
-                long flow = from.whole();
-                Set<RaftEndpoint> members = names(from);
-                RaftGroupMembersView view = view(from);
-                List<SnapshotChunk> chunk = from.list(1, () -> chunk(from));
-                yield MODEL.createInstallSnapshotRequestBuilder()
-                        .setGroupId(GROUP)
-                        .setSender(sender)
-                        .setTerm(term)
-                        .setSenderLeader(leader)
-                        .setSnapshotTerm(snapshotTerm)
-                        .setSnapshotIndex(index)
-                        .setTotalSnapshotChunkCount(total)
-                        .setSnapshotChunk(chunk.isEmpty() ? null : chunk.get(0))
-                        .setSnapshottedMembers(members)
-                        .setGroupMembersView(view)
-                        .setQuerySequenceNumber(query)
-                        .setFlowControlSequenceNumber(flow)
-                        .build();
-            }
-            case 5 ->
+            case INSTALL_SNAPSHOT_REQUEST -> readInstallSnapshotRequest(reader, sender, term);
+            case INSTALL_SNAPSHOT_RESPONSE ->
                 MODEL.createInstallSnapshotResponseBuilder()
                         .setGroupId(GROUP)
                         .setSender(sender)
                         .setTerm(term)
-                        .setSnapshotIndex(from.whole())
-                        .setRequestedSnapshotChunkIndex(from.count())
-                        .setQuerySequenceNumber(from.whole())
-                        .setFlowControlSequenceNumber(from.whole())
+                        .setSnapshotIndex(reader.whole())
+                        .setRequestedSnapshotChunkIndex(reader.count())
+                        .setQuerySequenceNumber(reader.whole())
+                        .setFlowControlSequenceNumber(reader.whole())
                         .build();
-            case 6 ->
+            case PRE_VOTE_REQUEST ->
                 MODEL.createPreVoteRequestBuilder()
                         .setGroupId(GROUP)
                         .setSender(sender)
                         .setTerm(term)
-                        .setLastLogTerm(from.count())
-                        .setLastLogIndex(from.whole())
+                        .setLastLogTerm(reader.count())
+                        .setLastLogIndex(reader.whole())
                         .build();
-            case 7 ->
+            case PRE_VOTE_RESPONSE ->
                 MODEL.createPreVoteResponseBuilder()
                         .setGroupId(GROUP)
                         .setSender(sender)
                         .setTerm(term)
-                        .setGranted(from.flag())
+                        .setGranted(reader.flag())
                         .build();
-            case 8 ->
+            case VOTE_REQUEST ->
                 MODEL.createVoteRequestBuilder()
                         .setGroupId(GROUP)
                         .setSender(sender)
                         .setTerm(term)
-                        .setLastLogTerm(from.count())
-                        .setLastLogIndex(from.whole())
-                        .setSticky(from.flag())
+                        .setLastLogTerm(reader.count())
+                        .setLastLogIndex(reader.whole())
+                        .setSticky(reader.flag())
                         .build();
-            case 9 ->
+            case VOTE_RESPONSE ->
                 MODEL.createVoteResponseBuilder()
                         .setGroupId(GROUP)
                         .setSender(sender)
                         .setTerm(term)
-                        .setGranted(from.flag())
+                        .setGranted(reader.flag())
                         .build();
-            case 10 ->
+            case TRIGGER_LEADER_ELECTION ->
                 MODEL.createTriggerLeaderElectionRequestBuilder()
                         .setGroupId(GROUP)
                         .setSender(sender)
                         .setTerm(term)
-                        .setLastLogTerm(from.count())
-                        .setLastLogIndex(from.whole())
+                        .setLastLogTerm(reader.count())
+                        .setLastLogIndex(reader.whole())
                         .build();
-            default -> throw new IOException("no voters' message has the kind " + kind);
+            default -> throw new IOException("unknown consensus message kind " + kind);
         };
     }
 
-    // ---- What the log and its file hold ----
+    private static RaftMessage readInstallSnapshotRequest(CborReader reader, VoterEndpoint sender, int term)
+            throws IOException {
+        boolean senderLeader = reader.flag();
+        int snapshotTerm = reader.count();
+        long snapshotIndex = reader.whole();
+        int totalChunks = reader.count();
+        long querySequence = reader.whole();
+        long flowControlSequence = reader.whole();
+        Set<RaftEndpoint> members = readEndpoints(reader);
+        RaftGroupMembersView view = readMembers(reader);
+        List<SnapshotChunk> chunk = reader.list(1, () -> readChunk(reader));
+        return MODEL.createInstallSnapshotRequestBuilder()
+                .setGroupId(GROUP)
+                .setSender(sender)
+                .setTerm(term)
+                .setSenderLeader(senderLeader)
+                .setSnapshotTerm(snapshotTerm)
+                .setSnapshotIndex(snapshotIndex)
+                .setTotalSnapshotChunkCount(totalChunks)
+                .setSnapshotChunk(chunk.isEmpty() ? null : chunk.get(0))
+                .setSnapshottedMembers(members)
+                .setGroupMembersView(view)
+                .setQuerySequenceNumber(querySequence)
+                .setFlowControlSequenceNumber(flowControlSequence)
+                .build();
+    }
+
+    // ---- Log entries ----
 
-    static void write(CBORGenerator to, LogEntry entry) throws IOException {
-        to.writeNumber(entry.getIndex());
-        to.writeNumber(entry.getTerm());
+    static void write(CBORGenerator generator, LogEntry entry) throws IOException {
+        generator.writeNumber(entry.getIndex());
+        generator.writeNumber(entry.getTerm());
         if (entry.getOperation() instanceof UpdateRaftGroupMembersOp op) {
-            to.writeNumber(20);
-            names(to, op.getMembers());
-            names(to, op.getVotingMembers());
-            to.writeString(String.valueOf(op.getEndpoint().getId()));
-            to.writeNumber(op.getMode().ordinal());
+            generator.writeNumber(CHANGE_MEMBERS);
+            writeEndpoints(generator, op.getMembers());
+            writeEndpoints(generator, op.getVotingMembers());
+            generator.writeString(String.valueOf(op.getEndpoint().getId()));
+            generator.writeNumber(op.getMode().ordinal());
         } else {
-            write(to, (RegistryCommand) entry.getOperation());
+            write(generator, (RegistryCommand) entry.getOperation());
         }
     }
 
-    static LogEntry entry(CborReader from) throws IOException {
-        long index = from.whole();
-        int term = from.count();
-        int kind = from.count();
-        Object operation = kind == 20
+    static LogEntry readEntry(CborReader reader) throws IOException {
+        long index = reader.whole();
+        int term = reader.count();
+        int kind = reader.count();
+        Object operation = kind == CHANGE_MEMBERS
                 ? MODEL.createUpdateRaftGroupMembersOpBuilder()
-                        .setMembers(names(from))
-                        .setVotingMembers(names(from))
-                        .setEndpoint(new VoterEndpoint(from.text(MOST_NAME)))
-                        .setMode(mode(from.count()))
+                        .setMembers(readEndpoints(reader))
+                        .setVotingMembers(readEndpoints(reader))
+                        .setEndpoint(new VoterEndpoint(reader.text(MAX_NAME_CHARS)))
+                        .setMode(membershipChangeMode(reader.count()))
                         .build()
-                : command(from, kind);
+                : readCommand(reader, kind);
         return MODEL.createLogEntryBuilder()
                 .setIndex(index)
                 .setTerm(term)
@@ -339,364 +393,379 @@
                 .build();
     }
 
-    private static MembershipChangeMode mode(int ordinal) throws IOException {
+    private static MembershipChangeMode membershipChangeMode(int ordinal) throws IOException {
         if (ordinal >= MembershipChangeMode.values().length) {
-            throw new IOException("no change of voters is of the kind " + ordinal);
+            throw new IOException("unknown membership change mode " + ordinal);
         }
         return MembershipChangeMode.values()[ordinal];
     }
 
-    private static void write(CBORGenerator to, RegistryCommand command) throws IOException {
+    private static void write(CBORGenerator generator, RegistryCommand command) throws IOException {
         if (command instanceof RegistryCommand.NewTerm) {
-            to.writeNumber(1);
-        } else if (command instanceof RegistryCommand.AddPiece part) {
-            to.writeNumber(2);
-            to.writeNumber(part.proposalId());
-            to.writeNumber(part.pieceIndex());
-            to.writeNumber(part.pieceCount());
-            to.writeString(part.text());
-        } else if (command instanceof RegistryCommand.Propose one) {
-            to.writeNumber(3);
-            to.writeNumber(one.proposalId());
-            to.writeNumber(one.base());
-            to.writeString(one.author());
-            to.writeString(one.reason());
-            to.writeNumber(one.wallMs());
-            to.writeNumber(one.pieceCount());
-            figures(to, one.limits());
-        } else if (command instanceof RegistryCommand.Activate one) {
-            to.writeNumber(4);
-            to.writeNumber(one.version());
-            to.writeNumber(one.confirmedNamesHash());
-        } else if (command instanceof RegistryCommand.Withdraw one) {
-            to.writeNumber(5);
-            to.writeNumber(one.version());
-            to.writeString(one.author());
-            to.writeString(one.reason());
-        } else if (command instanceof RegistryCommand.RegisterGateway one) {
-            to.writeNumber(6);
-            to.writeString(one.name());
-        } else if (command instanceof RegistryCommand.ForgetGateway one) {
-            to.writeNumber(7);
-            to.writeString(one.name());
+            generator.writeNumber(NEW_TERM);
+        } else if (command instanceof RegistryCommand.AddPiece addPiece) {
+            generator.writeNumber(ADD_PIECE);
+            generator.writeNumber(addPiece.proposalId());
+            generator.writeNumber(addPiece.pieceIndex());
+            generator.writeNumber(addPiece.pieceCount());
+            generator.writeString(addPiece.text());
+        } else if (command instanceof RegistryCommand.Propose propose) {
+            generator.writeNumber(PROPOSE);
+            generator.writeNumber(propose.proposalId());
+            generator.writeNumber(propose.base());
+            generator.writeString(propose.author());
+            generator.writeString(propose.reason());
+            generator.writeNumber(propose.wallMs());
+            generator.writeNumber(propose.pieceCount());
+            writeLimits(generator, propose.limits());
+        } else if (command instanceof RegistryCommand.Activate activate) {
+            generator.writeNumber(ACTIVATE);
+            generator.writeNumber(activate.version());
+            generator.writeNumber(activate.confirmedNamesHash());
+        } else if (command instanceof RegistryCommand.Withdraw withdraw) {
+            generator.writeNumber(WITHDRAW);
+            generator.writeNumber(withdraw.version());
+            generator.writeString(withdraw.author());
+            generator.writeString(withdraw.reason());
+        } else if (command instanceof RegistryCommand.RegisterGateway register) {
+            generator.writeNumber(REGISTER_GATEWAY);
+            generator.writeString(register.name());
+        } else if (command instanceof RegistryCommand.ForgetGateway forget) {
+            generator.writeNumber(FORGET_GATEWAY);
+            generator.writeString(forget.name());
         }
     }
 
-    private static RegistryCommand command(CborReader from, int kind) throws IOException {
+    private static RegistryCommand readCommand(CborReader reader, int kind) throws IOException {
         return switch (kind) {
-            case 1 -> new RegistryCommand.NewTerm();
-            case 2 ->
+            case NEW_TERM -> new RegistryCommand.NewTerm();
+            case ADD_PIECE ->
                 new RegistryCommand.AddPiece(
-                        from.whole(), from.count(), from.count(), from.text(RegistryCommand.PIECE_CHARS));
-            case 3 ->
+                        reader.whole(), reader.count(), reader.count(), reader.text(RegistryCommand.PIECE_CHARS));
+            case PROPOSE ->
                 new RegistryCommand.Propose(
-                        from.whole(),
-                        from.whole(),
-                        from.text(RegistryCommand.MAX_AUTHOR_CHARS),
-                        from.text(RegistryCommand.MAX_REASON_CHARS),
-                        from.whole(),
-                        from.count(),
-                        figures(from));
-            case 4 -> new RegistryCommand.Activate(from.whole(), from.whole());
-            case 5 ->
+                        reader.whole(),
+                        reader.whole(),
+                        reader.text(RegistryCommand.MAX_AUTHOR_CHARS),
+                        reader.text(RegistryCommand.MAX_REASON_CHARS),
+                        reader.whole(),
+                        reader.count(),
+                        readLimits(reader));
+            case ACTIVATE -> new RegistryCommand.Activate(reader.whole(), reader.whole());
+            case WITHDRAW ->
                 new RegistryCommand.Withdraw(
-                        from.whole(),
-                        from.text(RegistryCommand.MAX_AUTHOR_CHARS),
-                        from.text(RegistryCommand.MAX_REASON_CHARS));
-            case 6 -> new RegistryCommand.RegisterGateway(from.text(MOST_NAME));
-            case 7 -> new RegistryCommand.ForgetGateway(from.text(MOST_NAME));
-            default -> throw new IOException("no command has the kind " + kind);
+                        reader.whole(),
+                        reader.text(RegistryCommand.MAX_AUTHOR_CHARS),
+                        reader.text(RegistryCommand.MAX_REASON_CHARS));
+            case REGISTER_GATEWAY -> new RegistryCommand.RegisterGateway(reader.text(MAX_NAME_CHARS));
+            case FORGET_GATEWAY -> new RegistryCommand.ForgetGateway(reader.text(MAX_NAME_CHARS));
+            default -> throw new IOException("unknown command kind " + kind);
         };
     }
 
-    private static void figures(CBORGenerator to, List<RegistryCommand.PlanLimit> figures) throws IOException {
-        to.writeStartArray();
-        for (RegistryCommand.PlanLimit figure : figures) {
-            to.writeStartArray();
-            to.writeString(figure.plan());
-            to.writeNumber(figure.units());
-            to.writeNumber(figure.floor());
-            to.writeEndArray();
+    private static void writeLimits(CBORGenerator generator, List<RegistryCommand.PlanLimit> limits)
+            throws IOException {
+        generator.writeStartArray();
+        for (RegistryCommand.PlanLimit limit : limits) {
+            generator.writeStartArray();
+            generator.writeString(limit.plan());
+            generator.writeNumber(limit.units());
+            generator.writeNumber(limit.floor());
+            generator.writeEndArray();
         }
-        to.writeEndArray();
+        generator.writeEndArray();
     }
 
-    private static List<RegistryCommand.PlanLimit> figures(CborReader from) throws IOException {
-        return from.list(
+    private static List<RegistryCommand.PlanLimit> readLimits(CborReader reader) throws IOException {
+        return reader.list(
                 RegistryCommand.MAX_LIMITS,
                 () -> new RegistryCommand.PlanLimit(
-                        from.text(RegistryCommand.MAX_NAME_CHARS), from.whole(), from.whole()));
+                        reader.text(RegistryCommand.MAX_NAME_CHARS), reader.whole(), reader.whole()));
     }
 
-    static void write(CBORGenerator to, SnapshotChunk chunk) throws IOException {
-        to.writeNumber(chunk.getIndex());
-        to.writeNumber(chunk.getTerm());
-        to.writeNumber(chunk.getSnapshotChunkIndex());
-        to.writeNumber(chunk.getSnapshotChunkCount());
-        to.writeBinary((byte[]) chunk.getOperation());
-        write(to, chunk.getGroupMembersView());
+    static void write(CBORGenerator generator, SnapshotChunk chunk) throws IOException {
+        generator.writeNumber(chunk.getIndex());
+        generator.writeNumber(chunk.getTerm());
+        generator.writeNumber(chunk.getSnapshotChunkIndex());
+        generator.writeNumber(chunk.getSnapshotChunkCount());
+        generator.writeBinary((byte[]) chunk.getOperation());
+        write(generator, chunk.getGroupMembersView());
     }
 
-    static SnapshotChunk chunk(CborReader from) throws IOException {
+    static SnapshotChunk readChunk(CborReader reader) throws IOException {
         return MODEL.createSnapshotChunkBuilder()
-                .setIndex(from.whole())
-                .setTerm(from.count())
-                .setSnapshotChunkIndex(from.count())
-                .setSnapshotChunkCount(from.count())
-                .setOperation(from.bytes(MOST_CHUNK))
-                .setGroupMembersView(view(from))
+                .setIndex(reader.whole())
+                .setTerm(reader.count())
+                .setSnapshotChunkIndex(reader.count())
+                .setSnapshotChunkCount(reader.count())
+                .setOperation(reader.bytes(CHUNK_BYTES))
+                .setGroupMembersView(readMembers(reader))
                 .build();
     }
 
-    static void write(CBORGenerator to, RaftGroupMembersView view) throws IOException {
-        to.writeNumber(view.getLogIndex());
-        names(to, view.getMembers());
-        names(to, view.getVotingMembers());
+    static void write(CBORGenerator generator, RaftGroupMembersView view) throws IOException {
+        generator.writeNumber(view.getLogIndex());
+        writeEndpoints(generator, view.getMembers());
+        writeEndpoints(generator, view.getVotingMembers());
     }
 
-    static RaftGroupMembersView view(CborReader from) throws IOException {
+    static RaftGroupMembersView readMembers(CborReader reader) throws IOException {
         return MODEL.createRaftGroupMembersViewBuilder()
-                .setLogIndex(from.whole())
-                .setMembers(names(from))
-                .setVotingMembers(names(from))
+                .setLogIndex(reader.whole())
+                .setMembers(readEndpoints(reader))
+                .setVotingMembers(readEndpoints(reader))
                 .build();
     }
 
-    private static void names(CBORGenerator to, Collection<RaftEndpoint> names) throws IOException {
-        to.writeStartArray();
-        for (RaftEndpoint name : names) {
-            to.writeString(String.valueOf(name.getId()));
+    private static void writeEndpoints(CBORGenerator generator, Collection<RaftEndpoint> endpoints) throws IOException {
+        generator.writeStartArray();
+        for (RaftEndpoint endpoint : endpoints) {
+            generator.writeString(String.valueOf(endpoint.getId()));
         }
-        to.writeEndArray();
+        generator.writeEndArray();
     }
 
-    private static Set<RaftEndpoint> names(CborReader from) throws IOException {
-        Set<RaftEndpoint> names = new LinkedHashSet<>();
-        from.texts(MOST_VOTERS, MOST_NAME).forEach(name -> names.add(new VoterEndpoint(name)));
-        return names;
+    private static Set<RaftEndpoint> readEndpoints(CborReader reader) throws IOException {
+        Set<RaftEndpoint> endpoints = new LinkedHashSet<>();
+        reader.texts(MAX_ENDPOINTS, MAX_NAME_CHARS).forEach(name -> endpoints.add(new VoterEndpoint(name)));
+        return endpoints;
     }
 
-    // ---- Talk ----
-
-    private static void write(CBORGenerator to, RulesMessage talk) throws IOException {
-        if (talk instanceof RulesMessage.LeaseRequest one) {
-            to.writeNumber(21);
-            to.writeNumber(one.nonce());
-            to.writeNumber(one.instanceId());
-            to.writeNumber(one.actingVersion());
-            to.writeNumber(one.preparedVersion());
-            to.writeString(one.loadError());
-        } else if (talk instanceof RulesMessage.LeaseAnswer one) {
-            to.writeNumber(22);
-            to.writeNumber(one.nonce());
-            to.writeNumber(one.term());
-            to.writeNumber(one.activeVersion());
-            to.writeNumber(one.pendingVersion());
-            to.writeBoolean(one.granted());
-        } else if (talk instanceof RulesMessage.NotLeader one) {
-            to.writeNumber(23);
-            to.writeNumber(one.nonce());
-            to.writeString(one.leader());
-        } else if (talk instanceof RulesMessage.VersionsChanged one) {
-            to.writeNumber(24);
-            to.writeNumber(one.activeVersion());
-            to.writeNumber(one.pendingVersion());
-        } else if (talk instanceof RulesMessage.FetchPiece one) {
-            to.writeNumber(25);
-            to.writeNumber(one.nonce());
-            to.writeNumber(one.version());
-            to.writeNumber(one.pieceIndex());
-        } else if (talk instanceof RulesMessage.TextPiece one) {
-            to.writeNumber(26);
-            to.writeNumber(one.nonce());
-            to.writeNumber(one.version());
-            to.writeNumber(one.pieceIndex());
-            to.writeNumber(one.pieceCount());
-            to.writeString(one.text());
-        } else if (talk instanceof RulesMessage.ProposalPiece one) {
-            to.writeNumber(27);
-            to.writeNumber(one.id());
-            to.writeNumber(one.base());
-            to.writeString(one.author());
-            to.writeString(one.reason());
-            to.writeNumber(one.wallMs());
-            to.writeNumber(one.pieceIndex());
-            to.writeNumber(one.pieceCount());
-            to.writeString(one.text());
-        } else if (talk instanceof RulesMessage.AdminRequest one) {
-            to.writeNumber(28);
-            to.writeNumber(one.id());
-            to.writeString(one.action());
-            to.writeNumber(one.version());
-            to.writeString(one.name());
-            to.writeString(one.author());
-            to.writeString(one.reason());
-        } else if (talk instanceof RulesMessage.RequestAnswer one) {
-            to.writeNumber(29);
-            to.writeNumber(one.id());
-            to.writeNumber(one.nextPiece());
-            to.writeNumber(one.version());
-            to.writeString(one.error());
-        } else if (talk instanceof RulesMessage.GenerationQuery one) {
-            to.writeNumber(30);
-            to.writeNumber(one.nonce());
-        } else if (talk instanceof RulesMessage.GenerationAnswer one) {
-            to.writeNumber(31);
-            to.writeNumber(one.nonce());
-            to.writeNumber(one.generation());
+    // ---- Rules messages ----
+
+    private static void write(CBORGenerator generator, RulesMessage message) throws IOException {
+        if (message instanceof RulesMessage.LeaseRequest request) {
+            generator.writeNumber(LEASE_REQUEST);
+            generator.writeNumber(request.nonce());
+            generator.writeNumber(request.instanceId());
+            generator.writeNumber(request.actingVersion());
+            generator.writeNumber(request.preparedVersion());
+            generator.writeString(request.loadError());
+        } else if (message instanceof RulesMessage.LeaseAnswer answer) {
+            generator.writeNumber(LEASE_ANSWER);
+            generator.writeNumber(answer.nonce());
+            generator.writeNumber(answer.term());
+            generator.writeNumber(answer.activeVersion());
+            generator.writeNumber(answer.pendingVersion());
+            generator.writeBoolean(answer.granted());
+        } else if (message instanceof RulesMessage.NotLeader notLeader) {
+            generator.writeNumber(NOT_LEADER);
+            generator.writeNumber(notLeader.nonce());
+            generator.writeString(notLeader.leader());
+        } else if (message instanceof RulesMessage.VersionsChanged changed) {
+            generator.writeNumber(VERSIONS_CHANGED);
+            generator.writeNumber(changed.activeVersion());
+            generator.writeNumber(changed.pendingVersion());
+        } else if (message instanceof RulesMessage.FetchPiece fetch) {
+            generator.writeNumber(FETCH_PIECE);
+            generator.writeNumber(fetch.nonce());
+            generator.writeNumber(fetch.version());
+            generator.writeNumber(fetch.pieceIndex());
+        } else if (message instanceof RulesMessage.TextPiece piece) {
+            generator.writeNumber(TEXT_PIECE);
+            generator.writeNumber(piece.nonce());
+            generator.writeNumber(piece.version());
+            generator.writeNumber(piece.pieceIndex());
+            generator.writeNumber(piece.pieceCount());
+            generator.writeString(piece.text());
+        } else if (message instanceof RulesMessage.ProposalPiece piece) {
+            generator.writeNumber(PROPOSAL_PIECE);
+            generator.writeNumber(piece.id());
+            generator.writeNumber(piece.base());
+            generator.writeString(piece.author());
+            generator.writeString(piece.reason());
+            generator.writeNumber(piece.wallMs());
+            generator.writeNumber(piece.pieceIndex());
+            generator.writeNumber(piece.pieceCount());
+            generator.writeString(piece.text());
+        } else if (message instanceof RulesMessage.AdminRequest request) {
+            generator.writeNumber(ADMIN_REQUEST);
+            generator.writeNumber(request.id());
+            generator.writeString(request.action());
+            generator.writeNumber(request.version());
+            generator.writeString(request.name());
+            generator.writeString(request.author());
+            generator.writeString(request.reason());
+        } else if (message instanceof RulesMessage.RequestAnswer answer) {
+            generator.writeNumber(REQUEST_ANSWER);
+            generator.writeNumber(answer.id());
+            generator.writeNumber(answer.nextPiece());
+            generator.writeNumber(answer.version());
+            generator.writeString(answer.error());
+        } else if (message instanceof RulesMessage.GenerationQuery query) {
+            generator.writeNumber(GENERATION_QUERY);
+            generator.writeNumber(query.nonce());
+        } else if (message instanceof RulesMessage.GenerationAnswer answer) {
+            generator.writeNumber(GENERATION_ANSWER);
+            generator.writeNumber(answer.nonce());
+            generator.writeNumber(answer.generation());
         }
     }
 
-    private static RulesMessage talk(CborReader from, int kind) throws IOException {
+    private static RulesMessage readRulesMessage(CborReader reader, int kind) throws IOException {
         return switch (kind) {
-            case 21 ->
+            case LEASE_REQUEST ->
                 new RulesMessage.LeaseRequest(
-                        from.whole(), from.whole(), from.whole(), from.whole(), from.text(RulesMessage.MAX_LINE_CHARS));
-            case 22 ->
-                new RulesMessage.LeaseAnswer(from.whole(), from.whole(), from.whole(), from.whole(), from.flag());
-            case 23 -> new RulesMessage.NotLeader(from.whole(), from.text(MOST_NAME));
-            case 24 -> new RulesMessage.VersionsChanged(from.whole(), from.whole());
-            case 25 -> new RulesMessage.FetchPiece(from.whole(), from.whole(), from.count());
-            case 26 ->
+                        reader.whole(),
+                        reader.whole(),
+                        reader.whole(),
+                        reader.whole(),
+                        reader.text(RulesMessage.MAX_LINE_CHARS));
+            case LEASE_ANSWER ->
+                new RulesMessage.LeaseAnswer(
+                        reader.whole(), reader.whole(), reader.whole(), reader.whole(), reader.flag());
+            case NOT_LEADER -> new RulesMessage.NotLeader(reader.whole(), reader.text(MAX_NAME_CHARS));
+            case VERSIONS_CHANGED -> new RulesMessage.VersionsChanged(reader.whole(), reader.whole());
+            case FETCH_PIECE -> new RulesMessage.FetchPiece(reader.whole(), reader.whole(), reader.count());
+            case TEXT_PIECE ->
                 new RulesMessage.TextPiece(
-                        from.whole(), from.whole(), from.count(), from.count(), from.text(RegistryCommand.PIECE_CHARS));
-            case 27 ->
+                        reader.whole(),
+                        reader.whole(),
+                        reader.count(),
+                        reader.count(),
+                        reader.text(RegistryCommand.PIECE_CHARS));
+            case PROPOSAL_PIECE ->
                 new RulesMessage.ProposalPiece(
-                        from.whole(),
-                        from.whole(),
-                        from.text(RegistryCommand.MAX_AUTHOR_CHARS),
-                        from.text(RegistryCommand.MAX_REASON_CHARS),
-                        from.whole(),
-                        from.count(),
-                        from.count(),
-                        from.text(RegistryCommand.PIECE_CHARS));
-            case 28 ->
+                        reader.whole(),
+                        reader.whole(),
+                        reader.text(RegistryCommand.MAX_AUTHOR_CHARS),
+                        reader.text(RegistryCommand.MAX_REASON_CHARS),
+                        reader.whole(),
+                        reader.count(),
+                        reader.count(),
+                        reader.text(RegistryCommand.PIECE_CHARS));
+            case ADMIN_REQUEST ->
                 new RulesMessage.AdminRequest(
-                        from.whole(),
-                        from.text(16),
-                        from.whole(),
-                        from.text(MOST_NAME),
-                        from.text(RegistryCommand.MAX_AUTHOR_CHARS),
-                        from.text(RegistryCommand.MAX_REASON_CHARS));
-            case 29 ->
+                        reader.whole(),
+                        reader.text(MAX_ACTION_CHARS),
+                        reader.whole(),
+                        reader.text(MAX_NAME_CHARS),
+                        reader.text(RegistryCommand.MAX_AUTHOR_CHARS),
+                        reader.text(RegistryCommand.MAX_REASON_CHARS));
+            case REQUEST_ANSWER ->
                 new RulesMessage.RequestAnswer(
-                        from.whole(), (int) from.whole(), from.whole(), from.text(RulesMessage.MAX_LINE_CHARS));
-            case 30 -> new RulesMessage.GenerationQuery(from.whole());
-            case 31 -> new RulesMessage.GenerationAnswer(from.whole(), from.whole());
-            default -> throw new IOException("no talk has the kind " + kind);
+                        reader.whole(), (int) reader.whole(), reader.whole(), reader.text(RulesMessage.MAX_LINE_CHARS));
+            case GENERATION_QUERY -> new RulesMessage.GenerationQuery(reader.whole());
+            case GENERATION_ANSWER -> new RulesMessage.GenerationAnswer(reader.whole(), reader.whole());
+            default -> throw new IOException("unknown rules message kind " + kind);
         };
     }
 
-    // ---- Whole books, for snapshots ----
-
-    static List<byte[]> chunks(RuleRegistry.Snapshot whole) {
-        byte[] all = array(to -> {
-            to.writeNumber(whole.active());
-            to.writeNumber(whole.pending());
-            to.writeNumber(whole.newest());
-            to.writeStartArray();
-            for (RuleRegistry.Version version : whole.versions()) {
-                to.writeStartArray();
-                to.writeNumber(version.number());
-                to.writeNumber(version.base());
-                to.writeString(version.author());
-                to.writeString(version.reason());
-                to.writeNumber(version.wallMs());
-                to.writeNumber(version.state().ordinal());
-                figures(to, version.limits());
-                to.writeString(version.text());
-                to.writeEndArray();
+    // ---- Registry snapshots ----
+
+    /** Encodes a registry snapshot and cuts it into chunks of {@link #CHUNK_BYTES}. */
+    static List<byte[]> encodeSnapshot(RuleRegistry.Snapshot snapshot) {
+        byte[] encoded = encodeArray(generator -> {
+            generator.writeNumber(snapshot.active());
+            generator.writeNumber(snapshot.pending());
+            generator.writeNumber(snapshot.newest());
+            generator.writeStartArray();
+            for (RuleRegistry.Version version : snapshot.versions()) {
+                generator.writeStartArray();
+                generator.writeNumber(version.number());
+                generator.writeNumber(version.base());
+                generator.writeString(version.author());
+                generator.writeString(version.reason());
+                generator.writeNumber(version.wallMs());
+                generator.writeNumber(version.state().ordinal());
+                writeLimits(generator, version.limits());
+                generator.writeString(version.text());
+                generator.writeEndArray();
             }
-            to.writeEndArray();
-            texts(to, whole.gatewayNames());
-            to.writeStartArray();
-            for (Map.Entry<String, Long> mark : whole.reservedFloors().entrySet()) {
-                to.writeStartArray();
-                to.writeString(mark.getKey());
-                to.writeNumber(mark.getValue());
-                to.writeEndArray();
+            generator.writeEndArray();
+            writeTexts(generator, snapshot.gatewayNames());
+            generator.writeStartArray();
+            for (Map.Entry<String, Long> floor : snapshot.reservedFloors().entrySet()) {
+                generator.writeStartArray();
+                generator.writeString(floor.getKey());
+                generator.writeNumber(floor.getValue());
+                generator.writeEndArray();
             }
-            to.writeEndArray();
-            to.writeStartArray();
-            for (Map.Entry<Long, List<String>> proposal : whole.proposals().entrySet()) {
-                to.writeStartArray();
-                to.writeNumber(proposal.getKey());
-                to.writeNumber(proposal.getValue().size());
-                to.writeStartArray();
+            generator.writeEndArray();
+            generator.writeStartArray();
+            for (Map.Entry<Long, List<String>> proposal : snapshot.proposals().entrySet()) {
+                generator.writeStartArray();
+                generator.writeNumber(proposal.getKey());
+                generator.writeNumber(proposal.getValue().size());
+                generator.writeStartArray();
                 for (int i = 0; i < proposal.getValue().size(); i++) {
                     if (proposal.getValue().get(i) != null) {
-                        to.writeStartArray();
-                        to.writeNumber(i);
-                        to.writeString(proposal.getValue().get(i));
-                        to.writeEndArray();
+                        generator.writeStartArray();
+                        generator.writeNumber(i);
+                        generator.writeString(proposal.getValue().get(i));
+                        generator.writeEndArray();
                     }
                 }
-                to.writeEndArray();
-                to.writeEndArray();
+                generator.writeEndArray();
+                generator.writeEndArray();
             }
-            to.writeEndArray();
+            generator.writeEndArray();
         });
         List<byte[]> chunks = new ArrayList<>();
-        for (int i = 0; i < all.length; i += MOST_CHUNK) {
-            chunks.add(java.util.Arrays.copyOfRange(all, i, Math.min(all.length, i + MOST_CHUNK)));
+        for (int i = 0; i < encoded.length; i += CHUNK_BYTES) {
+            chunks.add(Arrays.copyOfRange(encoded, i, Math.min(encoded.length, i + CHUNK_BYTES)));
         }
         return chunks;
     }
 
-    private static void texts(CBORGenerator to, Collection<String> texts) throws IOException {
-        to.writeStartArray();
+    private static void writeTexts(CBORGenerator generator, Collection<String> texts) throws IOException {
+        generator.writeStartArray();
         for (String text : texts) {
-            to.writeString(text);
+            generator.writeString(text);
         }
-        to.writeEndArray();
+        generator.writeEndArray();
     }
 
-    static RuleRegistry.Snapshot whole(List<Object> chunks) throws IOException {
-        ByteArrayOutputStream all = new ByteArrayOutputStream();
-        if (chunks.size() > MOST_CHUNKS) {
-            throw new IOException("a snapshot of more than " + MOST_CHUNKS + " pieces");
+    /** Joins and decodes the chunks of a registry snapshot, which are byte arrays. */
+    static RuleRegistry.Snapshot decodeSnapshot(List<Object> chunks) throws IOException {
+        ByteArrayOutputStream encoded = new ByteArrayOutputStream();
+        if (chunks.size() > MAX_CHUNKS) {
+            throw new IOException("a snapshot has more than " + MAX_CHUNKS + " chunks");
         }
         for (Object chunk : chunks) {
-            all.write((byte[]) chunk);
+            encoded.write((byte[]) chunk);
         }
-        try (CborReader from = new CborReader(all.toByteArray())) {
-            from.expect(JsonToken.START_ARRAY);
-            long active = from.whole();
-            long waiting = from.whole();
-            long newest = from.whole();
-            List<RuleRegistry.Version> versions = from.list(
+        try (CborReader reader = new CborReader(encoded.toByteArray())) {
+            reader.expect(JsonToken.START_ARRAY);
+            long active = reader.whole();
+            long pending = reader.whole();
+            long newest = reader.whole();
+            List<RuleRegistry.Version> versions = reader.list(
                     RuleRegistry.MAX_VERSIONS,
                     () -> new RuleRegistry.Version(
-                            from.whole(),
-                            from.whole(),
-                            from.text(RegistryCommand.MAX_AUTHOR_CHARS),
-                            from.text(4 * RegistryCommand.MAX_REASON_CHARS),
-                            from.whole(),
-                            state(from.count()),
-                            figures(from),
-                            from.text(RegistryCommand.MAX_TEXT_CHARS)));
-            List<String> names = from.texts(MOST_CHUNKS, MOST_NAME);
-            Map<String, Long> marks = new TreeMap<>();
-            from.list(MOST_CHUNKS, () -> marks.put(from.text(RegistryCommand.MAX_NAME_CHARS), from.whole()));
+                            reader.whole(),
+                            reader.whole(),
+                            reader.text(RegistryCommand.MAX_AUTHOR_CHARS),
+                            reader.text(4 * RegistryCommand.MAX_REASON_CHARS),
+                            reader.whole(),
+                            versionState(reader.count()),
+                            readLimits(reader),
+                            reader.text(RegistryCommand.MAX_TEXT_CHARS)));
+            List<String> gatewayNames = reader.texts(MAX_LIST_LENGTH, MAX_NAME_CHARS);
+            Map<String, Long> reservedFloors = new TreeMap<>();
+            reader.list(
+                    MAX_LIST_LENGTH,
+                    () -> reservedFloors.put(reader.text(RegistryCommand.MAX_NAME_CHARS), reader.whole()));
             Map<Long, List<String>> proposals = new LinkedHashMap<>();
-            from.list(64, () -> {
-                long id = from.whole();
-                String[] pieces = new String[Math.min(from.count(), RegistryCommand.MAX_PIECES)];
-                from.list(
+            reader.list(MAX_PROPOSALS, () -> {
+                long id = reader.whole();
+                String[] pieces = new String[Math.min(reader.count(), RegistryCommand.MAX_PIECES)];
+                reader.list(
                         RegistryCommand.MAX_PIECES,
-                        () -> pieces[Math.min(pieces.length - 1, from.count())] =
-                                from.text(RegistryCommand.PIECE_CHARS));
-                return proposals.put(id, java.util.Arrays.asList(pieces));
+                        () -> pieces[Math.min(pieces.length - 1, reader.count())] =
+                                reader.text(RegistryCommand.PIECE_CHARS));
+                return proposals.put(id, Arrays.asList(pieces));
             });
-            from.expect(JsonToken.END_ARRAY);
-            from.end();
-            return new RuleRegistry.Snapshot(active, waiting, newest, versions, names, marks, proposals);
+            reader.expect(JsonToken.END_ARRAY);
+            reader.end();
+            return new RuleRegistry.Snapshot(
+                    active, pending, newest, versions, gatewayNames, reservedFloors, proposals);
         }
     }
 
-    private static RuleRegistry.State state(int ordinal) throws IOException {
+    private static RuleRegistry.State versionState(int ordinal) throws IOException {
         if (ordinal >= RuleRegistry.State.values().length) {
-            throw new IOException("no version is in the state " + ordinal);
+            throw new IOException("unknown version state " + ordinal);
         }
         return RuleRegistry.State.values()[ordinal];
     }
--- a/src/test/java/petrelstand/store/VoteFilesTest.java
+++ b/src/test/java/petrelstand/store/VoteFilesTest.java
@@ -15,12 +15,12 @@
 import petrelstand.agreement.RegistryCommand;
 import petrelstand.consensus.RaftFiles;
 
-/** A voter's files on a disk that loses, tears and reorders what was not synced: no vote and no entry is forgotten. */
+/** Crashes a simulated disk that loses, truncates and reorders unsynced writes: no flushed vote or entry is lost. */
 class VoteFilesTest {
     private static final DefaultRaftModelFactory MODEL = new DefaultRaftModelFactory();
     private static final int WRITES = 70;
 
-    private record Name(String name) implements RaftEndpoint {
+    private record Endpoint(String name) implements RaftEndpoint {
         @Override
         public Object getId() {
             return name;
@@ -35,24 +35,24 @@
                 .build();
     }
 
-    /** The n-th write: a vote each fifth time, entries in between, now and then entries that replace others. */
+    /** The n-th write: every fifth is a vote, every seventh replaces several entries, the others replace one. */
     private static void write(RaftFiles files, int n) throws Exception {
         if (n == 1) {
             files.persistAndFlushLocalEndpoint(MODEL.createRaftEndpointPersistentStateBuilder()
-                    .setLocalEndpoint(new Name("a"))
+                    .setLocalEndpoint(new Endpoint("a"))
                     .setVoting(true)
                     .build());
         } else if (n == 2) {
-            Set<RaftEndpoint> all = Set.of(new Name("a"), new Name("b"));
+            Set<RaftEndpoint> members = Set.of(new Endpoint("a"), new Endpoint("b"));
             files.persistAndFlushInitialGroupMembers(MODEL.createRaftGroupMembersViewBuilder()
                     .setLogIndex(0)
-                    .setMembers(all)
-                    .setVotingMembers(all)
+                    .setMembers(members)
+                    .setVotingMembers(members)
                     .build());
         } else if (n % 5 == 0) {
             files.persistAndFlushTerm(MODEL.createRaftTermPersistentStateBuilder()
                     .setTerm(n)
-                    .setVotedFor(new Name("b"))
+                    .setVotedFor(new Endpoint("b"))
                     .build());
         } else if (n % 7 == 0) {
             files.truncateLogEntriesFrom(n - 4);
@@ -65,7 +65,7 @@
         }
     }
 
-    private static String state(RaftFiles files) {
+    private static String describeState(RaftFiles files) {
         RestoredRaftState restored = files.restoredState();
         if (restored == null) {
             return "nothing";
@@ -75,25 +75,25 @@
         return restored.getTermPersistentState().getTerm() + " " + entries;
     }
 
-    /** What the store holds after each whole write. */
-    private static List<String> states() throws Exception {
+    /** The state after each number of complete writes. */
+    private static List<String> expectedStates() throws Exception {
         List<String> states = new ArrayList<>();
         SimFolder disk = new SimFolder();
         RaftFiles files = new RaftFiles(disk, line -> {});
-        states.add(state(files));
+        states.add(describeState(files));
         for (int n = 1; n <= WRITES; n++) {
             write(files, n);
-            states.add(state(files));
+            states.add(describeState(files));
         }
         return states;
     }
 
     @Test
-    void aCutAtAnyStepLeavesTheLastWriteOrTheOneBefore() throws Exception {
-        List<String> states = states();
-        int tried = 0;
-        boolean goesOn = true;
-        for (int cut = 0; goesOn; cut++) {
+    void crashAtAnyStepKeepsAllFlushedWrites() throws Exception {
+        List<String> states = expectedStates();
+        int checked = 0;
+        boolean crashed = true;
+        for (int cut = 0; crashed; cut++) {
             SimFolder disk = new SimFolder();
             disk.cutBefore = cut;
             int durable = 0;
@@ -103,35 +103,36 @@
                     write(files, n);
                     durable = n;
                 }
-                goesOn = false;
+                crashed = false;
             } catch (SimFolder.Cut e) {
-                // The disk is looked at below.
+                // The states that the crash may have left are checked below.
             }
             int outcomes = disk.outcomes();
             for (int subset = 0; subset < outcomes; subset += Math.max(1, outcomes / 16)) {
                 for (int loss = 0; loss < SimFolder.LOSSES; loss++) {
                     SimFolder found = disk.after(subset, loss);
                     RaftFiles files = new RaftFiles(found, line -> {});
-                    String now = state(files);
+                    String recovered = describeState(files);
                     assertTrue(
-                            now.equals(states.get(durable)) || durable < WRITES && now.equals(states.get(durable + 1)),
-                            "cut " + cut + ", subset " + subset + ", loss " + loss + ": " + now + " after write "
+                            recovered.equals(states.get(durable))
+                                    || durable < WRITES && recovered.equals(states.get(durable + 1)),
+                            "cut " + cut + ", subset " + subset + ", loss " + loss + ": " + recovered + " after write "
                                     + durable);
-                    // And it can be written on from there, and read again.
+                    // The recovered files accept further writes and can be read again.
                     files.persistAndFlushTerm(MODEL.createRaftTermPersistentStateBuilder()
                             .setTerm(1000)
                             .setVotedFor(null)
                             .build());
                     assertEquals(files.generation(), new RaftFiles(found, line -> {}).generation());
-                    tried++;
+                    checked++;
                 }
             }
         }
-        assertTrue(tried > 1_000, tried + " ways were tried");
+        assertTrue(checked > 1_000, checked + " disk states were checked");
     }
 
     @Test
-    void aDamagedMiddleAndAGapAreRefusedAndATornEndIsLeftOut() throws Exception {
+    void damagedOrMissingFileIsRefusedAndTruncatedLastIsDeleted() throws Exception {
         SimFolder disk = new SimFolder();
         RaftFiles files = new RaftFiles(disk, line -> {});
         for (int n = 1; n <= 12; n++) {
@@ -139,11 +140,11 @@
         }
         byte[] middle = disk.read("vote-000000000005", 10_000);
         for (int at = 0; at < middle.length; at++) {
-            byte[] bad = middle.clone();
-            bad[at] ^= 0x40;
+            byte[] damaged = middle.clone();
+            damaged[at] ^= 0x40;
             SimFolder found = disk.after(0, 0);
             found.delete("vote-000000000005");
-            found.create("vote-000000000005", bad);
+            found.create("vote-000000000005", damaged);
             StateFault fault = assertThrows(StateFault.class, () -> new RaftFiles(found, line -> {}));
             assertTrue(fault.getMessage().contains("vote-000000000005: "), fault.getMessage());
         }
