--- a/src/main/java/petrelstand/RulesPart.java
+++ b/src/main/java/petrelstand/RulesPart.java
@@ -35,7 +35,7 @@
 import petrelstand.consensus.RaftFiles;
 import petrelstand.consensus.RulesStatus;
 import petrelstand.consensus.Voter;
-import petrelstand.consensus.Wire;
+import petrelstand.consensus.WireCodec;
 import petrelstand.core.Broker;
 import petrelstand.core.Counters;
 import petrelstand.core.Node;
@@ -331,7 +331,7 @@
         loop.execute(() -> {
             waiting.decrementAndGet();
             try {
-                take(Wire.decode(content));
+                take(WireCodec.decode(content));
             } catch (IOException | RuntimeException e) {
                 counters.add("rules.refused.malformed");
             }
@@ -407,7 +407,7 @@
         } else if (parcel.sender().equals(ASKER) && address != null && !leader.equals(fleet.name())) {
             fleet.sendRules(
                     address,
-                    Wire.encode(new Envelope(
+                    WireCodec.encode(new Envelope(
                             parcel.fleet(), PASSED_ON, parcel.senderAddress(), 0, 0, null, parcel.rulesMessage())));
         }
     }
@@ -437,7 +437,7 @@
             if (to.equals(fleet.name())) {
                 take(parcel);
             } else if (address != null) {
-                fleet.sendRules(address, Wire.encode(parcel));
+                fleet.sendRules(address, WireCodec.encode(parcel));
             }
         });
     }
--- a/src/main/java/petrelstand/consensus/QuorumRecovery.java
+++ b/src/main/java/petrelstand/consensus/QuorumRecovery.java
@@ -44,7 +44,7 @@
             for (Object chunk : (List<?>) state.getSnapshotEntry().getOperation()) {
                 chunks.add(((SnapshotChunk) chunk).getOperation());
             }
-            registry.restore(Wire.decodeSnapshot(chunks));
+            registry.restore(WireCodec.decodeSnapshot(chunks));
             lastIndex = state.getSnapshotEntry().getIndex();
             members = state.getSnapshotEntry().getGroupMembersView();
         }
@@ -115,13 +115,13 @@
         RuleRegistry.Snapshot recovered = new RuleRegistry.Snapshot(
                 hasActive ? number : 0, 0, number, versions, old.gatewayNames(), old.reservedFloors(), Map.of());
         Set<RaftEndpoint> onlyThisVoter = Set.of(new VoterEndpoint(voterName));
-        RaftGroupMembersView members = Wire.MODEL
+        RaftGroupMembersView members = WireCodec.MODEL
                 .createRaftGroupMembersViewBuilder()
                 .setLogIndex(0)
                 .setMembers(onlyThisVoter)
                 .setVotingMembers(onlyThisVoter)
                 .build();
-        List<byte[]> chunks = Wire.encodeSnapshot(recovered);
+        List<byte[]> chunks = WireCodec.encodeSnapshot(recovered);
         files.reset(voterName, members, term + 1, index + 1, chunks);
         return number;
     }
--- a/src/main/java/petrelstand/consensus/RaftFiles.java
+++ b/src/main/java/petrelstand/consensus/RaftFiles.java
@@ -51,7 +51,7 @@
 
     private final Folder folder;
     private final Consumer<String> log;
-    private final List<Wire.ArrayBody> unflushedRecords = new ArrayList<>();
+    private final List<WireCodec.ArrayBody> unflushedRecords = new ArrayList<>();
     private long generation;
     private int fileCount;
     // The state that the files hold, from which a base file is written.
@@ -169,21 +169,21 @@
     private void applyRecord(CborReader reader, int kind) throws IOException {
         switch (kind) {
             case ENDPOINT -> {
-                endpoint = reader.text(Wire.MAX_NAME_CHARS);
+                endpoint = reader.text(WireCodec.MAX_NAME_CHARS);
                 voting = reader.flag();
             }
-            case MEMBERS -> members = Wire.readMembers(reader);
+            case MEMBERS -> members = WireCodec.readMembers(reader);
             case TERM -> {
                 term = reader.count();
-                String candidate = reader.text(Wire.MAX_NAME_CHARS);
+                String candidate = reader.text(WireCodec.MAX_NAME_CHARS);
                 votedFor = candidate.isEmpty() ? null : candidate;
             }
             case ENTRY -> {
-                LogEntry entry = Wire.readEntry(reader);
+                LogEntry entry = WireCodec.readEntry(reader);
                 entries.put(entry.getIndex(), entry);
             }
             case CHUNK -> {
-                SnapshotChunk chunk = Wire.readChunk(reader);
+                SnapshotChunk chunk = WireCodec.readChunk(reader);
                 chunks.computeIfAbsent(chunk.getIndex(), i -> new TreeMap<>())
                         .put(chunk.getSnapshotChunkIndex(), chunk);
             }
@@ -208,12 +208,12 @@
         if (endpoint == null || members == null) {
             return null;
         }
-        RaftEndpointPersistentState endpointState = Wire.MODEL
+        RaftEndpointPersistentState endpointState = WireCodec.MODEL
                 .createRaftEndpointPersistentStateBuilder()
                 .setLocalEndpoint(new VoterEndpoint(endpoint))
                 .setVoting(voting)
                 .build();
-        RaftTermPersistentState termState = Wire.MODEL
+        RaftTermPersistentState termState = WireCodec.MODEL
                 .createRaftTermPersistentStateBuilder()
                 .setTerm(term)
                 .setVotedFor(votedFor == null ? null : new VoterEndpoint(votedFor))
@@ -222,7 +222,7 @@
         for (TreeMap<Integer, SnapshotChunk> snapshotChunks : chunks.values()) {
             SnapshotChunk first = snapshotChunks.firstEntry().getValue();
             if (snapshotChunks.size() == first.getSnapshotChunkCount()) {
-                snapshot = Wire.MODEL
+                snapshot = WireCodec.MODEL
                         .createSnapshotEntryBuilder()
                         .setIndex(first.getIndex())
                         .setTerm(first.getTerm())
@@ -240,7 +240,7 @@
                 new ArrayList<>(entries.tailMap(snapshotIndex, false).values()));
     }
 
-    private void addRecord(int kind, Wire.ArrayBody body) {
+    private void addRecord(int kind, WireCodec.ArrayBody body) {
         unflushedRecords.add(generator -> {
             generator.writeStartArray();
             generator.writeNumber(kind);
@@ -257,7 +257,7 @@
         flush();
     }
 
-    private Wire.ArrayBody endpointBody() {
+    private WireCodec.ArrayBody endpointBody() {
         String name = endpoint;
         boolean isVoting = voting;
         return generator -> {
@@ -269,7 +269,7 @@
     @Override
     public void persistAndFlushInitialGroupMembers(RaftGroupMembersView view) throws IOException {
         members = view;
-        addRecord(MEMBERS, generator -> Wire.write(generator, view));
+        addRecord(MEMBERS, generator -> WireCodec.write(generator, view));
         flush();
     }
 
@@ -282,7 +282,7 @@
         flush();
     }
 
-    private Wire.ArrayBody termBody() {
+    private WireCodec.ArrayBody termBody() {
         int currentTerm = term;
         String candidate = votedFor == null ? "" : votedFor;
         return generator -> {
@@ -295,14 +295,14 @@
     public void persistLogEntries(List<LogEntry> newEntries) {
         for (LogEntry entry : newEntries) {
             entries.put(entry.getIndex(), entry);
-            addRecord(ENTRY, generator -> Wire.write(generator, entry));
+            addRecord(ENTRY, generator -> WireCodec.write(generator, entry));
         }
     }
 
     @Override
     public void persistSnapshotChunk(SnapshotChunk chunk) {
         chunks.computeIfAbsent(chunk.getIndex(), i -> new TreeMap<>()).put(chunk.getSnapshotChunkIndex(), chunk);
-        addRecord(CHUNK, generator -> Wire.write(generator, chunk));
+        addRecord(CHUNK, generator -> WireCodec.write(generator, chunk));
     }
 
     @Override
@@ -352,7 +352,7 @@
             chunks.computeIfAbsent(index, n -> new TreeMap<>())
                     .put(
                             i,
-                            Wire.MODEL
+                            WireCodec.MODEL
                                     .createSnapshotChunkBuilder()
                                     .setIndex(index)
                                     .setTerm(newTerm)
@@ -366,10 +366,10 @@
         folder.syncNames();
     }
 
-    private void writeFile(List<Wire.ArrayBody> records) throws IOException {
-        byte[] payload = Wire.encodeArray(generator -> {
+    private void writeFile(List<WireCodec.ArrayBody> records) throws IOException {
+        byte[] payload = WireCodec.encodeArray(generator -> {
             generator.writeStartArray();
-            for (Wire.ArrayBody record : records) {
+            for (WireCodec.ArrayBody record : records) {
                 record.write(generator);
             }
             generator.writeEndArray();
@@ -387,21 +387,21 @@
 
     private void writeBaseFile() throws IOException {
         long lastObsolete = generation;
-        List<Wire.ArrayBody> records = new ArrayList<>(List.of(generator -> {
+        List<WireCodec.ArrayBody> records = new ArrayList<>(List.of(generator -> {
             generator.writeStartArray();
             generator.writeNumber(BASE);
             generator.writeEndArray();
         }));
-        List<Wire.ArrayBody> previouslyUnflushed = new ArrayList<>(unflushedRecords);
+        List<WireCodec.ArrayBody> previouslyUnflushed = new ArrayList<>(unflushedRecords);
         unflushedRecords.clear();
         addRecord(ENDPOINT, endpointBody());
-        addRecord(MEMBERS, generator -> Wire.write(generator, members));
+        addRecord(MEMBERS, generator -> WireCodec.write(generator, members));
         addRecord(TERM, termBody());
-        entries.values().forEach(entry -> addRecord(ENTRY, generator -> Wire.write(generator, entry)));
+        entries.values().forEach(entry -> addRecord(ENTRY, generator -> WireCodec.write(generator, entry)));
         chunks.values()
                 .forEach(snapshotChunks -> snapshotChunks
                         .values()
-                        .forEach(chunk -> addRecord(CHUNK, generator -> Wire.write(generator, chunk))));
+                        .forEach(chunk -> addRecord(CHUNK, generator -> WireCodec.write(generator, chunk))));
         records.addAll(unflushedRecords);
         unflushedRecords.clear();
         unflushedRecords.addAll(previouslyUnflushed);
--- a/src/main/java/petrelstand/consensus/Voter.java
+++ b/src/main/java/petrelstand/consensus/Voter.java
@@ -126,7 +126,7 @@
         List<RaftEndpoint> members = new ArrayList<>();
         voters.forEach(voter -> members.add(new VoterEndpoint(voter)));
         RaftNode.RaftNodeBuilder builder = RaftNode.newBuilder()
-                .setGroupId(Wire.GROUP)
+                .setGroupId(WireCodec.GROUP)
                 .setConfig(RaftConfig.newBuilder()
                         .setLeaderElectionTimeoutMillis(500)
                         .setLeaderHeartbeatPeriodSecs(1)
@@ -141,7 +141,7 @@
                 .setStateMachine(new RegistryStateMachine())
                 .setRandom(new Random(seed))
                 .setClock(new MonotonicClock(nowUs))
-                .setModelFactory(Wire.MODEL)
+                .setModelFactory(WireCodec.MODEL)
                 .setRaftNodeReportListener(this::handleReport)
                 .setStore(files == null ? new NopRaftStore() : files);
         if (files != null && files.restoredState() != null) {
@@ -232,13 +232,13 @@
 
         @Override
         public void takeSnapshot(long index, Consumer<Object> chunks) {
-            Wire.encodeSnapshot(registry.snapshot()).forEach(chunks);
+            WireCodec.encodeSnapshot(registry.snapshot()).forEach(chunks);
         }
 
         @Override
         public void installSnapshot(long index, List<Object> chunks) {
             try {
-                registry.restore(Wire.decodeSnapshot(chunks));
+                registry.restore(WireCodec.decodeSnapshot(chunks));
                 callbacks.stateChanged();
             } catch (IOException e) {
                 throw new IllegalStateException("a snapshot from the leader can't be decoded: " + e.getMessage(), e);
--- a/src/main/java/petrelstand/consensus/Wire.java
+++ b/src/main/java/petrelstand/consensus/WireCodec.java
@@ -43,7 +43,7 @@
  * describes the layouts; the kinds and the order of the fields are part of the wire format and of the stored files. A
  * log entry with the longest command fits into one datagram.
  */
-public final class Wire {
+public final class WireCodec {
     static final int VERSION = 1;
     static final String GROUP = "rules";
     static final int MAX_NAME_CHARS = 64;
@@ -93,7 +93,7 @@
     private static final CBORFactory CBOR = new CBORFactory();
     static final DefaultRaftModelFactory MODEL = new DefaultRaftModelFactory();
 
-    private Wire() {}
+    private WireCodec() {}
 
     /** Writes the elements of an array, without its start and end. */
     interface ArrayBody {
--- a/src/main/java/petrelstand/fleet/RulesClient.java
+++ b/src/main/java/petrelstand/fleet/RulesClient.java
@@ -13,7 +13,7 @@
 import petrelstand.agreement.RegistryCommand;
 import petrelstand.agreement.RulesMessage;
 import petrelstand.consensus.Envelope;
-import petrelstand.consensus.Wire;
+import petrelstand.consensus.WireCodec;
 import petrelstand.net.Addresses;
 
 /**
@@ -80,7 +80,7 @@
     }
 
     private RulesMessage.RequestAnswer ask(RulesMessage talk, long id) throws IOException {
-        byte[] datagram = seal.close(Seal.RULES, Wire.encode(new Envelope(fleet, NAME, own, 0, 0, null, talk)));
+        byte[] datagram = seal.close(Seal.RULES, WireCodec.encode(new Envelope(fleet, NAME, own, 0, 0, null, talk)));
         for (InetSocketAddress gateway : gateways) {
             try {
                 socket.send(new DatagramPacket(datagram, datagram.length, gateway));
@@ -95,7 +95,7 @@
             DatagramPacket answer = new DatagramPacket(buffer, buffer.length);
             try {
                 socket.receive(answer);
-                Envelope parcel = Wire.decode(seal.open(ByteBuffer.wrap(buffer, 0, answer.getLength())));
+                Envelope parcel = WireCodec.decode(seal.open(ByteBuffer.wrap(buffer, 0, answer.getLength())));
                 if (parcel.rulesMessage() instanceof RulesMessage.RequestAnswer taken && taken.id() == id) {
                     return taken;
                 }
--- a/src/main/java/petrelstand/lab/rules/RulesSim.java
+++ b/src/main/java/petrelstand/lab/rules/RulesSim.java
@@ -22,7 +22,7 @@
 import petrelstand.consensus.QuorumRecovery;
 import petrelstand.consensus.RaftFiles;
 import petrelstand.consensus.Voter;
-import petrelstand.consensus.Wire;
+import petrelstand.consensus.WireCodec;
 import petrelstand.lab.Probe;
 import petrelstand.lab.VirtualTime;
 import petrelstand.lab.faults.FleetPlan;
@@ -355,7 +355,7 @@
         if (there == null) {
             return;
         }
-        byte[] bytes = Wire.encode(parcel);
+        byte[] bytes = WireCodec.encode(parcel);
         probe.left(from.number);
         transport(from, there, parcel, bytes);
         probe.entered(from.number);
@@ -389,7 +389,7 @@
     private Envelope opened(Process there, byte[] bytes) {
         probe.entered(there.number);
         try {
-            return Wire.decode(bytes);
+            return WireCodec.decode(bytes);
         } catch (IOException e) {
             breaks("a parcel could not be read back: " + e.getMessage());
             return null;
