--- a/src/main/java/petrelstand/consensus/QuorumRecovery.java
+++ b/src/main/java/petrelstand/consensus/QuorumRecovery.java
@@ -43,7 +43,7 @@
             for (Object chunk : (List<?>) state.getSnapshotEntry().getOperation()) {
                 chunks.add(((SnapshotChunk) chunk).getOperation());
             }
-            registry.restore(Wire.whole(chunks));
+            registry.restore(WireCodec.whole(chunks));
             at = state.getSnapshotEntry().getIndex();
             members = state.getSnapshotEntry().getGroupMembersView();
         }
@@ -110,13 +110,13 @@
         RuleRegistry.Snapshot fresh = new RuleRegistry.Snapshot(
                 acted ? number : 0, 0, number, versions, old.gatewayNames(), old.reservedFloors(), java.util.Map.of());
         Set<RaftEndpoint> alone = Set.of(new VoterEndpoint(voterName));
-        RaftGroupMembersView view = Wire.MODEL
+        RaftGroupMembersView view = WireCodec.MODEL
                 .createRaftGroupMembersViewBuilder()
                 .setLogIndex(0)
                 .setMembers(alone)
                 .setVotingMembers(alone)
                 .build();
-        List<byte[]> chunks = Wire.chunks(fresh);
+        List<byte[]> chunks = WireCodec.chunks(fresh);
         files.reset(voterName, view, term + 1, index + 1, chunks);
         return number;
     }
--- a/src/main/java/petrelstand/consensus/Voter.java
+++ b/src/main/java/petrelstand/consensus/Voter.java
@@ -121,7 +121,7 @@
         List<RaftEndpoint> members = new ArrayList<>();
         voters.forEach(voter -> members.add(new VoterEndpoint(voter)));
         RaftNode.RaftNodeBuilder builder = RaftNode.newBuilder()
-                .setGroupId(Wire.GROUP)
+                .setGroupId(WireCodec.GROUP)
                 .setConfig(RaftConfig.newBuilder()
                         .setLeaderElectionTimeoutMillis(500)
                         .setLeaderHeartbeatPeriodSecs(1)
@@ -136,7 +136,7 @@
                 .setStateMachine(new Machine())
                 .setRandom(new Random(seed))
                 .setClock(new LoopClock(nowUs))
-                .setModelFactory(Wire.MODEL)
+                .setModelFactory(WireCodec.MODEL)
                 .setRaftNodeReportListener(this::reported)
                 .setStore(files == null ? new NopRaftStore() : files);
         if (files != null && files.restoredState() != null) {
@@ -230,13 +230,13 @@
 
         @Override
         public void takeSnapshot(long index, Consumer<Object> chunks) {
-            Wire.chunks(registry.snapshot()).forEach(chunks);
+            WireCodec.chunks(registry.snapshot()).forEach(chunks);
         }
 
         @Override
         public void installSnapshot(long index, List<Object> chunks) {
             try {
-                registry.restore(Wire.whole(chunks));
+                registry.restore(WireCodec.whole(chunks));
                 carrier.stateChanged();
             } catch (IOException e) {
                 throw new IllegalStateException("a snapshot that can't be read: " + e.getMessage(), e);
--- a/src/main/java/petrelstand/consensus/Wire.java
+++ b/src/main/java/petrelstand/consensus/WireCodec.java
@@ -41,7 +41,7 @@
  * Parcels, log entries and whole books as CBOR (RFC 8949) by Jackson: one array each, its layout in
  * docs/design/agreement.md. A log entry of the longest command fits one datagram.
  */
-public final class Wire {
+public final class WireCodec {
     static final int VERSION = 1;
     static final String GROUP = "rules";
     static final int MOST_NAME = 64;
@@ -52,7 +52,7 @@
     private static final CBORFactory CBOR = new CBORFactory();
     static final DefaultRaftModelFactory MODEL = new DefaultRaftModelFactory();
 
-    private Wire() {}
+    private WireCodec() {}
 
     /** Writes the fields of an array. */
     interface Body {
