--- a/src/main/java/petrelstand/agreement/RegistryCommand.java
+++ b/src/main/java/petrelstand/agreement/RegistryCommand.java
@@ -1,5 +1,6 @@
 package petrelstand.agreement;
 
+import java.util.ArrayList;
 import java.util.List;
 
 /** A command in the voters' log. Each voter applies the commands to its {@link RuleRegistry} in log order. */
@@ -65,7 +66,7 @@
 
     /** Splits a rules text into pieces of at most {@link #PIECE_CHARS}; an empty text is one empty piece. */
     static List<String> splitIntoPieces(String text) {
-        List<String> pieces = new java.util.ArrayList<>();
+        List<String> pieces = new ArrayList<>();
         for (int i = 0; i == 0 || i < text.length(); i += PIECE_CHARS) {
             pieces.add(text.substring(i, Math.min(text.length(), i + PIECE_CHARS)));
         }
--- a/src/main/java/petrelstand/agreement/RuleRegistry.java
+++ b/src/main/java/petrelstand/agreement/RuleRegistry.java
@@ -6,6 +6,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import java.util.SortedSet;
 import java.util.TreeMap;
 import java.util.TreeSet;
@@ -107,7 +108,7 @@
     }
 
     /** The names of the registered gateways: those that may apply a version, or the floors of one. */
-    public java.util.Set<String> gatewayNames() {
+    public Set<String> gatewayNames() {
         return Collections.unmodifiableSet(gatewayNames);
     }
 
--- a/src/main/java/petrelstand/agreement/RulesFileProposer.java
+++ b/src/main/java/petrelstand/agreement/RulesFileProposer.java
@@ -17,7 +17,7 @@
 
     /** What the proposer needs from its process. */
     public interface Actions {
-        /** Sends a message, which may be lost; to any voter if the name is empty. */
+        /** Sends a message to a voter, or to the leader if the name is empty; it may be lost. */
         void send(String voter, RulesMessage message);
 
         void log(String line);
--- a/src/main/java/petrelstand/consensus/Voter.java
+++ b/src/main/java/petrelstand/consensus/Voter.java
@@ -90,8 +90,8 @@
     /** The epoch of a new voter that has no versions yet: the highest one of the messages it received. */
     private long joinedEpoch;
 
-    /** Commands of this voter that are not committed yet. */
-    private int uncommitted;
+    /** Number of commands of this voter that are not committed yet. */
+    private int uncommittedCommands;
 
     /** Creates the leader's side of the leases; tests inject defective ones. */
     public interface GrantorFactory {
@@ -176,10 +176,10 @@
         }
     }
 
-    /** Does what is due; to be called regularly. */
+    /** Does what is due in the lease grantor and for uncommitted commands; to be called regularly. */
     public void tick() {
         grantor.tick(nowUs.getAsLong());
-        if (uncommitted > 0 && grantor.isLeader()) {
+        if (uncommittedCommands > 0 && grantor.isLeader()) {
             node.query(EMPTY_QUERY, QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.empty())
                     .exceptionally(failure -> null);
         }
@@ -486,10 +486,10 @@
 
     /** Appends a command to the log; {@code whenDone} gets the result or the failure, on the executor. */
     private void replicate(RegistryCommand command, BiConsumer<Ordered<RuleRegistry.Result>, Throwable> whenDone) {
-        uncommitted++;
+        uncommittedCommands++;
         node.<RuleRegistry.Result>replicate(command)
                 .whenComplete((committed, failure) -> executor.execute(() -> {
-                    uncommitted--;
+                    uncommittedCommands--;
                     whenDone.accept(committed, failure);
                 }));
     }
--- a/src/main/java/petrelstand/consensus/WireCodec.java
+++ b/src/main/java/petrelstand/consensus/WireCodec.java
@@ -45,7 +45,9 @@
  */
 public final class WireCodec {
     static final int VERSION = 1;
+    /** The id of the Raft group. */
     static final String GROUP = "rules";
+
     static final int MAX_NAME_CHARS = 64;
     static final int MAX_ADDRESS_CHARS = 64;
     /** Size of a snapshot chunk; a message with one chunk fits into a datagram. */
