--- a/src/main/java/petrelstand/decision/Policy.java
+++ b/src/main/java/petrelstand/decision/Policy.java
@@ -33,221 +33,274 @@
 import petrelstand.decision.Scheduling.Rules;
 import petrelstand.decision.Scheduling.Settings;
 
-/** Every decision of a host: admission by deadline emulation, departure under a window, the rules' guards. */
+/**
+ * Decides for one gateway instance (the host) which node gets a request, when, whether it is retried, and what is
+ * refused.
+ *
+ * <p>A request is admitted if an emulation of the node's work, in slots and by earliest deadline, ends it in time. It
+ * then waits in the node's queue until the node's concurrency window has room and the rules allow an attempt. A request
+ * is entitled if its volume's reserve or its share of the plan's rate covers it; any other is excess and gives way to
+ * entitled ones.
+ *
+ * <p>Not safe for use by several threads. All times are of the host's clock, in milliseconds.
+ */
 public final class Policy implements HostEvents {
-    /**
-     * Slot of the emulation and of the measured rate, as a part of the tightest aim: aims go with the work of a
-     * request, so what is told in slots holds for sites that are slower or faster by any factor.
-     */
+    /** Length of a slot, the time step of the emulation and of the rate, as a fraction of the tightest aim. */
     public static final double SLOT_AIM_FRACTION = 0.2;
-    /** Span of the measured rate, ms: the design's ten seconds. */
+    /** Span over which a node's service rate is measured, ms. */
     public static final double RATE_SPAN_MS = 10_000;
-    /** Requests a slot that an unheard node is taken to serve: the design's few. */
-    static final double START_REQUESTS_A_SLOT = 1;
-    /** Slots that the assumed rate weighs against the measured one: half a second outweighs it. */
-    static final double ASSUMED_SLOTS = 10;
-    /** Window of a node at the start, requests: the design's few. */
+    /** Mean-sized requests per slot that a node is assumed to serve until it has answered. */
+    static final double INITIAL_REQUESTS_PER_SLOT = 1;
+    /** Weight of the assumed service rate against the measured one, in slots. */
+    static final double PRIOR_RATE_SLOTS = 10;
+    /** Concurrency window of a node at the start, requests. */
     public static final double INITIAL_WINDOW = 3;
-    /** Ceiling of a window, requests: nodes serve in turn of arrival, so what is out cannot give way. */
+    /** Upper bound of a window, requests: nodes serve in order of arrival, so an urgent request cannot overtake. */
     public static final double MAX_WINDOW = 8;
     /**
-     * Requests that all hosts together may keep out at a crowded node: nodes serve a few at once. A host whose part is
-     * below one rests after an answer.
+     * Lower bound of the sum of all hosts' windows at an overloaded node, requests. A host whose window is below one
+     * request pauses after each answer.
      */
     public static final double MIN_COMBINED_WINDOW = 4;
-    /** Part of the tightest aim that a node may usually take; the rest is for waiting where order acts. */
-    static final double AIM_PART_AT_NODE = 0.3;
-    /** Windows' worth of requests that may be out while they are within their volumes' shares. */
-    static final double DUE_WINDOWS = 2;
-    /** Weight of the newest answer in a node's usual latency: about ten answers back. */
-    static final double LATENCY_WEIGHT = 0.1;
-    /** Usual latency assumed of a node not yet heard, in slots. */
+    /** Fraction of the tightest aim above which a node's latency halves its window. */
+    static final double MAX_LATENCY_AIM_FRACTION = 0.3;
+    /** Factor by which a node's window is larger for entitled requests. */
+    static final double ENTITLED_WINDOW_FACTOR = 2;
+    /** Weight of the newest sample in the moving averages of a node's latency and of a volume's usage. */
+    static final double EWMA_WEIGHT = 0.1;
+    /** Latency assumed of a node that has not answered yet, in slots. */
     public static final double INITIAL_LATENCY_SLOTS = 2;
-    /** Age at which a wait seen at a node counts for half, in slots: about an aim. */
-    static final double EVIDENCE_SLOTS = 8;
-    /** Silence beyond the usual latency after which a node is exposed to tests only, in slots. */
-    static final double STUCK_SLOTS = 6;
-    /** Most rests of that length between requests that test a silent node. */
-    static final int MOST_TEST_RESTS = 4;
-    /** Usual latencies after which an attempt that later ones overtook counts as lost. */
-    static final double LOST_LATENCIES = 8;
-    /** Part of the usual latency that a held request needs before its aim to be worth sending. */
-    static final double LEAST_LATENCY_PART = 0.7;
-    /** Part of its aim within which a request beyond its share must end, to leave room for what is due. */
-    static final double SPARE_AIM_PART = 0.5;
-    /** Span over which this host's part of a volume's use is counted, ms: some meter periods. */
-    static final double USE_SPAN_MS = 3_000;
-    /** Margin of the final answer before the client's deadline, at the least: ticks, and ms. */
-    static final double FINAL_MARGIN_TICKS = 2, FINAL_MARGIN_MS = 5;
-    /** Wait for news of the node list, ms: after a failed call, and advised where no node has the shard. */
-    static final double LIST_RETRY_MS = 500;
-    /** Part of what answers show a cold node to bear that is relied on: work and arrivals vary. */
-    static final double COLD_MARGIN = 0.5;
-    /** Requests that all hosts together may keep out at a cold node that has not yet answered this one. */
-    static final double COLD_OUT_TOGETHER = 1.5;
-    /** Answers over which a cold node's own time is a mean, and that of all, by answers of warm nodes. */
-    static final double COLD_ANSWERS = 10, POOL_ANSWERS = 50;
-    /** Volumes that a host keeps the stores of; the one longest unused goes first. */
+    /** Half-life of a queue wait observed at a node, in slots. */
+    static final double QUEUE_WAIT_HALF_LIFE_SLOTS = 8;
+    /** Silence beyond a node's latency after which the node receives test requests only, in slots. */
+    static final double SILENCE_TIMEOUT_SLOTS = 6;
+    /** Upper bound of the backoff steps between tests of a silent node and between calls for the node list. */
+    static final int MAX_BACKOFF_STEPS = 4;
+    /** Multiple of a node's latency after which an attempt that a later one overtook counts as lost. */
+    static final double LOST_ATTEMPT_LATENCIES = 8;
+    /** Fraction of a node's latency that must be left before a queued request's aim for it to be sent. */
+    static final double MIN_LATENCY_FRACTION = 0.7;
+    /** Fraction of its aim within which an excess request must end, which leaves room for entitled ones. */
+    static final double EXCESS_AIM_FRACTION = 0.5;
+    /** Span over which the units that this host served a volume are counted, ms. */
+    static final double USAGE_SPAN_MS = 3_000;
+    /** Margin between the final answer and the client's deadline, in ticks of the host. */
+    static final double ANSWER_MARGIN_TICKS = 2;
+    /** Lower bound of that margin, ms. */
+    static final double MIN_ANSWER_MARGIN_MS = 5;
+    /** Delay after a failed call for the node list, and retry-after while no node holds the shard, ms. */
+    static final double NODE_LIST_RETRY_MS = 500;
+    /** Fraction of the capacity that a cold node's answers show which is used: work and arrivals vary. */
+    static final double COLD_SAFETY_FACTOR = 0.5;
+    /** Requests that all hosts together may have in flight at a cold node that has not answered this host yet. */
+    static final double UNHEARD_COLD_COMBINED_WINDOW = 1.5;
+    /** Answers that a node's mean service time covers, and the pool's where cold nodes answer. */
+    static final double COLD_MEAN_ANSWERS = 10;
+    /** Answers that the pool's mean service time covers where warm nodes answer. */
+    static final double WARM_MEAN_ANSWERS = 50;
+    /** Volumes whose token buckets a host keeps; the least recently used is evicted first. */
     public static final int MAX_VOLUMES = 4096;
 
     private static final double NEVER = Double.NEGATIVE_INFINITY;
-    private static final long TICK = -1, ASK = -2;
+    private static final long TICK_TOKEN = -1;
+    private static final long NODE_LIST_RETRY_TOKEN = -2;
 
     private Settings settings;
     private Rules rules;
-    private final HostActions act;
+    private final HostActions actions;
     private final SplittableRandom random;
     private final double startedMs;
-    private double tightestAimMs, slotMs, latencyStartMs, share = 1;
+    private double tightestAimMs;
+    private double slotMs;
+    private double initialLatencyMs;
+    /** Part of this host's limits and cold-node budgets that this process may spend. */
+    private double budgetShare = 1;
+
     private final TreeMap<Long, Node> nodes = new TreeMap<>();
-    private final Map<Long, Item> items = new HashMap<>();
+    private final Map<Long, PendingRequest> pendingRequests = new HashMap<>();
+    /** In order of access, least recently used first. */
     private final Map<Long, Volume> volumes = new LinkedHashMap<>(16, 0.75f, true);
-    private final Map<Long, KeyTurn> turns = new HashMap<>();
-    private final SlidingSum slots = new SlidingSum(RATE_SPAN_MS), served = new SlidingSum(RATE_SPAN_MS);
-    /** More hosts than a window has room for: each seldom has two requests at a node. */
-    private final boolean many;
-
-    private final SlidingSum taken, further;
-    private long sequence;
-    private double forgotMs;
-    private int failedCalls;
-    /** What a request of mean size takes at a node, were it warm; of late more by nodes that warm up. */
-    private double usualMs;
-    /** When the next tick is due while anything is held or out; infinite while the host is idle. */
-    private double tickDueMs = Double.POSITIVE_INFINITY;
-
-    /** A request taken by this host and not yet over, or with an attempt still out. */
-    private final class Item {
+
+    private final Map<Long, KeyQueue> keyQueues = new HashMap<>();
+    private final SlidingSum measuredSlots = new SlidingSum(RATE_SPAN_MS);
+    private final SlidingSum servedUnits = new SlidingSum(RATE_SPAN_MS);
+    /** True for more hosts than a window has room for: one host alone then sees little of a node's load. */
+    private final boolean manyHosts;
+
+    private final SlidingSum recentRequests;
+    private final SlidingSum recentRetries;
+    private long nextSequence;
+    /** Time from which the limit of a volume not known yet fills, starting empty. */
+    private double limitFillStartMs;
+
+    private int failedListCalls;
+    /** Mean time that a warm node takes for a request of mean size, over all nodes, ms. */
+    private double poolServiceMs;
+    /** Time of the next tick while any request is queued or in flight; infinite while the host is idle. */
+    private double nextTickMs = Double.POSITIVE_INFINITY;
+
+    /** A request that has no final answer yet, or that has an attempt in flight. */
+    private final class PendingRequest {
         final Request request;
-        final RequestClass kind;
+        final RequestClass requestClass;
         final Volume volume;
-        final KeyTurn turn;
-        final long order = sequence++;
+        final KeyQueue keyQueue;
+        final long sequence = nextSequence++;
         final double aimMs;
-        final int mostAttempts = settings.may().maxAttempts();
+        final int maxAttempts = settings.may().maxAttempts();
         final List<Attempt> attempts = new ArrayList<>();
-        final Set<Attempt> open = new LinkedHashSet<>();
-        /** The store of its volume that it draws on, reserve or share; null where it is due neither. */
-        TokenBucket charged;
+        final Set<Attempt> openAttempts = new LinkedHashSet<>();
+        /** The bucket of its volume that covers it, reserve or share; null for an excess request. */
+        TokenBucket chargedBucket;
 
         double worth;
-        Node heldAt;
-        boolean closed, streaming;
-        /** Units held in its volume's limit: sent, and not known to have reached a node. */
+        Node queuedAt;
+        boolean closed;
+        boolean streaming;
+        /** Units held in its volume's limit: sent, but not known to have reached a node. */
         double unitsHeld;
+        /** The first attempt that may have had an effect; null if none. */
+        Attempt possibleExecution;
 
-        Attempt mayHaveRun;
-
-        Item(double nowMs, Request request) {
+        PendingRequest(double nowMs, Request request) {
             this.request = request;
-            kind = settings.classes().get(request.requestClass());
-            volume = volume(nowMs, request);
-            double left = request.timeLeftMs();
-            double waited = request.clientRetry() ? Math.max(0, kind.deadlineMs() - left) : 0;
-            aimMs = nowMs + Math.min(kind.aimMs() - waited, left);
-            boolean ordered = kind.ordered() && request.key() != 0;
-            turn = ordered ? turns.computeIfAbsent(request.key(), k -> new KeyTurn()) : new KeyTurn();
-            turn.queue.addLast(this);
+            requestClass = settings.classes().get(request.requestClass());
+            volume = volumeOf(nowMs, request);
+            double leftMs = request.timeLeftMs();
+            double waitedMs = request.clientRetry() ? Math.max(0, requestClass.deadlineMs() - leftMs) : 0;
+            aimMs = nowMs + Math.min(requestClass.aimMs() - waitedMs, leftMs);
+            boolean ordered = requestClass.ordered() && request.key() != 0;
+            keyQueue = ordered ? keyQueues.computeIfAbsent(request.key(), key -> new KeyQueue()) : new KeyQueue();
+            keyQueue.requests.addLast(this);
         }
 
         double units() {
             return request.units();
         }
 
-        /** Its units have reached a node, or never will. */
-        void arrived(double nowMs) {
+        /** To be called once the units have reached a node, or never will. */
+        void releaseHeldUnits(double nowMs) {
             volume.limit.release(nowMs, unitsHeld);
             unitsHeld = 0;
         }
     }
 
-    private record Attempt(Item item, Node node, double sentMs, int number) {}
+    private record Attempt(PendingRequest pending, Node node, double sentMs, int number) {}
 
-    private static final Comparator<Item> BY_DEADLINE =
-            Comparator.<Item>comparingDouble(i -> i.aimMs).thenComparingLong(i -> i.order);
+    private static final Comparator<PendingRequest> BY_DEADLINE = Comparator.<PendingRequest>comparingDouble(
+                    pending -> pending.aimMs)
+            .thenComparingLong(pending -> pending.sequence);
 
-    /** A storage node as this host sees it. */
+    /** A storage node as this host knows it. */
     private final class Node {
         final long id;
-        int zone, shard;
+        int zone;
+        int shard;
         NodeState state = NodeState.READY;
         double upSinceMs;
-        final TreeSet<Item> held = new TreeSet<>(BY_DEADLINE);
-        final List<Attempt> out = new ArrayList<>();
-        final SlidingSum slots = new SlidingSum(RATE_SPAN_MS), served = new SlidingSum(RATE_SPAN_MS);
-        final SlidingSum coldSent = new SlidingSum(rules.fallMs());
-        /** Turn at the node while it is cold and this host's part there is less than a request. */
-        final TokenBucket turn = new TokenBucket(0, 1, 0);
-
-        double slotUnits;
-        boolean slotHeld;
-        double window = INITIAL_WINDOW;
-        /** Weight of the next answer; after a recall 1, then 1/2, 1/3: the first one ends what was known. */
-        double learning = LATENCY_WEIGHT;
-
-        double latencyMs = latencyStartMs, standingMs;
-        /** What a request of mean size took there, as if the node were warm, and over how many answers. */
-        double warmMs;
+        final TreeSet<PendingRequest> queued = new TreeSet<>(BY_DEADLINE);
+        final List<Attempt> inFlight = new ArrayList<>();
+        final SlidingSum measuredSlots = new SlidingSum(RATE_SPAN_MS);
+        final SlidingSum servedUnits = new SlidingSum(RATE_SPAN_MS);
+        final SlidingSum coldSentUnits = new SlidingSum(rules.fallMs());
+        /** Paces sends to a cold node where this host may have less than one request in flight; one token a send. */
+        final TokenBucket coldPacer = new TokenBucket(0, 1, 0);
+        /** Units that the node served in the current slot. */
+        double slotServedUnits;
+        /** True if the window kept a request waiting in the current slot. */
+        boolean slotBacklogged;
 
-        int heard;
-        double halvedMs = NEVER, standingAtMs = NEVER, heardMs = NEVER;
-        double newestAnsweredMs = NEVER, lastSentMs = NEVER, restUntilMs = NEVER;
-        int unanswered;
-        boolean suspect, late;
+        double window = INITIAL_WINDOW;
+        /** Weight of the next answer in the latency: 1, 1/2, 1/3 and so on after a restore or a cold start. */
+        double latencyWeight = EWMA_WEIGHT;
+
+        double latencyMs = initialLatencyMs;
+        /** Wait in the node's queue that the newest outcome showed, ms. */
+        double queueWaitMs;
+        /** Time of that outcome. */
+        double queueWaitSeenMs = NEVER;
+        /** Mean time that a request of mean size takes here, converted to a warm node, ms. */
+        double serviceMs;
+
+        int answerCount;
+        double windowHalvedMs = NEVER;
+        double lastHeardMs = NEVER;
+        /** Send time of the newest attempt that was answered. */
+        double newestAnsweredSentMs = NEVER;
+
+        double lastSentMs = NEVER;
+        /** No request is sent before this time. */
+        double pausedUntilMs = NEVER;
+        /** Attempts sent since the last answer. */
+        int sentSinceAnswer;
+        /** True if a connection failed, or an attempt failed at a silent node; the next answer clears it. */
+        boolean suspect;
+        /** True if an attempt took longer than the aim of its class; an answer within the aim clears it. */
+        boolean lastAnswerLate;
 
         Node(long id) {
             this.id = id;
         }
 
-        Node(double nowMs, LearnedNode old) {
-            this(old.node());
-            latencyMs = old.latencyMs();
+        Node(double nowMs, LearnedNode learned) {
+            this(learned.node());
+            latencyMs = learned.latencyMs();
             state = NodeState.GONE;
-            upSinceMs = old.upSinceMs();
-            slots.add(nowMs, old.measuredSlots());
-            served.add(nowMs, old.servedUnits());
-            coldSent.add(nowMs, old.coldSentUnits());
-            window = old.window();
-            suspect = old.silentMs() > 0;
-            learning = 1;
+            upSinceMs = learned.upSinceMs();
+            measuredSlots.add(nowMs, learned.measuredSlots());
+            servedUnits.add(nowMs, learned.servedUnits());
+            coldSentUnits.add(nowMs, learned.coldSentUnits());
+            window = learned.window();
+            suspect = learned.silentMs() > 0;
+            latencyWeight = 1;
         }
     }
 
-    /** A volume's stores, as far as this host may spend them. */
+    /** The token buckets of a volume, scaled to what this host may spend. */
     private static final class Volume {
         final Plan plan;
-        int setSize;
-        final TokenBucket limit, reserve, share;
-        final SlidingSum ownServed = new SlidingSum(USE_SPAN_MS);
-        double ownPart;
-
-        /** The limit is empty at a start, at a change of share, and when a volume was forgotten. */
-        Volume(Plan plan, double forgotMs, double nowMs) {
+        /** Hosts that serve the volume; 0 until the buckets have their rates. */
+        int hostCount;
+
+        final TokenBucket limit;
+        final TokenBucket reserve;
+        final TokenBucket share;
+        final SlidingSum locallyServedUnits = new SlidingSum(USAGE_SPAN_MS);
+        /** Estimated fraction of the volume's usage that passes through this host. */
+        double localFraction;
+
+        /** The limit starts empty, since what was spent before this host knew the volume is unknown. */
+        Volume(Plan plan, double limitFillStartMs, double nowMs) {
             this.plan = plan;
-            this.limit = new TokenBucket(forgotMs, plan.limitBurst(), 0);
+            this.limit = new TokenBucket(limitFillStartMs, plan.limitBurst(), 0);
             this.reserve = new TokenBucket(nowMs, plan.reserve(), plan.reserve());
             this.share = new TokenBucket(nowMs, plan.rate(), plan.rate());
         }
     }
 
-    /** The requests of a key in turn; a request that asks no order has a turn of its own. */
-    private static final class KeyTurn {
-        final ArrayDeque<Item> queue = new ArrayDeque<>();
+    /** Requests of one key in order of arrival; an unordered request has a queue of its own. */
+    private static final class KeyQueue {
+        final ArrayDeque<PendingRequest> requests = new ArrayDeque<>();
         double quietUntilMs = NEVER;
     }
 
-    /** A policy for one host, started at a time with the settings, its seed, and its host's actions. */
+    /**
+     * Creates the policy of one host.
+     *
+     * @param seed seed of the random numbers: equal seeds and events give equal actions
+     * @throws NullPointerException if the settings or the actions are missing
+     */
     public Policy(double nowMs, Settings settings, long seed, HostActions actions) {
         applySettings(nowMs, Objects.requireNonNull(settings, "settings are missing"));
-        this.act = Objects.requireNonNull(actions, "actions are missing");
+        this.actions = Objects.requireNonNull(actions, "actions are missing");
         this.random = new SplittableRandom(seed);
-        this.startedMs = forgotMs = nowMs;
-        this.many = settings.hosts() > MAX_WINDOW;
-        this.usualMs = latencyStartMs;
-        this.taken = new SlidingSum(Math.max(0, rules.furtherSpanMs() - settings.tickMs()));
-        this.further = new SlidingSum(rules.furtherSpanMs() + settings.tickMs());
+        this.startedMs = limitFillStartMs = nowMs;
+        this.manyHosts = settings.hosts() > MAX_WINDOW;
+        this.poolServiceMs = initialLatencyMs;
+        this.recentRequests = new SlidingSum(Math.max(0, rules.furtherSpanMs() - settings.tickMs()));
+        this.recentRetries = new SlidingSum(rules.furtherSpanMs() + settings.tickMs());
         if (settings.discovery() == DiscoveryMode.ASKED) {
-            act.subscribeToNodes();
+            this.actions.subscribeToNodes();
         }
     }
 
@@ -260,14 +313,14 @@
                 .min()
                 .orElseThrow();
         slotMs = SLOT_AIM_FRACTION * tightestAimMs;
-        latencyStartMs = INITIAL_LATENCY_SLOTS * slotMs;
+        initialLatencyMs = INITIAL_LATENCY_SLOTS * slotMs;
     }
 
     @Override
     public void setBudgetShare(double nowMs, double part) {
-        share = part;
-        forgotMs = nowMs;
-        volumes.values().forEach(volume -> shape(nowMs, volume, volume.setSize, volume.ownPart));
+        budgetShare = part;
+        limitFillStartMs = nowMs;
+        volumes.values().forEach(volume -> resizeBuckets(nowMs, volume, volume.hostCount, volume.localFraction));
     }
 
     // ---- Node list ----
@@ -275,33 +328,35 @@
     @Override
     public void nodesListed(double nowMs, NodeListKind kind, List<NodeEntry> entries) {
         if (kind == NodeListKind.FAILED) {
-            double rests = Math.pow(2, Math.min(failedCalls++, MOST_TEST_RESTS));
-            act.setTimer(nowMs + LIST_RETRY_MS * rests * (1 + random.nextDouble()), ASK);
+            double backoff = Math.pow(2, Math.min(failedListCalls++, MAX_BACKOFF_STEPS));
+            actions.setTimer(nowMs + NODE_LIST_RETRY_MS * backoff * (1 + random.nextDouble()), NODE_LIST_RETRY_TOKEN);
             return;
         }
-        failedCalls = 0;
+        failedListCalls = 0;
         if (kind != NodeListKind.CHANGES) {
             Set<Long> listed = entries.stream().map(NodeEntry::node).collect(Collectors.toSet());
             nodes.forEach((id, node) -> node.state = listed.contains(id) ? node.state : NodeState.GONE);
         }
-        entries.forEach(entry -> enter(nowMs, entry));
-        nodes.values().stream().filter(n -> n.state != NodeState.READY).forEach(n -> moveHeld(nowMs, n));
-        // One that may come back cold keeps what it was sent, so that its budget is not spent twice.
-        nodes.values().removeIf(n -> n.state == NodeState.GONE && n.out.isEmpty() && !cold(nowMs, n));
+        entries.forEach(entry -> applyEntry(nowMs, entry));
+        nodes.values().stream().filter(node -> node.state != NodeState.READY).forEach(node -> moveQueued(nowMs, node));
+        // A cold node that comes back must not get its budget a second time.
+        nodes.values()
+                .removeIf(node -> node.state == NodeState.GONE && node.inFlight.isEmpty() && !isCold(nowMs, node));
     }
 
-    private void enter(double nowMs, NodeEntry entry) {
+    /** Adds or updates a node; one with a newer start time begins anew, but keeps its queue and attempts. */
+    private void applyEntry(double nowMs, NodeEntry entry) {
         Node node = nodes.get(entry.node());
         if (node == null || entry.upSinceMs() > node.upSinceMs) {
             Node fresh = new Node(entry.node());
             fresh.upSinceMs = entry.upSinceMs();
-            fresh.latencyMs = cold(nowMs, fresh) ? usualMs : latencyStartMs;
-            fresh.learning = cold(nowMs, fresh) ? 1 : LATENCY_WEIGHT;
-            fresh.turn.take(nowMs, -random.nextDouble());
+            fresh.latencyMs = isCold(nowMs, fresh) ? poolServiceMs : initialLatencyMs;
+            fresh.latencyWeight = isCold(nowMs, fresh) ? 1 : EWMA_WEIGHT;
+            fresh.coldPacer.take(nowMs, -random.nextDouble());
             if (node != null) {
-                fresh.out.addAll(node.out);
-                fresh.held.addAll(node.held);
-                fresh.held.forEach(item -> item.heldAt = fresh);
+                fresh.inFlight.addAll(node.inFlight);
+                fresh.queued.addAll(node.queued);
+                fresh.queued.forEach(pending -> pending.queuedAt = fresh);
             }
             node = fresh;
             nodes.put(node.id, node);
@@ -312,465 +367,501 @@
         node.upSinceMs = Math.max(node.upSinceMs, entry.upSinceMs());
     }
 
-    /** What is held for a node that takes no more goes to another that holds the shard, or is refused. */
-    private void moveHeld(double nowMs, Node node) {
-        for (Item item : List.copyOf(node.held)) {
-            node.held.remove(item);
-            holdOrConclude(nowMs, item, nodeFor(nowMs, item), LIST_RETRY_MS);
+    /** Moves the requests queued for a node to other nodes that hold the shard, or refuses them. */
+    private void moveQueued(double nowMs, Node node) {
+        for (PendingRequest pending : List.copyOf(node.queued)) {
+            node.queued.remove(pending);
+            enqueueOrRefuse(nowMs, pending, chooseNode(nowMs, pending), NODE_LIST_RETRY_MS);
         }
     }
 
-    private Node nodeFor(double nowMs, Item item) {
-        TreeMap<Double, Node> byFinish = new TreeMap<>();
-        int wanted = item.request.shard();
+    /** Returns the node with the earliest estimated end, with jitter and silent nodes last; null if none may serve. */
+    private Node chooseNode(double nowMs, PendingRequest pending) {
+        TreeMap<Double, Node> byEstimatedEnd = new TreeMap<>();
+        int wanted = pending.request.shard();
         for (Node node : nodes.values()) {
-            boolean holds = wanted < 0 ? node.shard < NodeEntry.FIRST_PRIVATE_SHARD : node.shard == wanted;
-            if (node.state == NodeState.READY && holds && mayGoTo(nowMs, item, node)) {
-                double finish = (emulate(nowMs, node, item, Set.of()).endMs - nowMs + node.latencyMs)
+            boolean holdsShard = wanted < 0 ? node.shard < NodeEntry.FIRST_PRIVATE_SHARD : node.shard == wanted;
+            if (node.state == NodeState.READY && holdsShard && mayExecuteAt(nowMs, pending, node)) {
+                double estimate = (emulate(nowMs, node, pending, Set.of()).endMs - nowMs + node.latencyMs)
                         * (1 + random.nextDouble());
-                byFinish.putIfAbsent(silent(nowMs, node) ? Double.MAX_VALUE : finish, node);
+                byEstimatedEnd.putIfAbsent(isSilent(nowMs, node) ? Double.MAX_VALUE : estimate, node);
             }
         }
-        return byFinish.isEmpty() ? null : byFinish.firstEntry().getValue();
+        return byEstimatedEnd.isEmpty() ? null : byEstimatedEnd.firstEntry().getValue();
     }
 
-    // ---- Measured rate (minRead) ----
+    // ---- Measured service rate ----
 
     /**
-     * Units a slot: measured in slots with held requests, leaning on the other nodes' mean while these are few, and no
-     * less than what the window and the latest answers show (window over latency). Guards against a low mean that
-     * refuses the very requests that would raise it. Harm: slow answers show late that a node is overrun.
+     * Returns the node's service rate in units per slot. Few measured slots are weighed with the mean of all nodes. The
+     * rate is at least window over latency: a mean that is too low would refuse the very requests that could raise it.
      */
-    private double unitsPerSlot(double nowMs, Node node, Item item) {
-        double start = START_REQUESTS_A_SLOT * settings.meanUnits();
-        double assumed = (served.sum(nowMs) + start * ASSUMED_SLOTS) / (slots.sum(nowMs) + ASSUMED_SLOTS);
-        double mean = (node.served.sum(nowMs) + assumed * ASSUMED_SLOTS) / (node.slots.sum(nowMs) + ASSUMED_SLOTS);
-        double shown = window(node, item) * settings.meanUnits() * slotMs / node.latencyMs;
-        double paced = settings.meanUnits() * slotMs / coldMs(nowMs, node) * coldRest(nowMs, node);
-        return cold(nowMs, node) ? Math.min(Math.max(mean, shown), paced) : Math.max(mean, shown);
+    private double unitsPerSlot(double nowMs, Node node, PendingRequest pending) {
+        double initialRate = INITIAL_REQUESTS_PER_SLOT * settings.meanUnits();
+        double priorRate = (servedUnits.sum(nowMs) + initialRate * PRIOR_RATE_SLOTS)
+                / (measuredSlots.sum(nowMs) + PRIOR_RATE_SLOTS);
+        double measuredRate = (node.servedUnits.sum(nowMs) + priorRate * PRIOR_RATE_SLOTS)
+                / (node.measuredSlots.sum(nowMs) + PRIOR_RATE_SLOTS);
+        double windowRate = effectiveWindow(node, pending) * settings.meanUnits() * slotMs / node.latencyMs;
+        double pacedRate = settings.meanUnits() * slotMs / coldServiceMs(nowMs, node) * coldInFlightLimit(nowMs, node);
+        return isCold(nowMs, node)
+                ? Math.min(Math.max(measuredRate, windowRate), pacedRate)
+                : Math.max(measuredRate, windowRate);
     }
 
     /**
-     * Counts a slot only where the window kept requests waiting. What waits for a cold budget, a limit, a key's turn or
-     * a silent node says nothing of the rate; counting it refuses work for ten seconds after. Harm: a node that turns
-     * silent again and again keeps the rate of its good moments.
+     * Counts the slot only if the window kept a request waiting. A request that waits for a cold budget, a limit, its
+     * key or a silent node says nothing about the service rate.
      */
     private void endSlot(double nowMs, Node node) {
-        if (node.slotHeld) {
-            node.slots.add(nowMs, 1);
-            node.served.add(nowMs, node.slotUnits);
-            slots.add(nowMs, 1);
-            served.add(nowMs, node.slotUnits);
+        if (node.slotBacklogged) {
+            node.measuredSlots.add(nowMs, 1);
+            node.servedUnits.add(nowMs, node.slotServedUnits);
+            measuredSlots.add(nowMs, 1);
+            servedUnits.add(nowMs, node.slotServedUnits);
         }
-        node.slotUnits = 0;
-        node.slotHeld = false;
+        node.slotServedUnits = 0;
+        node.slotBacklogged = false;
     }
 
     // ---- Emulation and admission ----
 
     @Override
     public void requestReceived(double nowMs, Request request) {
-        notePause(nowMs);
-        taken.add(nowMs, 1);
-        if (Double.isInfinite(tickDueMs)) {
-            tickDueMs = nowMs + slotMs;
-            act.setTimer(tickDueMs, TICK);
+        detectPause(nowMs);
+        recentRequests.add(nowMs, 1);
+        if (Double.isInfinite(nextTickMs)) {
+            nextTickMs = nowMs + slotMs;
+            actions.setTimer(nextTickMs, TICK_TOKEN);
         }
-        Item item = new Item(nowMs, request);
-        items.put(request.id(), item);
-        double margin = Math.max(FINAL_MARGIN_MS, FINAL_MARGIN_TICKS * settings.tickMs());
-        act.setTimer(nowMs + Math.max(0, request.timeLeftMs() - margin), request.id());
-        admit(nowMs, item);
+        PendingRequest pending = new PendingRequest(nowMs, request);
+        pendingRequests.put(request.id(), pending);
+        double margin = Math.max(MIN_ANSWER_MARGIN_MS, ANSWER_MARGIN_TICKS * settings.tickMs());
+        actions.setTimer(nowMs + Math.max(0, request.timeLeftMs() - margin), request.id());
+        admit(nowMs, pending);
     }
 
-    private void admit(double nowMs, Item item) {
-        Node node = nodeFor(nowMs, item);
+    private void admit(double nowMs, PendingRequest pending) {
+        Node node = chooseNode(nowMs, pending);
         if (node == null) {
-            conclude(nowMs, item, LIST_RETRY_MS);
+            refuseOrFail(nowMs, pending, NODE_LIST_RETRY_MS);
             return;
         }
-        if (!withinLimit(nowMs, item)) {
-            double missing = item.units() - item.volume.limit.level(nowMs);
-            conclude(nowMs, item, missing * 1000 * item.volume.setSize / item.volume.plan.limit());
+        if (!withinLimit(nowMs, pending)) {
+            double missingUnits = pending.units() - pending.volume.limit.level(nowMs);
+            refuseOrFail(nowMs, pending, missingUnits * 1000 * pending.volume.hostCount / pending.volume.plan.limit());
             return;
         }
-        charge(nowMs, item);
-        Reading reading = emulate(nowMs, node, item, Set.of());
-        if (!reading.holds && !makeRoom(nowMs, node, item)) {
-            conclude(nowMs, item, Math.max(slotMs, reading.endMs - item.aimMs));
+        charge(nowMs, pending);
+        Emulation emulation = emulate(nowMs, node, pending, Set.of());
+        if (!emulation.feasible && !evictLessValuable(nowMs, node, pending)) {
+            refuseOrFail(nowMs, pending, Math.max(slotMs, emulation.endMs - pending.aimMs));
             return;
         }
-        holdOrConclude(nowMs, item, node, 0);
+        enqueueOrRefuse(nowMs, pending, node, 0);
     }
 
-    /** When a request must end; what is due to nobody leaves room for what is. */
-    private static double dueMs(double nowMs, Item item) {
-        return nowMs + (item.aimMs - nowMs) * (item.charged == null ? SPARE_AIM_PART : 1);
+    /** Returns the time by which a request must end to be admitted. */
+    private static double targetEndMs(double nowMs, PendingRequest pending) {
+        return nowMs + (pending.aimMs - nowMs) * (pending.chargedBucket == null ? EXCESS_AIM_FRACTION : 1);
     }
 
-    /** What the emulation finds: when the new request ends; whether in time, making no other late. */
-    private record Reading(double endMs, boolean holds) {}
+    /**
+     * Result of an emulation.
+     *
+     * @param endMs estimated end of the added request
+     * @param feasible true if that is in time and makes no other request late
+     */
+    private record Emulation(double endMs, boolean feasible) {}
 
-    private Reading emulate(double nowMs, Node node, Item added, Set<Item> gone) {
+    /** Emulates the node's work with a request added and some queued requests removed. */
+    private Emulation emulate(double nowMs, Node node, PendingRequest added, Set<PendingRequest> removed) {
         double rate = unitsPerSlot(nowMs, node, added);
-        double begin = nowMs + Math.max(silentMs(nowMs, node), standingMs(nowMs, node));
-        boolean turns = cold(nowMs, node) && coldRest(nowMs, node) < 1;
-        begin += turns ? coldMs(nowMs, node) * (1 - turn(nowMs, node) / coldRest(nowMs, node)) : 0;
-        boolean idle = (silent(nowMs, node) ? testDue(nowMs, node) : node.out.isEmpty())
-                && node.held.isEmpty()
-                && withinCold(nowMs, node, added)
-                && nowMs + standingMs(nowMs, node) < added.aimMs;
-        boolean holds = !node.suspect;
-        double units = 0, addedEnd = Double.POSITIVE_INFINITY;
-        for (Item item : schedule(node, added, gone, !turns)) {
-            units += item.units();
-            double end = endMs(begin, units, rate);
-            if (item == added) {
-                addedEnd = end;
-                holds &= end <= dueMs(nowMs, added);
-            } else if (addedEnd <= end && end > item.aimMs) {
-                holds &= endMs(begin, units - added.units(), rate) > item.aimMs;
+        double beginMs = nowMs + Math.max(silenceMs(nowMs, node), agedQueueWaitMs(nowMs, node));
+        boolean paced = isCold(nowMs, node) && coldInFlightLimit(nowMs, node) < 1;
+        beginMs += paced
+                ? coldServiceMs(nowMs, node) * (1 - coldPacerLevel(nowMs, node) / coldInFlightLimit(nowMs, node))
+                : 0;
+        boolean idle = (isSilent(nowMs, node) ? isTestDue(nowMs, node) : node.inFlight.isEmpty())
+                && node.queued.isEmpty()
+                && withinColdBudget(nowMs, node, added)
+                && nowMs + agedQueueWaitMs(nowMs, node) < added.aimMs;
+        boolean feasible = !node.suspect;
+        double units = 0;
+        double addedEndMs = Double.POSITIVE_INFINITY;
+        for (PendingRequest pending : deadlineOrder(node, added, removed, !paced)) {
+            units += pending.units();
+            double endMs = endMs(beginMs, units, rate);
+            if (pending == added) {
+                addedEndMs = endMs;
+                feasible &= endMs <= targetEndMs(nowMs, added);
+            } else if (addedEndMs <= endMs && endMs > pending.aimMs) {
+                feasible &= endMs(beginMs, units - added.units(), rate) > pending.aimMs;
             }
         }
-        return new Reading(addedEnd, idle || holds);
+        return new Emulation(addedEndMs, idle || feasible);
     }
 
     private double endMs(double beginMs, double units, double rate) {
         return rate > 0 ? beginMs + Math.ceil(units / rate) * slotMs : Double.POSITIVE_INFINITY;
     }
 
-    /** What is out and held at a node and the new request, earliest deadline first. */
-    private static List<Item> schedule(Node node, Item added, Set<Item> gone, boolean withOut) {
-        List<Item> all = new ArrayList<>(node.held);
-        all.removeAll(gone);
-        node.out.stream().filter(attempt -> withOut).forEach(attempt -> all.add(attempt.item));
-        if (added.heldAt != node) {
-            all.add(added);
+    /** Returns the added request and those queued and, if included, in flight at a node, earliest deadline first. */
+    private static List<PendingRequest> deadlineOrder(
+            Node node, PendingRequest added, Set<PendingRequest> removed, boolean includeInFlight) {
+        List<PendingRequest> ordered = new ArrayList<>(node.queued);
+        ordered.removeAll(removed);
+        node.inFlight.stream().filter(attempt -> includeInFlight).forEach(attempt -> ordered.add(attempt.pending));
+        if (added.queuedAt != node) {
+            ordered.add(added);
         }
-        all.sort(BY_DEADLINE);
-        return all;
+        ordered.sort(BY_DEADLINE);
+        return ordered;
     }
 
     /**
-     * Departure from the design, in the spirit of buffer stealing: when the emulation fails, held requests of lesser
-     * worth a unit that never ran give way, least first, until it holds.
+     * Refuses queued requests of lesser worth that never ran, least first, until the new one fits. Returns false, and
+     * refuses none, if even all of them are not enough.
      */
-    private boolean makeRoom(double nowMs, Node node, Item item) {
-        Set<Item> gone = new LinkedHashSet<>();
-        List<Item> lesser = node.held.stream()
-                .filter(other -> other.worth < item.worth && other.mayHaveRun == null && other.open.isEmpty())
-                .sorted(Comparator.comparingDouble((Item i) -> i.worth).thenComparing(BY_DEADLINE))
+    private boolean evictLessValuable(double nowMs, Node node, PendingRequest pending) {
+        Set<PendingRequest> victims = new LinkedHashSet<>();
+        List<PendingRequest> candidates = node.queued.stream()
+                .filter(other ->
+                        other.worth < pending.worth && other.possibleExecution == null && other.openAttempts.isEmpty())
+                .sorted(Comparator.comparingDouble((PendingRequest other) -> other.worth)
+                        .thenComparing(BY_DEADLINE))
                 .toList();
-        for (Item other : lesser) {
-            gone.add(other);
-            if (emulate(nowMs, node, item, gone).holds) {
-                gone.forEach(victim -> conclude(nowMs, victim, slotMs));
+        for (PendingRequest candidate : candidates) {
+            victims.add(candidate);
+            if (emulate(nowMs, node, pending, victims).feasible) {
+                victims.forEach(victim -> refuseOrFail(nowMs, victim, slotMs));
                 return true;
             }
         }
         return false;
     }
 
-    // ---- What a volume is due ----
+    // ---- Entitlement of volumes ----
 
-    private Volume volume(double nowMs, Request request) {
+    /** Returns the volume of a request, a new one if needed, and adapts it to a larger number of hosts. */
+    private Volume volumeOf(double nowMs, Request request) {
         if (volumes.size() >= MAX_VOLUMES && !volumes.containsKey(request.volume())) {
             volumes.remove(volumes.keySet().iterator().next());
-            forgotMs = nowMs;
+            limitFillStartMs = nowMs;
         }
-        int setSize = request.volumeHostCount() > 0 ? request.volumeHostCount() : settings.hosts();
+        int hostCount = request.volumeHostCount() > 0 ? request.volumeHostCount() : settings.hosts();
         Volume volume = volumes.computeIfAbsent(
-                request.volume(), id -> new Volume(settings.plans().get(request.plan()), forgotMs, nowMs));
-        if (setSize > volume.setSize) {
-            shape(nowMs, volume, setSize, Math.min(1 / Math.sqrt(setSize), 2.0 / setSize));
+                request.volume(), id -> new Volume(settings.plans().get(request.plan()), limitFillStartMs, nowMs));
+        if (hostCount > volume.hostCount) {
+            resizeBuckets(nowMs, volume, hostCount, Math.min(1 / Math.sqrt(hostCount), 2.0 / hostCount));
         }
         return volume;
     }
 
-    private void shape(double nowMs, Volume volume, int setSize, double part) {
+    /** Resizes a volume's buckets: the limit is divided evenly among the hosts, the others by the local fraction. */
+    private void resizeBuckets(double nowMs, Volume volume, int hostCount, double localFraction) {
         Plan plan = volume.plan;
-        double fromMs = volume.setSize == 0 ? forgotMs : nowMs;
-        volume.setSize = setSize;
-        volume.ownPart = part;
-        volume.limit.reshape(fromMs, plan.limit() * share / setSize, plan.limitBurst() * share / setSize);
-        volume.reserve.reshape(nowMs, plan.reserve() * part, (plan.reserve() + settings.mostUnits()) * part);
-        volume.share.reshape(nowMs, plan.rate() * part, (plan.rate() + settings.mostUnits()) * part);
-    }
-
-    private void charge(double nowMs, Item item) {
-        Volume volume = item.volume;
-        double least = Math.min(item.units(), settings.meanUnits());
-        double steps = settings.spareWorth();
-        if (volume.plan.reserve() > 0 && volume.reserve.level(nowMs) >= least) {
-            item.charged = volume.reserve;
-            steps = 1;
-        } else if (volume.share.level(nowMs) >= least) {
-            item.charged = volume.share;
-            steps = settings.shareWorth();
+        double fromMs = volume.hostCount == 0 ? limitFillStartMs : nowMs;
+        volume.hostCount = hostCount;
+        volume.localFraction = localFraction;
+        volume.limit.reconfigure(
+                fromMs, plan.limit() * budgetShare / hostCount, plan.limitBurst() * budgetShare / hostCount);
+        volume.reserve.reconfigure(
+                nowMs, plan.reserve() * localFraction, (plan.reserve() + settings.mostUnits()) * localFraction);
+        volume.share.reconfigure(
+                nowMs, plan.rate() * localFraction, (plan.rate() + settings.mostUnits()) * localFraction);
+    }
+
+    /** Charges the first bucket that covers the request, reserve before share, and sets its worth. */
+    private void charge(double nowMs, PendingRequest pending) {
+        Volume volume = pending.volume;
+        double minLevel = Math.min(pending.units(), settings.meanUnits());
+        double worthFactor = settings.spareWorth();
+        if (volume.plan.reserve() > 0 && volume.reserve.level(nowMs) >= minLevel) {
+            pending.chargedBucket = volume.reserve;
+            worthFactor = 1;
+        } else if (volume.share.level(nowMs) >= minLevel) {
+            pending.chargedBucket = volume.share;
+            worthFactor = settings.shareWorth();
         }
-        if (item.charged != null) {
-            item.charged.take(nowMs, item.units());
+        if (pending.chargedBucket != null) {
+            pending.chargedBucket.take(nowMs, pending.units());
         }
-        double late = item.aimMs > nowMs ? 1 : item.kind.lateWorth();
-        item.worth = item.kind.worth() * volume.plan.price() * steps * late;
+        double lateFactor = pending.aimMs > nowMs ? 1 : pending.requestClass.lateWorth();
+        pending.worth = pending.requestClass.worth() * volume.plan.price() * worthFactor * lateFactor;
     }
 
-    /** What was charged for a request that gets nothing goes back to its volume. */
-    private void giveBack(double nowMs, Item item) {
-        if (item.charged != null) {
-            item.charged.take(nowMs, -item.units());
-            item.charged = null;
+    /** Returns the charged units of a request that is not served to its volume's bucket. */
+    private void refund(double nowMs, PendingRequest pending) {
+        if (pending.chargedBucket != null) {
+            pending.chargedBucket.take(nowMs, -pending.units());
+            pending.chargedBucket = null;
         }
     }
 
-    private void noteUse(double nowMs, Volume volume, int seenUse) {
-        double total = (seenUse - 1) / 100.0 * volume.plan.rate();
-        double own = volume.ownServed.sum(nowMs) * 1000 / USE_SPAN_MS;
-        if (total > 0) {
-            double part = Math.max(1.0 / volume.setSize, Math.min(1, own / total));
-            shape(nowMs, volume, volume.setSize, volume.ownPart + LATENCY_WEIGHT * (part - volume.ownPart));
+    /**
+     * Updates this host's fraction of a volume's usage.
+     *
+     * @param reportedUse as of {@link AttemptEnd#reportedUse}
+     */
+    private void noteUsage(double nowMs, Volume volume, int reportedUse) {
+        double totalRate = (reportedUse - 1) / 100.0 * volume.plan.rate();
+        double localRate = volume.locallyServedUnits.sum(nowMs) * 1000 / USAGE_SPAN_MS;
+        if (totalRate > 0) {
+            double measuredFraction = Math.max(1.0 / volume.hostCount, Math.min(1, localRate / totalRate));
+            resizeBuckets(
+                    nowMs,
+                    volume,
+                    volume.hostCount,
+                    volume.localFraction + EWMA_WEIGHT * (measuredFraction - volume.localFraction));
         }
     }
 
-    // ---- Departure under the window ----
+    // ---- Dispatch under the window ----
 
-    private void holdOrConclude(double nowMs, Item item, Node node, double retryAfterMs) {
+    /** Queues a request for a node, or ends it if there is none. */
+    private void enqueueOrRefuse(double nowMs, PendingRequest pending, Node node, double retryAfterMs) {
         if (node == null) {
-            conclude(nowMs, item, retryAfterMs);
+            refuseOrFail(nowMs, pending, retryAfterMs);
         } else {
-            item.heldAt = node;
-            node.held.add(item);
-            depart(nowMs, node);
+            pending.queuedAt = node;
+            node.queued.add(pending);
+            dispatch(nowMs, node);
         }
     }
 
-    /** Sends held requests, earliest deadline first, while the window has room. */
-    private void depart(double nowMs, Node node) {
-        List<Item> held = node.state == NodeState.READY ? List.copyOf(node.held) : List.of();
-        for (Item item : held) {
-            boolean first = node.out.isEmpty();
-            double wait = standingMs(nowMs, node);
-            if ((!first || cold(nowMs, node)) && nowMs + LEAST_LATENCY_PART * node.latencyMs > item.aimMs
-                    || wait > 0 && nowMs + wait > dueMs(nowMs, item)) {
-                conclude(nowMs, item, slotMs);
-            } else if (maySend(nowMs, node, item)) {
-                if (hasRoom(nowMs, node, item)) {
-                    send(nowMs, node, item);
+    /** Sends queued requests by deadline while the window has room, and refuses those that are too late. */
+    private void dispatch(double nowMs, Node node) {
+        List<PendingRequest> requests = node.state == NodeState.READY ? List.copyOf(node.queued) : List.of();
+        for (PendingRequest pending : requests) {
+            boolean idle = node.inFlight.isEmpty();
+            double waitMs = agedQueueWaitMs(nowMs, node);
+            if ((!idle || isCold(nowMs, node)) && nowMs + MIN_LATENCY_FRACTION * node.latencyMs > pending.aimMs
+                    || waitMs > 0 && nowMs + waitMs > targetEndMs(nowMs, pending)) {
+                refuseOrFail(nowMs, pending, slotMs);
+            } else if (maySend(nowMs, node, pending)) {
+                if (hasWindowRoom(nowMs, node, pending)) {
+                    send(nowMs, node, pending);
                 } else {
-                    node.slotHeld |= !silent(nowMs, node);
+                    node.slotBacklogged |= !isSilent(nowMs, node);
                 }
             }
         }
     }
 
     /**
-     * The window, and for a silent node one request and a test now and then: what is sent into silence is lost to its
-     * aim and, where unsafe, cannot be refused. Harm: a node with one long request at a time looks silent.
+     * Returns whether the window has room for the request. A silent node gets a test request now and then, an unsafe
+     * one only if no other kind is queued: it could not be refused afterwards.
      */
-    private boolean hasRoom(double nowMs, Node node, Item item) {
-        if (nowMs < node.restUntilMs) {
+    private boolean hasWindowRoom(double nowMs, Node node, PendingRequest pending) {
+        if (nowMs < node.pausedUntilMs) {
             return false;
         }
-        if (silent(nowMs, node)) {
-            boolean exposable = item.kind.effect() != Effect.UNSAFE
-                    || node.held.stream().allMatch(other -> other.kind.effect() == Effect.UNSAFE);
-            return exposable && testDue(nowMs, node);
+        if (isSilent(nowMs, node)) {
+            boolean mayTest = pending.requestClass.effect() != Effect.UNSAFE
+                    || node.queued.stream().allMatch(other -> other.requestClass.effect() == Effect.UNSAFE);
+            return mayTest && isTestDue(nowMs, node);
         }
-        double window = window(node, item);
-        double ease = item.charged == null ? node.latencyMs : Math.min(node.latencyMs, latencyStartMs);
+        double window = effectiveWindow(node, pending);
+        double pauseMs = pending.chargedBucket == null ? node.latencyMs : Math.min(node.latencyMs, initialLatencyMs);
         return window >= 1
-                ? node.out.size() + 1 <= window
-                : node.out.isEmpty() && nowMs >= node.heardMs + ease * (1 / window - 1);
+                ? node.inFlight.size() + 1 <= window
+                : node.inFlight.isEmpty() && nowMs >= node.lastHeardMs + pauseMs * (1 / window - 1);
     }
 
     /**
-     * What is within its volume's share leaves under a wider window, one at least; but where an answer was past its aim
-     * at the node itself, many hosts' dues are too many. Harm: few of them reach the node.
+     * Returns the window for a request. That of entitled requests is wider and at least one, except where many hosts
+     * share a node whose last answer was late: their entitled requests alone could overload it.
      */
-    private double window(Node node, Item item) {
-        double hosts = Math.min(settings.hosts(), item.volume.setSize * MAX_WINDOW);
-        double due = many && node.late
+    private double effectiveWindow(Node node, PendingRequest pending) {
+        double hosts = Math.min(settings.hosts(), pending.volume.hostCount * MAX_WINDOW);
+        double entitledWindow = manyHosts && node.lastAnswerLate
                 ? Math.min(1, MIN_COMBINED_WINDOW / hosts)
-                : Math.max(1, Math.min(MAX_WINDOW, node.window * DUE_WINDOWS));
-        return item.charged == null ? node.window : due;
+                : Math.max(1, Math.min(MAX_WINDOW, node.window * ENTITLED_WINDOW_FACTOR));
+        return pending.chargedBucket == null ? node.window : entitledWindow;
     }
 
-    private boolean silent(double nowMs, Node node) {
-        return node.suspect || silentMs(nowMs, node) > STUCK_SLOTS * slotMs;
+    /** True if a node is suspect, or silent for too long with attempts in flight. */
+    private boolean isSilent(double nowMs, Node node) {
+        return node.suspect || silenceMs(nowMs, node) > SILENCE_TIMEOUT_SLOTS * slotMs;
     }
 
     /**
-     * Time for one more request into silence: what is out may be lost, and only an answer can tell. All hosts test, so
-     * the rest grows with them, and their tests together stay as few as those of a few hosts.
+     * Returns whether another test request may be sent to a silent node. The interval grows with the unanswered
+     * attempts and with the number of hosts, which bounds the tests of all hosts together.
      */
-    private boolean testDue(double nowMs, Node node) {
-        double hosts = settings.hosts() / MAX_WINDOW;
-        double rests = Math.max(Math.min(node.unanswered, MOST_TEST_RESTS), hosts);
-        return node.out.isEmpty() && !many || nowMs >= node.lastSentMs + STUCK_SLOTS * slotMs * rests;
+    private boolean isTestDue(double nowMs, Node node) {
+        double hostsPerWindow = settings.hosts() / MAX_WINDOW;
+        double backoff = Math.max(Math.min(node.sentSinceAnswer, MAX_BACKOFF_STEPS), hostsPerWindow);
+        return node.inFlight.isEmpty() && !manyHosts
+                || nowMs >= node.lastSentMs + SILENCE_TIMEOUT_SLOTS * slotMs * backoff;
     }
 
     /**
-     * Lets go of attempts that later ones overtook long ago. Guards against lost requests or answers, which else fill a
-     * window until the client's deadline. Harm: very heavy work is taken for lost.
+     * Frees the window of attempts that later ones overtook long ago. Otherwise a lost request or answer would occupy
+     * the window until the client's deadline.
      */
-    private void letGoOfLost(double nowMs, Node node) {
-        for (Attempt attempt : List.copyOf(node.out)) {
-            Item item = attempt.item();
-            double patience = LOST_LATENCIES * node.latencyMs * work(item);
-            if (attempt.sentMs() < Math.min(node.newestAnsweredMs, nowMs - patience)) {
-                node.out.remove(attempt);
-                item.mayHaveRun = Objects.requireNonNullElse(item.mayHaveRun, attempt);
+    private void releaseLostAttempts(double nowMs, Node node) {
+        for (Attempt attempt : List.copyOf(node.inFlight)) {
+            PendingRequest pending = attempt.pending();
+            double lostAfterMs = LOST_ATTEMPT_LATENCIES * node.latencyMs * sizeFactor(pending);
+            if (attempt.sentMs() < Math.min(node.newestAnsweredSentMs, nowMs - lostAfterMs)) {
+                node.inFlight.remove(attempt);
+                pending.possibleExecution = Objects.requireNonNullElse(pending.possibleExecution, attempt);
             }
         }
     }
 
-    private double work(Item item) {
-        return Math.max(1, item.units() / settings.meanUnits());
+    /** Returns the units of a request relative to the mean, at least 1. */
+    private double sizeFactor(PendingRequest pending) {
+        return Math.max(1, pending.units() / settings.meanUnits());
     }
 
-    private void send(double nowMs, Node node, Item item) {
-        leave(item);
-        if (item.attempts.isEmpty()) {
-            item.unitsHeld = item.volume.plan.limit() > 0 ? item.units() : 0;
-            item.volume.limit.hold(nowMs, item.unitsHeld);
+    private void send(double nowMs, Node node, PendingRequest pending) {
+        dequeue(pending);
+        if (pending.attempts.isEmpty()) {
+            pending.unitsHeld = pending.volume.plan.limit() > 0 ? pending.units() : 0;
+            pending.volume.limit.hold(nowMs, pending.unitsHeld);
         } else {
-            further.add(nowMs, 1);
+            recentRetries.add(nowMs, 1);
         }
-        Attempt attempt = new Attempt(item, node, nowMs, item.attempts.size());
-        item.attempts.add(attempt);
-        item.open.add(attempt);
-        node.out.add(attempt);
+        Attempt attempt = new Attempt(pending, node, nowMs, pending.attempts.size());
+        pending.attempts.add(attempt);
+        pending.openAttempts.add(attempt);
+        node.inFlight.add(attempt);
         node.lastSentMs = nowMs;
-        node.unanswered++;
-        node.coldSent.add(nowMs, item.units());
-        double left = settings.mostUnits() / settings.meanUnits() + node.turn.level(nowMs);
-        node.turn.take(nowMs, Math.min(left, item.units() / settings.meanUnits()));
-        act.send(item.request.id(), node.id, 0);
+        node.sentSinceAnswer++;
+        node.coldSentUnits.add(nowMs, pending.units());
+        double maxTokens = settings.mostUnits() / settings.meanUnits() + node.coldPacer.level(nowMs);
+        node.coldPacer.take(nowMs, Math.min(maxTokens, pending.units() / settings.meanUnits()));
+        actions.send(pending.request.id(), node.id, 0);
     }
 
-    // ---- Outcomes, further attempts, final answers ----
+    // ---- Outcomes, retries, final answers ----
 
-    /** A body in pieces is waited for until its answer: the system may hold its end for seconds. */
+    /** Ignores streamed bodies, whose end may stay in socket buffers for seconds: their answer counts instead. */
     @Override
     public void requestWritten(double nowMs, long request) {
-        Item item = items.get(request);
-        if (item != null && !item.streaming) {
-            item.arrived(nowMs);
+        PendingRequest pending = pendingRequests.get(request);
+        if (pending != null && !pending.streaming) {
+            pending.releaseHeldUnits(nowMs);
         }
     }
 
     @Override
     public void attemptEnded(double nowMs, AttemptEnd end) {
-        notePause(nowMs);
-        Item item = items.get(end.request());
-        boolean sent = item != null && end.attempt() >= 0 && end.attempt() < item.attempts.size();
-        if (!sent || !item.open.remove(item.attempts.get(end.attempt()))) {
+        detectPause(nowMs);
+        PendingRequest pending = pendingRequests.get(end.request());
+        boolean sent = pending != null && end.attempt() >= 0 && end.attempt() < pending.attempts.size();
+        if (!sent || !pending.openAttempts.remove(pending.attempts.get(end.attempt()))) {
             return;
         }
-        Attempt attempt = item.attempts.get(end.attempt());
+        Attempt attempt = pending.attempts.get(end.attempt());
         Node node = nodes.getOrDefault(attempt.node().id, attempt.node());
-        node.out.remove(attempt);
+        node.inFlight.remove(attempt);
         if (!end.outcome().neverRan()) {
-            item.mayHaveRun = Objects.requireNonNullElse(item.mayHaveRun, attempt);
+            pending.possibleExecution = Objects.requireNonNullElse(pending.possibleExecution, attempt);
             boolean mayRunYet = end.outcome() != Outcome.SERVED && end.outcome() != Outcome.ERROR;
             double quietMs = mayRunYet ? rules.keyQuietMs() + settings.tickMs() : 0;
-            item.turn.quietUntilMs = Math.max(item.turn.quietUntilMs, nowMs + quietMs);
+            pending.keyQueue.quietUntilMs = Math.max(pending.keyQueue.quietUntilMs, nowMs + quietMs);
         }
-        judge(nowMs, node, attempt, end);
-        noteUse(nowMs, item.volume, end.reportedUse());
+        updateHealth(nowMs, node, attempt, end);
+        noteUsage(nowMs, pending.volume, end.reportedUse());
         if (end.requestClosed()) {
-            close(item);
+            close(pending);
         }
-        if (!item.closed && item.open.isEmpty()) {
-            goOn(nowMs, item, end.outcome());
+        if (!pending.closed && pending.openAttempts.isEmpty()) {
+            retryOrRefuse(nowMs, pending, end.outcome());
         }
-        forget(nowMs, item);
-        depart(nowMs, node);
+        forgetIfDone(nowMs, pending);
+        dispatch(nowMs, node);
     }
 
-    /** After an attempt without an answer: another, where class, time and budget allow it, or the end. */
-    private void goOn(double nowMs, Item item, Outcome outcome) {
-        int most = Math.min(item.mostAttempts, settings.may().maxAttempts());
-        boolean may = outcome.isRetryable() && nowMs < item.aimMs && item.attempts.size() < most;
-        holdOrConclude(nowMs, item, may && mayTryFurther(nowMs) ? nodeFor(nowMs, item) : null, slotMs);
+    /** Retries a request after a failed attempt if its class, aim and the retry budget allow it, else ends it. */
+    private void retryOrRefuse(double nowMs, PendingRequest pending, Outcome outcome) {
+        int maxAttempts = Math.min(pending.maxAttempts, settings.may().maxAttempts());
+        boolean mayRetry = outcome.isRetryable() && nowMs < pending.aimMs && pending.attempts.size() < maxAttempts;
+        enqueueOrRefuse(
+                nowMs, pending, mayRetry && withinRetryBudget(nowMs) ? chooseNode(nowMs, pending) : null, slotMs);
     }
 
-    /** The final answer for what is not served: a refusal where that is harmless, else a failure. */
-    private void conclude(double nowMs, Item item, double retryAfterMs) {
-        giveBack(nowMs, item);
-        if (refusable(item)) {
-            double most = settings.may().retryAfter() ? settings.may().maxRetryAfterMs() : 0;
-            act.refuse(item.request.id(), Math.min(most, retryAfterMs));
+    /** Gives the final answer to a request that is not served: refused where a new try is harmless, else failed. */
+    private void refuseOrFail(double nowMs, PendingRequest pending, double retryAfterMs) {
+        refund(nowMs, pending);
+        if (isRefusable(pending)) {
+            double maxWaitMs = settings.may().retryAfter() ? settings.may().maxRetryAfterMs() : 0;
+            actions.refuse(pending.request.id(), Math.min(maxWaitMs, retryAfterMs));
         } else {
-            act.fail(item.request.id());
+            actions.fail(pending.request.id());
         }
-        item.closed = true;
-        leave(item);
-        forget(nowMs, item);
+        pending.closed = true;
+        dequeue(pending);
+        forgetIfDone(nowMs, pending);
     }
 
-    private static boolean refusable(Item item) {
-        boolean clean = item.mayHaveRun == null && item.open.isEmpty();
-        return clean
-                || item.kind.effect() == Effect.REPEATABLE
-                || item.kind.effect() == Effect.KEYED && item.kind.group() == DedupGroup.ALL;
+    private static boolean isRefusable(PendingRequest pending) {
+        boolean neverRan = pending.possibleExecution == null && pending.openAttempts.isEmpty();
+        return neverRan
+                || pending.requestClass.effect() == Effect.REPEATABLE
+                || pending.requestClass.effect() == Effect.KEYED && pending.requestClass.group() == DedupGroup.ALL;
     }
 
-    /** What is out for one who left or was served by a copy keeps others waiting; its age still tells. */
-    private void close(Item item) {
-        item.closed = true;
-        leave(item);
-        if (settings.may().cancel() && !item.streaming) {
-            item.open.forEach(attempt -> act.cancel(item.request.id(), attempt.number));
+    /** Closes a request that needs no final answer from here, and cancels its attempts in flight. */
+    private void close(PendingRequest pending) {
+        pending.closed = true;
+        dequeue(pending);
+        if (settings.may().cancel() && !pending.streaming) {
+            pending.openAttempts.forEach(attempt -> actions.cancel(pending.request.id(), attempt.number));
         }
     }
 
-    private static void leave(Item item) {
-        if (item.heldAt != null) {
-            item.heldAt.held.remove(item);
-            item.heldAt = null;
+    private static void dequeue(PendingRequest pending) {
+        if (pending.queuedAt != null) {
+            pending.queuedAt.queued.remove(pending);
+            pending.queuedAt = null;
         }
     }
 
-    private void forget(double nowMs, Item item) {
-        if (item.closed && item.open.isEmpty()) {
-            item.arrived(nowMs);
-            items.remove(item.request.id());
-            item.turn.queue.remove(item);
+    private void forgetIfDone(double nowMs, PendingRequest pending) {
+        if (pending.closed && pending.openAttempts.isEmpty()) {
+            pending.releaseHeldUnits(nowMs);
+            pendingRequests.remove(pending.request.id());
+            pending.keyQueue.requests.remove(pending);
         }
     }
 
     @Override
     public void clientGone(double nowMs, long request) {
-        Item item = items.get(request);
-        if (item != null && !item.closed) {
-            giveBack(nowMs, item);
-            close(item);
-            forget(nowMs, item);
+        PendingRequest pending = pendingRequests.get(request);
+        if (pending != null && !pending.closed) {
+            refund(nowMs, pending);
+            close(pending);
+            forgetIfDone(nowMs, pending);
         }
     }
 
     @Override
     public void streamStarted(double nowMs, long request, int attempt) {
-        Item item = items.get(request);
-        if (item != null) {
-            item.streaming = true;
+        PendingRequest pending = pendingRequests.get(request);
+        if (pending != null) {
+            pending.streaming = true;
             nodes.values()
-                    .forEach(n -> n.out.removeIf(a -> a.item() == item && n.shard < NodeEntry.FIRST_PRIVATE_SHARD));
+                    .forEach(node -> node.inFlight.removeIf(
+                            open -> open.pending() == pending && node.shard < NodeEntry.FIRST_PRIVATE_SHARD));
         }
     }
 
     @Override
     public void timerFired(double nowMs, long token) {
-        notePause(nowMs);
-        if (token == TICK) {
+        detectPause(nowMs);
+        if (token == TICK_TOKEN) {
             tick(nowMs);
-        } else if (token == ASK) {
-            act.subscribeToNodes();
+        } else if (token == NODE_LIST_RETRY_TOKEN) {
+            actions.subscribeToNodes();
         } else {
-            Item item = items.get(token);
-            if (item != null && !item.closed && !item.streaming) {
-                conclude(nowMs, item, 0);
+            PendingRequest pending = pendingRequests.get(token);
+            if (pending != null && !pending.closed && !pending.streaming) {
+                refuseOrFail(nowMs, pending, 0);
             }
         }
     }
@@ -778,72 +869,71 @@
     private void tick(double nowMs) {
         for (Node node : nodes.values()) {
             endSlot(nowMs, node);
-            letGoOfLost(nowMs, node);
-            depart(nowMs, node);
+            releaseLostAttempts(nowMs, node);
+            dispatch(nowMs, node);
         }
-        turns.values().removeIf(turn -> turn.queue.isEmpty() && nowMs >= turn.quietUntilMs);
-        boolean busy = nodes.values().stream().anyMatch(node -> !node.held.isEmpty() || !node.out.isEmpty());
-        tickDueMs = busy ? nowMs + slotMs : Double.POSITIVE_INFINITY;
+        keyQueues.values().removeIf(queue -> queue.requests.isEmpty() && nowMs >= queue.quietUntilMs);
+        boolean busy = nodes.values().stream().anyMatch(node -> !node.queued.isEmpty() || !node.inFlight.isEmpty());
+        nextTickMs = busy ? nowMs + slotMs : Double.POSITIVE_INFINITY;
         if (busy) {
-            act.setTimer(tickDueMs, TICK);
+            actions.setTimer(nextTickMs, TICK_TOKEN);
         }
     }
 
     /**
-     * A tick overdue by more than a slot means that this host stood still: no node was silent meanwhile. Harm: a node
-     * that fell silent then is found so later by the pause.
+     * A tick overdue by more than a slot means that this host was paused, so no node counts as silent for that time.
      */
-    private void notePause(double nowMs) {
-        if (nowMs > tickDueMs + slotMs) {
-            tickDueMs = nowMs;
-            nodes.values().forEach(node -> node.heardMs = nowMs);
+    private void detectPause(double nowMs) {
+        if (nowMs > nextTickMs + slotMs) {
+            nextTickMs = nowMs;
+            nodes.values().forEach(node -> node.lastHeardMs = nowMs);
         }
     }
 
-    // ---- What outlives a restart ----
+    // ---- State kept over a restart ----
 
     @Override
     public LearnedState learnedState(double nowMs) {
         return new LearnedState(
                 nowMs,
-                slots.sum(nowMs),
-                served.sum(nowMs),
+                measuredSlots.sum(nowMs),
+                servedUnits.sum(nowMs),
                 nodes.values().stream()
-                        .map(n -> new LearnedNode(
-                                n.id,
-                                n.upSinceMs,
-                                n.slots.sum(nowMs),
-                                n.served.sum(nowMs),
-                                n.window,
-                                n.latencyMs,
-                                n.coldSent.sum(nowMs),
-                                silent(nowMs, n) ? Math.max(1, silentMs(nowMs, n)) : 0))
+                        .map(node -> new LearnedNode(
+                                node.id,
+                                node.upSinceMs,
+                                node.measuredSlots.sum(nowMs),
+                                node.servedUnits.sum(nowMs),
+                                node.window,
+                                node.latencyMs,
+                                node.coldSentUnits.sum(nowMs),
+                                isSilent(nowMs, node) ? Math.max(1, silenceMs(nowMs, node)) : 0))
                         .toList(),
                 volumes.entrySet().stream()
-                        .map(e -> learned(nowMs, e.getKey(), e.getValue()))
+                        .map(entry -> learnedVolume(nowMs, entry.getKey(), entry.getValue()))
                         .toList());
     }
 
-    private LearnedVolume learned(double nowMs, long id, Volume volume) {
+    private LearnedVolume learnedVolume(double nowMs, long id, Volume volume) {
         return new LearnedVolume(
                 id,
                 settings.plans().indexOf(volume.plan),
-                volume.setSize,
-                volume.ownPart,
+                volume.hostCount,
+                volume.localFraction,
                 volume.limit.level(nowMs),
                 volume.reserve.level(nowMs),
                 volume.share.level(nowMs));
     }
 
-    /** A node counts as gone until a list names it: the same start keeps what is known, a newer drops it. */
+    /** Restored nodes are gone until a list names them; one with a newer start time loses its restored state. */
     @Override
     public void restore(double nowMs, LearnedState learned) {
-        slots.add(nowMs, learned.measuredSlots());
-        served.add(nowMs, learned.servedUnits());
+        measuredSlots.add(nowMs, learned.measuredSlots());
+        servedUnits.add(nowMs, learned.servedUnits());
         learned.nodes().forEach(old -> nodes.put(old.node(), new Node(nowMs, old)));
         for (LearnedVolume old : learned.volumes()) {
-            Volume volume = new Volume(settings.plans().get(old.plan()), forgotMs, nowMs);
-            shape(nowMs, volume, old.hostCount(), old.localFraction());
+            Volume volume = new Volume(settings.plans().get(old.plan()), limitFillStartMs, nowMs);
+            resizeBuckets(nowMs, volume, old.hostCount(), old.localFraction());
             volume.limit.take(nowMs, volume.limit.level(nowMs) - old.limitLevel());
             volume.reserve.take(nowMs, volume.reserve.level(nowMs) - old.reserveLevel());
             volume.share.take(nowMs, volume.share.level(nowMs) - old.shareLevel());
@@ -851,184 +941,201 @@
         }
     }
 
-    // ---- Guards for the rules ----
+    // ---- Rules that every attempt must keep ----
 
-    private boolean maySend(double nowMs, Node node, Item item) {
-        boolean mayHold = item.volume.limit.mayHold(item.units());
-        return mayGoTo(nowMs, item, node)
-                && myTurn(nowMs, item)
-                && withinCold(nowMs, node, item)
-                && (item.attempts.isEmpty() ? withinLimit(nowMs, item) && mayHold : mayTryFurther(nowMs));
+    private boolean maySend(double nowMs, Node node, PendingRequest pending) {
+        boolean mayHold = pending.volume.limit.mayHold(pending.units());
+        return mayExecuteAt(nowMs, pending, node)
+                && isFirstOfKey(nowMs, pending)
+                && withinColdBudget(nowMs, node, pending)
+                && (pending.attempts.isEmpty() ? withinLimit(nowMs, pending) && mayHold : withinRetryBudget(nowMs));
     }
 
-    /** Rule on effects: what may have run stays with the nodes, and in the time, that drop its repeats. */
-    private boolean mayGoTo(double nowMs, Item item, Node node) {
-        if (item.mayHaveRun == null || item.kind.effect() == Effect.REPEATABLE) {
+    /** Rule on effects: a request that may have run goes only to nodes that drop its repeat, and only in time. */
+    private boolean mayExecuteAt(double nowMs, PendingRequest pending, Node node) {
+        if (pending.possibleExecution == null || pending.requestClass.effect() == Effect.REPEATABLE) {
             return true;
         }
-        Attempt ran = item.mayHaveRun; // The repeat waits for a connection, then at the node.
-        double waits = node.latencyMs + Math.max(silentMs(nowMs, node), standingMs(nowMs, node));
-        double begins = nowMs + settings.may().connectTimeoutMs() + waits;
-        return item.kind.effect() == Effect.KEYED
-                && begins < ran.sentMs() + item.kind.repeatWindowMs()
-                && switch (item.kind.group()) {
+        Attempt execution = pending.possibleExecution;
+        // The retry may wait for a connection and then at the node before it beginMs.
+        double waitMs = node.latencyMs + Math.max(silenceMs(nowMs, node), agedQueueWaitMs(nowMs, node));
+        double beginMs = nowMs + settings.may().connectTimeoutMs() + waitMs;
+        return pending.requestClass.effect() == Effect.KEYED
+                && beginMs < execution.sentMs() + pending.requestClass.repeatWindowMs()
+                && switch (pending.requestClass.group()) {
                     case ALL -> true;
-                    case ZONE -> node.zone == ran.node().zone;
-                    case SHARD -> node.shard == ran.node().shard;
+                    case ZONE -> node.zone == execution.node().zone;
+                    case SHARD -> node.shard == execution.node().shard;
                 };
     }
 
-    private boolean withinLimit(double nowMs, Item item) {
-        return item.volume.plan.limit() <= 0 || item.volume.limit.level(nowMs) >= item.units();
+    private boolean withinLimit(double nowMs, PendingRequest pending) {
+        return pending.volume.plan.limit() <= 0 || pending.volume.limit.level(nowMs) >= pending.units();
     }
 
-    /** Rule on the attempt budget; both counts lean to the safe side by a tick. */
-    private boolean mayTryFurther(double nowMs) {
-        boolean free = rules.freeFurther() < 0 && rules.furtherShare() < 0;
-        double share = Math.max(0, rules.furtherShare()) * taken.sum(nowMs);
-        return free || further.sum(nowMs) + 1 <= Math.max(0, rules.freeFurther()) + share;
+    /** Rule on the retry budget; the two spans differ by ticks so that both counts err on the safe side. */
+    private boolean withinRetryBudget(double nowMs) {
+        boolean unlimited = rules.freeFurther() < 0 && rules.furtherShare() < 0;
+        double ratioBudget = Math.max(0, rules.furtherShare()) * recentRequests.sum(nowMs);
+        return unlimited || recentRetries.sum(nowMs) + 1 <= Math.max(0, rules.freeFurther()) + ratioBudget;
     }
 
-    private boolean cold(double nowMs, Node node) {
+    /** True until a node has been up for the warm-up and one overload period; start time 0 means long past. */
+    private boolean isCold(double nowMs, Node node) {
         return node.upSinceMs > 0 && nowMs < node.upSinceMs + rules.warmUpMs() + rules.fallMs();
     }
 
-    /** What a cold node surely does by now, as a part of a warm one: by the slowest promised warm-up. */
-    private double warmth(double nowMs, Node node) {
-        double part = Math.max(0, nowMs - node.upSinceMs - rules.fallMs()) / rules.warmUpMs();
-        return cold(nowMs, node) ? rules.coldShare() + (1 - rules.coldShare()) * Math.min(1, part) : 1;
+    /** Returns the capacity of a node by the slowest allowed warm-up, as a fraction of a warm one's. */
+    private double capacityFraction(double nowMs, Node node) {
+        double warmedUp = Math.max(0, nowMs - node.upSinceMs - rules.fallMs()) / rules.warmUpMs();
+        return isCold(nowMs, node) ? rules.coldShare() + (1 - rules.coldShare()) * Math.min(1, warmedUp) : 1;
     }
 
-    /** This host's even part of what a cold node bears in a window. */
-    private double coldPart(double nowMs, Node node) {
-        return share * settings.coldUnits() / settings.hosts() * warmth(nowMs, node) / rules.coldShare();
+    /** Returns this host's equal part of the units that a cold node bears in one overload period. */
+    private double coldBudgetUnits(double nowMs, Node node) {
+        return budgetShare
+                * settings.coldUnits()
+                / settings.hosts()
+                * capacityFraction(nowMs, node)
+                / rules.coldShare();
     }
 
-    /** What a request of mean size takes at a cold node by now. */
-    private double coldMs(double nowMs, Node node) {
-        return (node.heard == 0 ? usualMs : node.warmMs) / warmth(nowMs, node);
+    /** Returns the time that a request of mean size takes at a cold node now, ms. */
+    private double coldServiceMs(double nowMs, Node node) {
+        return (node.answerCount == 0 ? poolServiceMs : node.serviceMs) / capacityFraction(nowMs, node);
     }
 
     /**
-     * Requests of mean size that this host may have out at a cold node. No more reaches a node than it finishes and
-     * what is out; so all hosts' may be what it does in the rest of the multiple, by the figure that is always safe, or
-     * by what its answers took, at one request after another.
+     * Returns the mean-sized requests that this host may have in flight at a cold node. In any period a node receives
+     * at most what it finishes plus what is in flight, so all hosts together may have in flight what the overload
+     * factor leaves beyond the node's own capacity. That capacity is the one the settings state, or the one its answers
+     * show, whichever allows more.
      */
-    private double coldRest(double nowMs, Node node) {
-        double room = rules.fallMultiple() - 1, ms = coldMs(nowMs, node);
-        double part = coldPart(nowMs, node) / rules.fallMultiple() / settings.meanUnits();
-        double safe = part * room >= 1 ? part * room : part * Math.min(room, ms / rules.fallMs());
-        double most = node.heard > 0 ? MIN_COMBINED_WINDOW : COLD_OUT_TOGETHER;
-        double seen = Math.min(most, COLD_MARGIN * room * rules.fallMs() / ms);
-        return Math.max(safe, share * seen / settings.hosts());
+    private double coldInFlightLimit(double nowMs, Node node) {
+        double headroom = rules.fallMultiple() - 1;
+        double serviceMs = coldServiceMs(nowMs, node);
+        double ownCapacity = coldBudgetUnits(nowMs, node) / rules.fallMultiple() / settings.meanUnits();
+        double statedLimit = ownCapacity * headroom >= 1
+                ? ownCapacity * headroom
+                : ownCapacity * Math.min(headroom, serviceMs / rules.fallMs());
+        double maxCombined = node.answerCount > 0 ? MIN_COMBINED_WINDOW : UNHEARD_COLD_COMBINED_WINDOW;
+        double combinedByAnswers = Math.min(maxCombined, COLD_SAFETY_FACTOR * headroom * rules.fallMs() / serviceMs);
+        return Math.max(statedLimit, budgetShare * combinedByAnswers / settings.hosts());
     }
 
-    /** The part of its next turn that this host has at a cold node: one turn a latency over the part out. */
-    private double turn(double nowMs, Node node) {
-        node.turn.reshape(nowMs, 1000 * coldRest(nowMs, node) / coldMs(nowMs, node), 1);
-        return node.turn.level(nowMs);
+    /** Returns the tokens of a cold node's pacer, which refills at the in-flight limit per service time. */
+    private double coldPacerLevel(double nowMs, Node node) {
+        node.coldPacer.reconfigure(nowMs, 1000 * coldInFlightLimit(nowMs, node) / coldServiceMs(nowMs, node), 1);
+        return node.coldPacer.level(nowMs);
     }
 
     /**
-     * Rule on cold nodes; a host that just started may have spent its part, and waits one window. Beyond the part, as
-     * much may be out as the rest of the multiple has room for; where that is less than a request, its fraction fills a
-     * turn while a request passes. Harm: work far above its stated units.
+     * Rule on cold nodes: within its budget a host sends freely, beyond it up to its in-flight limit, or paced where
+     * that is below one request. A host that just started waits one overload period, since its earlier run may have
+     * spent the budget. Relies on the units that requests state.
      */
-    private boolean withinCold(double nowMs, Node node, Item item) {
-        if (!cold(nowMs, node)) {
+    private boolean withinColdBudget(double nowMs, Node node, PendingRequest pending) {
+        if (!isCold(nowMs, node)) {
             return true;
         }
-        double rest = coldRest(nowMs, node);
-        double out = item.units()
-                + node.out.stream()
-                        .mapToDouble(attempt -> attempt.item().units())
+        double limit = coldInFlightLimit(nowMs, node);
+        double unitsInFlight = pending.units()
+                + node.inFlight.stream()
+                        .mapToDouble(attempt -> attempt.pending().units())
                         .sum();
-        boolean paced =
-                !node.suspect && (out <= settings.meanUnits() * rest || node.out.isEmpty() && turn(nowMs, node) >= 1);
-        paced |= node.coldSent.sum(nowMs) + item.units() <= coldPart(nowMs, node);
-        return paced && nowMs >= startedMs + rules.fallMs();
+        boolean allowed = !node.suspect
+                && (unitsInFlight <= settings.meanUnits() * limit
+                        || node.inFlight.isEmpty() && coldPacerLevel(nowMs, node) >= 1);
+        allowed |= node.coldSentUnits.sum(nowMs) + pending.units() <= coldBudgetUnits(nowMs, node);
+        return allowed && nowMs >= startedMs + rules.fallMs();
     }
 
-    /** Rule on key order: the eldest of its key, and the key at rest. */
-    private boolean myTurn(double nowMs, Item item) {
-        boolean eldest = item.turn.queue.peekFirst() == item;
-        return eldest && (nowMs >= item.turn.quietUntilMs || !item.attempts.isEmpty());
+    /**
+     * Rule on key order: the request is the oldest of its key, and for a first attempt the key's quiet time is over.
+     */
+    private boolean isFirstOfKey(double nowMs, PendingRequest pending) {
+        boolean oldest = pending.keyQueue.requests.peekFirst() == pending;
+        return oldest && (nowMs >= pending.keyQueue.quietUntilMs || !pending.attempts.isEmpty());
     }
 
     // ---- Health ----
 
     /**
-     * The wait that the newest answer found at the node, aging: what other hosts have standing there. Acts where these
-     * are many; a few hosts see it in what they have out themselves.
+     * Returns the wait in the node's queue that the newest outcome showed, which decays with its age. It accounts for
+     * the load of other hosts. With few hosts it is 0, since this host's own attempts show the load.
      */
-    private double standingMs(double nowMs, Node node) {
-        double aged = Math.pow(0.5, (nowMs - node.standingAtMs) / (EVIDENCE_SLOTS * slotMs));
-        return many ? node.standingMs * aged : 0;
+    private double agedQueueWaitMs(double nowMs, Node node) {
+        double decay = Math.pow(0.5, (nowMs - node.queueWaitSeenMs) / (QUEUE_WAIT_HALF_LIFE_SLOTS * slotMs));
+        return manyHosts ? node.queueWaitMs * decay : 0;
     }
 
-    private static void noteWait(double nowMs, Node node, double waitMs) {
-        node.standingMs = Math.max(0, waitMs);
-        node.standingAtMs = nowMs;
+    private static void noteQueueWait(double nowMs, Node node, double waitMs) {
+        node.queueWaitMs = Math.max(0, waitMs);
+        node.queueWaitSeenMs = nowMs;
     }
 
-    /** How much longer than usual a node has been silent while something is out there. */
-    private static double silentMs(double nowMs, Node node) {
-        double since = node.out.isEmpty()
+    /** Returns how long beyond its latency a node has been silent with attempts in flight, ms. */
+    private static double silenceMs(double nowMs, Node node) {
+        double sinceMs = node.inFlight.isEmpty()
                 ? nowMs
-                : Math.max(node.heardMs, node.out.get(0).sentMs());
-        return Math.max(0, nowMs - since - node.latencyMs);
+                : Math.max(node.lastHeardMs, node.inFlight.get(0).sentMs());
+        return Math.max(0, nowMs - sinceMs - node.latencyMs);
     }
 
-    /** Window and health from how an attempt ended. Only answers grow a window, so fast errors cannot. */
-    private void judge(double nowMs, Node node, Attempt attempt, AttemptEnd end) {
-        Item item = attempt.item();
+    /** Updates window and health of a node by an outcome. Only answers grow a window, so fast errors cannot. */
+    private void updateHealth(double nowMs, Node node, Attempt attempt, AttemptEnd end) {
+        PendingRequest pending = attempt.pending();
         switch (end.outcome()) {
             case SERVED -> {
-                node.heardMs = nowMs;
-                node.newestAnsweredMs = Math.max(node.newestAnsweredMs, attempt.sentMs());
-                node.unanswered = 0;
+                node.lastHeardMs = nowMs;
+                node.newestAnsweredSentMs = Math.max(node.newestAnsweredSentMs, attempt.sentMs());
+                node.sentSinceAnswer = 0;
                 node.suspect = false;
-                node.slotUnits += item.units();
-                item.volume.ownServed.add(nowMs, item.units());
-                node.late = end.elapsedMs() > item.kind.aimMs();
-                noteWait(nowMs, node, end.elapsedMs() - latencyStartMs * work(item));
-                double mean = end.elapsedMs() * settings.meanUnits() / item.units() * warmth(nowMs, node);
-                double before = node.heard == 0 ? usualMs : node.warmMs;
-                node.warmMs = before + (mean - before) / Math.min(COLD_ANSWERS, ++node.heard + 1);
-                usualMs += (mean - usualMs) / (cold(nowMs, node) ? COLD_ANSWERS : POOL_ANSWERS);
-                node.latencyMs += node.learning * (end.elapsedMs() - node.latencyMs);
-                node.learning = Math.max(LATENCY_WEIGHT, node.learning / (1 + node.learning));
-                if (nowMs > item.aimMs || node.latencyMs > AIM_PART_AT_NODE * tightestAimMs) {
-                    halve(nowMs, node);
-                } else if (node.out.size() + 2 > node.window) {
+                node.slotServedUnits += pending.units();
+                pending.volume.locallyServedUnits.add(nowMs, pending.units());
+                node.lastAnswerLate = end.elapsedMs() > pending.requestClass.aimMs();
+                noteQueueWait(nowMs, node, end.elapsedMs() - initialLatencyMs * sizeFactor(pending));
+                double warmServiceMs =
+                        end.elapsedMs() * settings.meanUnits() / pending.units() * capacityFraction(nowMs, node);
+                double formerMs = node.answerCount == 0 ? poolServiceMs : node.serviceMs;
+                node.serviceMs =
+                        formerMs + (warmServiceMs - formerMs) / Math.min(COLD_MEAN_ANSWERS, ++node.answerCount + 1);
+                poolServiceMs +=
+                        (warmServiceMs - poolServiceMs) / (isCold(nowMs, node) ? COLD_MEAN_ANSWERS : WARM_MEAN_ANSWERS);
+                node.latencyMs += node.latencyWeight * (end.elapsedMs() - node.latencyMs);
+                node.latencyWeight = Math.max(EWMA_WEIGHT, node.latencyWeight / (1 + node.latencyWeight));
+                if (nowMs > pending.aimMs || node.latencyMs > MAX_LATENCY_AIM_FRACTION * tightestAimMs) {
+                    halveWindow(nowMs, node);
+                } else if (node.inFlight.size() + 2 > node.window) {
                     double step = Math.min(node.window, 1 / node.window);
                     node.window = Math.min(MAX_WINDOW, node.window + step);
                 }
             }
             case REJECTED, NOT_CONNECTED -> {
-                noteWait(nowMs, node, item.kind.aimMs());
+                noteQueueWait(nowMs, node, pending.requestClass.aimMs());
                 node.suspect |= end.outcome() == Outcome.NOT_CONNECTED;
-                node.restUntilMs = nowMs + slotMs;
-                halve(nowMs, node);
+                node.pausedUntilMs = nowMs + slotMs;
+                halveWindow(nowMs, node);
             }
             case TIMED_OUT, RESET, CANCELLED -> {
-                node.late |= end.elapsedMs() > item.kind.aimMs();
-                noteWait(nowMs, node, Math.max(end.elapsedMs(), standingMs(nowMs, node)));
-                if (node.heardMs <= attempt.sentMs()) {
+                node.lastAnswerLate |= end.elapsedMs() > pending.requestClass.aimMs();
+                noteQueueWait(nowMs, node, Math.max(end.elapsedMs(), agedQueueWaitMs(nowMs, node)));
+                if (node.lastHeardMs <= attempt.sentMs()) {
                     node.suspect |= end.outcome() != Outcome.CANCELLED;
-                    halve(nowMs, node);
+                    halveWindow(nowMs, node);
                 }
             }
-            case ERROR, OVER -> node.heardMs = nowMs;
+            case ERROR, OVER -> node.lastHeardMs = nowMs;
         }
     }
 
-    private void halve(double nowMs, Node node) {
-        if (nowMs >= node.halvedMs + node.latencyMs) {
-            boolean crowded = node.latencyMs > 2 * AIM_PART_AT_NODE * tightestAimMs;
-            double least = Math.max(crowded ? 0 : 1, MIN_COMBINED_WINDOW / settings.hosts());
-            node.window = Math.max(least, node.window / 2);
-            node.halvedMs = nowMs;
+    /** Halves the window, at most once per latency. */
+    private void halveWindow(double nowMs, Node node) {
+        if (nowMs >= node.windowHalvedMs + node.latencyMs) {
+            boolean crowded = node.latencyMs > 2 * MAX_LATENCY_AIM_FRACTION * tightestAimMs;
+            double minWindow = Math.max(crowded ? 0 : 1, MIN_COMBINED_WINDOW / settings.hosts());
+            node.window = Math.max(minWindow, node.window / 2);
+            node.windowHalvedMs = nowMs;
         }
     }
 }
--- a/src/main/java/petrelstand/decision/Scheduling.java
+++ b/src/main/java/petrelstand/decision/Scheduling.java
@@ -2,38 +2,44 @@
 
 import java.util.List;
 
-/** The decision module's interface: the types, the events a host reports, and the actions it carries out. */
+/**
+ * Interface of the decision module: its types, the events that a host reports to it, and the actions that it asks of
+ * the host.
+ */
 public final class Scheduling {
     private Scheduling() {}
 
-    /** What a repeated execution of a request of a class would do. */
+    /**
+     * Effect of executing a request twice: harmless, harmless within a {@link DedupGroup} and the repeat window, or
+     * never allowed.
+     */
     public enum Effect {
         REPEATABLE,
         KEYED,
         UNSAFE
     }
 
-    /** The nodes that drop repeats of a keyed request together: all, those of one zone, or those of one shard. */
+    /** Nodes that recognise a repeat of a keyed request among themselves: all, those of a zone, or those of a shard. */
     public enum DedupGroup {
         ALL,
         ZONE,
         SHARD
     }
 
-    /** How a host learns of changes to the node list. */
+    /** How changes of the node list reach a host: without being asked, or only after a subscription. */
     public enum DiscoveryMode {
         PUSHED,
         ASKED
     }
 
-    /** State of a node as listed. */
+    /** State of a node in the node list; only a ready node gets requests. */
     public enum NodeState {
         GONE,
         READY,
         DRAINING
     }
 
-    /** What a node-list event carries: changes, the whole list, the list kept from earlier, or a failed call. */
+    /** Content of a node list event: changed entries, the full list, a list of an earlier run, or a failed call. */
     public enum NodeListKind {
         CHANGES,
         FULL,
@@ -41,9 +47,7 @@
         FAILED
     }
 
-    /**
-     * How an attempt ended; OVER: the node turned it away because the request is over, so that no other can do better.
-     */
+    /** How an attempt ended. OVER: the node rejected it because the request is already over. */
     public enum Outcome {
         SERVED(false),
         ERROR(false),
@@ -61,24 +65,32 @@
             this.neverRan = neverRan;
         }
 
-        /**
-         * True where another attempt may do better: not where the time is up, or the node knows that the request is
-         * over.
-         */
+        /** True unless the time is up or the request is over, where another attempt cannot help. */
         public boolean isRetryable() {
             return this != TIMED_OUT && this != OVER;
         }
 
-        /** True where the outcome proves that the node did none of the request's work. */
+        /** True if the outcome proves that the node did none of the request's work. */
         public boolean neverRan() {
             return neverRan;
         }
     }
 
     /**
-     * A class of requests. {@code aimMs} is the time within which an answer earns full worth, {@code aimStretch} the
-     * multiple of a request's own work by which its aim is longer, {@code lateWorth} the share of worth that an answer
-     * after the aim earns, and {@code ordered} says that requests on one key run one at a time.
+     * A class of requests.
+     *
+     * @param name name in the settings
+     * @param aimMs latency objective: an answer within it earns the full worth
+     * @param aimStretch multiple of a request's own work by which its aim is longer; not used by the module
+     * @param deadlineMs time after which a client gives up
+     * @param worth value of an answer within the aim
+     * @param lateWorth fraction of the worth that an answer after the aim earns
+     * @param effect effect of a repeated execution
+     * @param group nodes that drop repeats of a keyed request
+     * @param repeatWindowMs time within which these nodes recognise a repeat
+     * @param ordered true if requests of one key run one at a time
+     * @param streamed true if bodies are streamed; not used by the module
+     * @param writes true if requests of the class change data; not used by the module
      */
     public record RequestClass(
             String name,
@@ -94,14 +106,26 @@
             boolean streamed,
             boolean writes) {
         public RequestClass {
-            atLeast(name, "aim", aimMs, 0);
-            atLeast(name, "deadline", deadlineMs, 0);
-            present(name, "effect", effect);
-            present(name, "group", group);
+            requireAtLeast(name, "aim", aimMs, 0);
+            requireAtLeast(name, "deadline", deadlineMs, 0);
+            requirePresent(name, "effect", effect);
+            requirePresent(name, "group", group);
         }
     }
 
-    /** A plan; its figures hold per volume over all hosts and nodes. A limit of 0 is none. */
+    /**
+     * Service plan of a volume. Rates are in units per second, bursts in units, each per volume over all hosts and
+     * nodes.
+     *
+     * @param name name in the settings
+     * @param rate rate of the volume's share
+     * @param reserve guaranteed rate; 0 for none
+     * @param weight weight among the plans; not used by the module
+     * @param price factor of the worth of its requests
+     * @param limit upper bound of the rate; 0 for none
+     * @param limitBurst units that may pass the limit at once
+     * @param limitSlack tolerance of the limit; not used by the module
+     */
     public record Plan(
             String name,
             double rate,
@@ -112,13 +136,25 @@
             double limitBurst,
             double limitSlack) {
         public Plan {
-            atLeast(name, "rate", rate, 0);
-            atLeast(name, "reserve", reserve, 0);
-            atLeast(name, "limit", limit, 0);
+            requireAtLeast(name, "rate", rate, 0);
+            requireAtLeast(name, "reserve", reserve, 0);
+            requireAtLeast(name, "limit", limit, 0);
         }
     }
 
-    /** What the site allows, and the times of its connections. */
+    /**
+     * What a host may do, and the times of its connections.
+     *
+     * @param maxAttempts attempts per request, the first included
+     * @param cancel true if attempts may be cancelled
+     * @param probes true if nodes may be probed
+     * @param peerMessages true if hosts may exchange messages
+     * @param secondCopies true if a request may have several attempts in flight
+     * @param retryAfter true if refusals may advise a wait
+     * @param maxRetryAfterMs upper bound of that wait
+     * @param connectTimeoutMs time allowed to open a connection to a node
+     * @param idleCloseMs time after which an idle connection to a node closes
+     */
     public record Capabilities(
             int maxAttempts,
             boolean cancel,
@@ -130,7 +166,21 @@
             double connectTimeoutMs,
             double idleCloseMs) {}
 
-    /** The figures of the rules; a negative figure is one the site does not state. */
+    /**
+     * Parameters of the rules that every host keeps; a negative value stands for one that the settings leave out.
+     *
+     * @param answerGraceMs time beyond a deadline within which a final answer still counts
+     * @param drainGraceMs grace time of a draining node; not used by the module
+     * @param askWithinMs time limit for asking for the node list; not used by the module
+     * @param coldShare capacity of a node at its start, as a fraction of a warm node's
+     * @param warmUpMs longest time that a node takes to warm up
+     * @param fallMs overload period: span over which the load of a cold node is counted
+     * @param fallMultiple multiple of a cold node's capacity that makes it fail if sent within one overload period
+     * @param keyQuietMs time after an attempt of unknown effect in which no other request of its key is sent
+     * @param freeFurther retries within the span that are free of the ratio
+     * @param furtherShare retries allowed per request within the span
+     * @param furtherSpanMs span over which retries and requests are counted
+     */
     public record Rules(
             double answerGraceMs,
             double drainGraceMs,
@@ -144,7 +194,29 @@
             double furtherShare,
             double furtherSpanMs) {}
 
-    /** What a start tells a host: its place, the classes and plans, and what the site allows and asks. */
+    /**
+     * Settings of a host. A digest of {@code toString()} is stored with the learned state: renaming this record, one
+     * that it contains, or a component of them makes a new release discard the state of the former one.
+     *
+     * @param hosts number of hosts
+     * @param index index of this host
+     * @param zone zone of this host
+     * @param tickMs granularity of the host's clock and timers
+     * @param classes classes of requests; requests name one by index
+     * @param plans plans; requests name one by index
+     * @param discovery how changes of the node list arrive
+     * @param may what this host may do
+     * @param rules parameters of the rules
+     * @param coldUnits units that a node bears in one overload period right after its start, from all hosts
+     * @param meanUnits mean size of a request
+     * @param mostUnits size of the largest request
+     * @param shareWorth factor of the worth of a request that the volume's share covers
+     * @param spareWorth factor of the worth of an excess request
+     * @param meterMs period over which nodes measure the use of volumes; not used by the module
+     * @param tellsOthers true if answers report units served through other hosts; not used by the module
+     * @param loadNames names of the entries of a load report
+     * @param zones names of the zones
+     */
     public record Settings(
             int hosts,
             int index,
@@ -165,31 +237,54 @@
             List<String> loadNames,
             List<String> zones) {
         public Settings {
-            present("settings", "classes", classes);
-            present("settings", "plans", plans);
-            present("settings", "load names", loadNames);
+            requirePresent("settings", "classes", classes);
+            requirePresent("settings", "plans", plans);
+            requirePresent("settings", "load names", loadNames);
             classes = List.copyOf(classes);
             plans = List.copyOf(plans);
             loadNames = List.copyOf(loadNames);
             zones = List.copyOf(zones);
-            present("settings", "discovery", discovery);
-            present("settings", "capabilities", may);
-            present("settings", "rules", rules);
-            atLeast("settings", "hosts", hosts, 1);
-            atLeast("settings", "classes", classes.size(), 1);
-            atLeast("settings", "plans", plans.size(), 1);
-            atLeast("settings", "attempts", may.maxAttempts(), 1);
-            atLeast("settings", "mean units", meanUnits, Double.MIN_NORMAL);
+            requirePresent("settings", "discovery", discovery);
+            requirePresent("settings", "capabilities", may);
+            requirePresent("settings", "rules", rules);
+            requireAtLeast("settings", "hosts", hosts, 1);
+            requireAtLeast("settings", "classes", classes.size(), 1);
+            requireAtLeast("settings", "plans", plans.size(), 1);
+            requireAtLeast("settings", "attempts", may.maxAttempts(), 1);
+            requireAtLeast("settings", "mean units", meanUnits, Double.MIN_NORMAL);
         }
     }
 
-    /** A line of the node list. A start time of 0 means long past. */
+    /**
+     * Entry of the node list.
+     *
+     * @param node number of the node
+     * @param zone zone of the node
+     * @param shard shard that the node holds
+     * @param state state of the node
+     * @param rating relative capacity of the node; not used by the module
+     * @param upSinceMs start time of the node; 0 if long past
+     */
     public record NodeEntry(long node, int zone, int shard, NodeState state, double rating, double upSinceMs) {
-        /** Shards from here on are private: only a request that names one goes there, a new object never does. */
+        /** First of the private shards, which only requests that name one use; new objects never go there. */
         public static final int FIRST_PRIVATE_SHARD = 1 << 20;
     }
 
-    /** A request taken by this host. A shard of -1 is a new object, which any node may take. */
+    /**
+     * A request that this host received.
+     *
+     * @param id identity of the request at this host
+     * @param requestClass index of its class
+     * @param plan index of its volume's plan
+     * @param key key of the object; 0 for none
+     * @param timeLeftMs time until the client's deadline
+     * @param volume number of its volume
+     * @param units work of the request
+     * @param shard shard that has to serve it; -1 for a new object, which any node without a private shard may take
+     * @param volumeHostCount number of hosts that serve the volume; 0 if not stated
+     * @param clientRetry true if the client sent the request before
+     * @param write true if the request changes data
+     */
     public record Request(
             long id,
             int requestClass,
@@ -204,9 +299,17 @@
             boolean write) {}
 
     /**
-     * The end of an attempt. {@code seenUse} is 1 + the volume's use in percent of its plan's rate (0: not told),
-     * {@code fromOthers} the units the node served the volume through other hosts since its last answer here, and
-     * {@code over} says that the request is closed.
+     * The end of an attempt.
+     *
+     * @param request request of the attempt
+     * @param attempt number of the attempt within the request, from 0
+     * @param outcome how the attempt ended
+     * @param elapsedMs time since the attempt was sent
+     * @param node node of the attempt
+     * @param reportedUse 1 + the volume's usage in percent of its plan's rate; 0 if the node reported none
+     * @param unitsViaOtherHosts units that the node served the volume through other hosts since its last answer here
+     * @param requestClosed true if the request needs no final answer any more
+     * @param load load report of the node, in the order of {@link Settings#loadNames}
      */
     public record AttemptEnd(
             long request,
@@ -220,10 +323,16 @@
             List<Double> load) {}
 
     /**
-     * What a host has learned of a node, under the node's identity: its number and start time. {@code slots} and
-     * {@code served} are the measured slots of the last ten seconds and the units in them, {@code coldSent} the units
-     * sent within the rule's time on cold nodes, {@code silentMs} is how much longer than usual the node has been
-     * silent or suspect (0: neither).
+     * What a host has learned of a node. Number and start time together identify the node.
+     *
+     * @param node number of the node
+     * @param upSinceMs start time of the node
+     * @param measuredSlots slots of the measured rate in the last {@link Policy#RATE_SPAN_MS}
+     * @param servedUnits units that the node served in these slots
+     * @param window concurrency window, requests
+     * @param latencyMs moving average of its latency
+     * @param coldSentUnits units sent to it in the last overload period
+     * @param silentMs silence beyond its latency; 0 for a node that is neither silent nor suspect
      */
     public record LearnedNode(
             long node,
@@ -236,8 +345,15 @@
             double silentMs) {}
 
     /**
-     * What a host has learned of a volume: its plan by place, its set of hosts, this host's part of its use, and the
-     * levels of its stores at the time of the whole, in units.
+     * What a host has learned of a volume.
+     *
+     * @param volume number of the volume
+     * @param plan index of its plan
+     * @param hostCount number of hosts that serve the volume
+     * @param localFraction fraction of the volume's usage that passes through this host
+     * @param limitLevel level of its limit's bucket, units
+     * @param reserveLevel level of its reserve's bucket, units
+     * @param shareLevel level of its share's bucket, units
      */
     public record LearnedVolume(
             long volume,
@@ -249,8 +365,13 @@
             double shareLevel) {}
 
     /**
-     * What a host has learned at a time: the measured slots and units of all nodes together, then each node, and each
-     * volume, the one longest unused first.
+     * What a host has learned of its nodes and volumes.
+     *
+     * @param atMs time of the levels
+     * @param measuredSlots slots of the measured rate of all nodes together
+     * @param servedUnits units that all nodes served in these slots
+     * @param nodes what is known of each node
+     * @param volumes what is known of each volume, least recently used first
      */
     public record LearnedState(
             double atMs,
@@ -263,104 +384,103 @@
             volumes = List.copyOf(volumes);
         }
 
-        /** Nothing learned. */
         public static LearnedState empty(double atMs) {
             return new LearnedState(atMs, 0, 0, List.of(), List.of());
         }
     }
 
-    /** What happens to a host. Every call carries the host's clock, which never goes back. */
+    /** Events that a host reports. Each call carries the time of the host's clock, which never goes back. */
     public interface HostEvents {
-        /** The node list, or changes to it; entries are empty where a call failed. */
+        /** The node list or changes of it arrived; the entries are empty if a call failed. */
         void nodesListed(double nowMs, NodeListKind kind, List<NodeEntry> entries);
 
-        /** A request was taken: exactly one final answer is owed before the client's time is up. */
+        /** A request arrived. It needs exactly one final answer before the client's deadline. */
         void requestReceived(double nowMs, Request request);
 
         /**
-         * A stream began, of an answer or of a body to its node: the attempt belongs to the client from here on, and
-         * how long it is out tells nothing of its node.
+         * An attempt began to stream its answer, or its body to the node. From here on its duration depends on the
+         * client and tells nothing about the node.
          */
         void streamStarted(double nowMs, long request, int attempt);
 
-        /** An attempt's last byte was written to its node. */
+        /** The last byte of a request's attempt was written to its node. */
         default void requestWritten(double nowMs, long request) {}
 
         /** An attempt ended. */
         void attemptEnded(double nowMs, AttemptEnd end);
 
-        /** The client is gone; nothing more is owed for the request. */
+        /** The client left; the request needs no final answer. */
         void clientGone(double nowMs, long request);
 
-        /** A probe came back. */
+        /** A probe of a node ended. */
         default void probeEnded(double nowMs, long node, double elapsedMs, Outcome outcome, List<Double> load) {}
 
-        /** A timer set by {@link HostActions#setTimer} is due. */
+        /** A timer of {@link HostActions#setTimer} is due. */
         void timerFired(double nowMs, long token);
 
-        /** Another host sent a message. */
+        /** A message of another host arrived. */
         default void peerMessageReceived(double nowMs, int sender, byte[] message) {}
 
         /**
-         * Other settings from now on; a class keeps its place. What is open keeps the class and the attempts that it
-         * came with, and what was learned stays.
+         * Replaces the settings. Classes keep their index, open requests keep their class and never get more attempts
+         * than when they arrived, and the learned state stays.
          */
         default void applySettings(double nowMs, Settings changed) {}
 
         /**
-         * The part of this host's due at cold nodes and of volumes' limits that this process may spend: below 1 where a
-         * second process spends in the host's name too, 0 while another may not know of this one yet.
+         * Sets the part of this host's cold-node budgets and volume limits that this process may spend: 1 usually, less
+         * while a second process of the same host spends too, and 0 until that process knows of this one.
          */
         default void setBudgetShare(double nowMs, double part) {}
 
-        /** What the module has learned, as plain figures; a look that changes nothing. */
+        /** Returns what the module has learned; changes no decision. */
         default LearnedState learnedState(double nowMs) {
             return LearnedState.empty(nowMs);
         }
 
         /**
-         * Takes over what an earlier run learned, each figure already weighed by its age and bounded. Only before the
-         * first node list: a node that this list does not name with the same start time is forgotten.
+         * Restores what an earlier run learned, each value already weighed by its age and bounded. Must come before the
+         * first node list: a node that the list does not name with the same start time is forgotten.
          */
         default void restore(double nowMs, LearnedState learned) {}
     }
 
-    /** What the decision module asks of its host. */
+    /** Actions that the decision module asks of its host. */
     public interface HostActions {
-        /** Sends the next attempt of a request to a node; a time-out of 0 lasts until the client quits. */
+        /** Sends the next attempt of a request to a node; a timeout of 0 means the client's deadline. */
         void send(long request, long node, double timeoutMs);
 
-        /** Final answer: not run, trying again is harmless; the wait is advice, 0 for none. */
+        /** Final answer: refused, so that a new try is harmless. The wait is advice to the client, 0 for none. */
         void refuse(long request, double retryAfterMs);
 
-        /** Final answer: failed, nothing is promised about its effect. */
+        /** Final answer: failed, so that the request may or may not have had its effect. */
         void fail(long request);
 
-        /** Stops waiting for an attempt. */
+        /** Cancels an attempt. */
         void cancel(long request, int attempt);
 
-        /** Asks for one probe of a node. */
+        /** Sends one probe to a node. */
         void probe(long node);
 
-        /** Asks for a timer event at a time. */
+        /** Sets a timer, which fires once with the token. */
         void setTimer(double atMs, long token);
 
-        /** Subscribes to changes of the node list, where it must be asked. */
+        /** Subscribes to changes of the node list; needed with discovery ASKED only. */
         void subscribeToNodes();
 
-        /** Sends a short message to one other host, or to all where the recipient is negative. */
+        /** Sends a short message to another host, or to all others if the recipient is negative. */
         void sendPeerMessage(int recipient, byte[] message);
     }
 
-    private static void atLeast(String owner, String what, double value, double least) {
-        if (!(value >= least) || Double.isInfinite(value)) {
-            throw new IllegalArgumentException(owner + ": " + what + " must be at least " + least + ", not " + value);
+    private static void requireAtLeast(String owner, String name, double value, double min) {
+        if (!(value >= min) || Double.isInfinite(value)) {
+            throw new IllegalArgumentException(owner + ": " + name + " must be at least " + min + ", not " + value);
         }
     }
 
-    private static void present(String owner, String what, Object value) {
+    private static void requirePresent(String owner, String name, Object value) {
         if (value == null) {
-            throw new IllegalArgumentException(owner + ": " + what + " is missing");
+            throw new IllegalArgumentException(owner + ": " + name + " is missing");
         }
     }
 }
--- a/src/main/java/petrelstand/decision/SlidingSum.java
+++ b/src/main/java/petrelstand/decision/SlidingSum.java
@@ -2,11 +2,11 @@
 
 import java.util.ArrayDeque;
 
-/** Sum of the amounts added within the last span of time, its far edge counted in. */
+/** Sum of the amounts that were added within the last span of time; an amount of exactly that age still counts. */
 final class SlidingSum {
-    private record Item(double atMs, double amount) {}
+    private record Entry(double atMs, double amount) {}
 
-    private final ArrayDeque<Item> items = new ArrayDeque<>();
+    private final ArrayDeque<Entry> entries = new ArrayDeque<>();
     private final double spanMs;
     private double sum;
 
@@ -15,7 +15,7 @@
     }
 
     void add(double nowMs, double amount) {
-        items.addLast(new Item(nowMs, amount));
+        entries.addLast(new Entry(nowMs, amount));
         sum += amount;
         prune(nowMs);
     }
@@ -25,17 +25,18 @@
         return sum;
     }
 
-    /** At each addition too: a sum that nobody asks for would grow for ever. */
+    /** Drops expired amounts; needed on each addition too, or a sum that is never read would grow without bound. */
     private void prune(double nowMs) {
-        while (!items.isEmpty() && items.peekFirst().atMs() < nowMs - spanMs) {
-            sum -= items.pollFirst().amount();
+        while (!entries.isEmpty() && entries.peekFirst().atMs() < nowMs - spanMs) {
+            sum -= entries.pollFirst().amount();
         }
-        if (items.isEmpty()) {
+        if (entries.isEmpty()) {
             sum = 0;
         }
     }
 
+    /** Returns the number of amounts kept. */
     int size() {
-        return items.size();
+        return entries.size();
     }
 }
--- a/src/test/java/petrelstand/decision/Host.java
+++ b/src/test/java/petrelstand/decision/FakeHost.java
@@ -23,8 +23,9 @@
 import petrelstand.decision.Scheduling.Rules;
 import petrelstand.decision.Scheduling.Settings;
 
-/** A host for tests: it runs timers, writes down actions, and lets a test play the nodes by hand. */
-final class Host implements HostActions {
+/** Host that runs the policy's timers, records its actions, and lets a test act as the nodes. */
+final class FakeHost implements HostActions {
+    /** An attempt that the policy sent. */
     record Sent(double atMs, long request, long node, int attempt) {}
 
     private record Timer(double atMs, long order, long token) {}
@@ -38,96 +39,96 @@
             (a, b) -> a.atMs() != b.atMs() ? Double.compare(a.atMs(), b.atMs()) : Long.compare(a.order(), b.order()));
     private long order;
     private long nextId = 1;
-    double now;
-    /** What answers tell of the volume's use; 0 tells nothing. */
-    int seenUse;
+    double nowMs;
+    /** Usage of the volume that answers report; 0 reports none. */
+    int reportedUse;
 
-    /** The load report that answers and probes carry. */
+    /** Load report of the answers. */
     List<Double> load = List.of();
 
-    Host(double startMs, Settings settings) {
+    FakeHost(double startMs, Settings settings) {
         this(startMs, settings, 7);
     }
 
-    Host(double startMs, Settings settings, long seed) {
-        now = startMs;
+    FakeHost(double startMs, Settings settings, long seed) {
+        nowMs = startMs;
         policy = new Policy(startMs, settings, seed, this);
     }
 
-    /** The time of the next timer; infinite where none is set. */
+    /** Returns the time of the next timer; infinite if none is set. */
     double nextTimerMs() {
         return timers.isEmpty() ? Double.POSITIVE_INFINITY : timers.peek().atMs();
     }
 
-    /** Runs the timers due until a time. */
+    /** Advances the clock to a time and runs the timers due until then. */
     void runTo(double untilMs) {
         while (!timers.isEmpty() && timers.peek().atMs() <= untilMs) {
             Timer timer = timers.poll();
-            now = Math.max(now, timer.atMs());
-            policy.timerFired(now, timer.token());
+            nowMs = Math.max(nowMs, timer.atMs());
+            policy.timerFired(nowMs, timer.token());
         }
-        now = untilMs;
+        nowMs = untilMs;
     }
 
-    void list(NodeEntry... entries) {
-        policy.nodesListed(now, NodeListKind.FULL, List.of(entries));
+    void listNodes(NodeEntry... entries) {
+        policy.nodesListed(nowMs, NodeListKind.FULL, List.of(entries));
     }
 
-    long request(Ask ask) {
+    long request(TestRequest request) {
         long id = nextId++;
         policy.requestReceived(
-                now,
+                nowMs,
                 new Request(
                         id,
-                        ask.kind,
+                        request.requestClass,
                         0,
-                        ask.key,
-                        ask.timeLeft,
-                        ask.volume,
-                        ask.units,
-                        ask.shard,
-                        ask.setSize,
+                        request.key,
+                        request.timeLeftMs,
+                        request.volume,
+                        request.units,
+                        request.shard,
+                        request.hostCount,
                         false,
                         false));
         return id;
     }
 
-    void end(Sent attempt, Outcome outcome) {
-        end(attempt, outcome, outcome == Outcome.SERVED);
+    void endAttempt(Sent attempt, Outcome outcome) {
+        endAttempt(attempt, outcome, outcome == Outcome.SERVED);
     }
 
-    boolean open(Sent attempt) {
+    boolean isOpen(Sent attempt) {
         return !ended.contains(attempt);
     }
 
-    void end(Sent attempt, Outcome outcome, boolean over) {
+    void endAttempt(Sent attempt, Outcome outcome, boolean requestClosed) {
         ended.add(attempt);
         policy.attemptEnded(
-                now,
+                nowMs,
                 new AttemptEnd(
                         attempt.request(),
                         attempt.attempt(),
                         outcome,
-                        now - attempt.atMs(),
+                        nowMs - attempt.atMs(),
                         attempt.node(),
-                        seenUse,
+                        reportedUse,
                         0,
-                        over,
+                        requestClosed,
                         load));
     }
 
-    long sentFor(long request) {
-        return sent.stream().filter(s -> s.request() == request).count();
+    long sentCount(long request) {
+        return sent.stream().filter(attempt -> attempt.request() == request).count();
     }
 
-    Sent last() {
+    Sent lastSent() {
         return sent.get(sent.size() - 1);
     }
 
-    /** The final answer of a request: refuse, fail, or null while none was given. */
-    String answer(long request) {
+    /** Returns the final answer of a request: refuse, fail, or null if none was given yet. */
+    String finalAnswer(long request) {
         List<String> answers = log.stream()
-                .filter(l -> l.equals("refuse " + request) || l.equals("fail " + request))
+                .filter(line -> line.equals("refuse " + request) || line.equals("fail " + request))
                 .toList();
         if (answers.size() > 1) {
             throw new AssertionError("more than one final answer: " + answers);
@@ -139,7 +140,7 @@
 
     @Override
     public void send(long request, long node, double timeoutMs) {
-        sent.add(new Sent(now, request, node, attempts.merge(request, 1, Integer::sum) - 1));
+        sent.add(new Sent(nowMs, request, node, attempts.merge(request, 1, Integer::sum) - 1));
         log.add("send " + request + " " + node);
     }
 
@@ -170,56 +171,56 @@
 
     @Override
     public void subscribeToNodes() {
-        log.add("follow");
+        log.add("subscribe");
     }
 
     @Override
     public void sendPeerMessage(int recipient, byte[] message) {
-        log.add("tell " + recipient);
+        log.add("message " + recipient);
     }
 
-    /** What a request asks; a plain one by default. */
-    static final class Ask {
-        int kind;
+    /** Builds a request; repeatable, 2 units and shard 0 by default. */
+    static final class TestRequest {
+        int requestClass;
         long key;
-        double timeLeft = 4000;
+        double timeLeftMs = 4000;
         long volume = 1;
         double units = 2;
         int shard;
-        int setSize = 1;
+        int hostCount = 1;
 
-        Ask kind(int value) {
-            kind = value;
+        TestRequest requestClass(int value) {
+            requestClass = value;
             return this;
         }
 
-        Ask key(long value) {
+        TestRequest key(long value) {
             key = value;
             return this;
         }
 
-        Ask volume(long value) {
+        TestRequest volume(long value) {
             volume = value;
             return this;
         }
 
-        Ask units(double value) {
+        TestRequest units(double value) {
             units = value;
             return this;
         }
 
-        Ask shard(int value) {
+        TestRequest shard(int value) {
             shard = value;
             return this;
         }
 
-        Ask setSize(int value) {
-            setSize = value;
+        TestRequest hostCount(int value) {
+            hostCount = value;
             return this;
         }
 
-        Ask timeLeft(double value) {
-            timeLeft = value;
+        TestRequest timeLeftMs(double value) {
+            timeLeftMs = value;
             return this;
         }
     }
@@ -232,8 +233,8 @@
         return new NodeEntry(id, 0, shard, state, 1, upSinceMs);
     }
 
-    /** Settings that tests vary. */
-    static final class Site {
+    /** Settings of the fake host; tests change single fields. */
+    static final class TestSettings {
         int hosts = 1;
         int index;
         List<String> loadNames = List.of();
@@ -243,29 +244,29 @@
         double limit;
         double reserve;
         double aimMs = 500;
-        double freeFurther = -1;
-        double furtherShare = -1;
+        double freeRetries = -1;
+        double retryRatio = -1;
         int maxAttempts = 4;
-        double windowMs = 1000;
+        double repeatWindowMs = 1000;
 
         static final int SAFE = 0;
         static final int UNSAFE = 1;
         static final int KEYED = 2;
 
-        Settings settings() {
+        Settings build() {
             return new Settings(
                     hosts,
                     index,
                     0,
                     2,
                     List.of(
-                            kind("safe", Effect.REPEATABLE),
-                            kind("unsafe", Effect.UNSAFE),
-                            kind("keyed", Effect.KEYED)),
+                            requestClass("safe", Effect.REPEATABLE),
+                            requestClass("unsafe", Effect.UNSAFE),
+                            requestClass("keyed", Effect.KEYED)),
                     List.of(new Plan("plan", 4, reserve, 1, 1, limit, 32, 8)),
                     discovery,
                     new Capabilities(maxAttempts, true, true, false, true, true, 1000, 250, 15_000),
-                    new Rules(8, 250, 10_000, 0.2, 10_000, 2000, 2, 300, freeFurther, furtherShare, 5000),
+                    new Rules(8, 250, 10_000, 0.2, 10_000, 2000, 2, 300, freeRetries, retryRatio, 5000),
                     20,
                     2,
                     8,
@@ -277,8 +278,8 @@
                     List.of("z"));
         }
 
-        private RequestClass kind(String name, Effect effect) {
-            return new RequestClass(name, aimMs, 0, 4000, 1, 0.1, effect, group, windowMs, ordered, false, false);
+        private RequestClass requestClass(String name, Effect effect) {
+            return new RequestClass(name, aimMs, 0, 4000, 1, 0.1, effect, group, repeatWindowMs, ordered, false, false);
         }
     }
 }
--- a/src/test/java/petrelstand/decision/SlidingSumTest.java
+++ b/src/test/java/petrelstand/decision/SlidingSumTest.java
@@ -4,9 +4,10 @@
 
 import org.junit.jupiter.api.Test;
 
+/** Expiry of the amounts of a sliding sum. */
 class SlidingSumTest {
     @Test
-    void countsTheFarEdgeIn() {
+    void amountOfExactlyTheSpansAgeCounts() {
         SlidingSum sum = new SlidingSum(100);
         sum.add(0, 2);
         sum.add(60, 3);
@@ -15,9 +16,9 @@
         assertEquals(0, sum.sum(161));
     }
 
-    /** Guards against a sum that is added to for hours and that nobody asks for. */
+    /** Guards against unbounded growth of a sum that is never read. */
     @Test
-    void keepsNoMoreThanItsSpanThoughNobodyAsks() {
+    void expiredAmountsAreDroppedWithoutReads() {
         SlidingSum sum = new SlidingSum(100);
         for (int at = 0; at < 100_000; at++) {
             sum.add(at, 1);
--- a/src/test/java/petrelstand/decision/StreamTest.java
+++ b/src/test/java/petrelstand/decision/StreamTest.java
@@ -1,33 +1,33 @@
 package petrelstand.decision;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static petrelstand.decision.Host.node;
+import static petrelstand.decision.FakeHost.node;
 
 import org.junit.jupiter.api.Test;
 import petrelstand.config.SettingsReader;
-import petrelstand.decision.Host.Ask;
+import petrelstand.decision.FakeHost.TestRequest;
 import petrelstand.decision.Scheduling.Outcome;
 import petrelstand.testing.Harness;
 
-/** A body on its way to a node for seconds, as its client sends it. */
+/** Request body that its client streams to a node for seconds. */
 class StreamTest {
     @Test
-    void aSlowBodyNeitherMakesItsNodeSilentNorFillsItsWindow() {
-        Host host = new Host(10_000, SettingsReader.ofText(Harness.SETTINGS));
-        host.list(node(1, 0));
-        long slow = host.request(new Ask());
-        Host.Sent body = host.last();
-        host.policy.streamStarted(host.now, slow, 0);
+    void slowBodyNeitherSilencesItsNodeNorFillsItsWindow() {
+        FakeHost host = new FakeHost(10_000, SettingsReader.ofText(Harness.SETTINGS));
+        host.listNodes(node(1, 0));
+        long slow = host.request(new TestRequest());
+        FakeHost.Sent body = host.lastSent();
+        host.policy.streamStarted(host.nowMs, slow, 0);
         for (int i = 0; i < 20; i++) {
-            host.runTo(host.now + 200);
-            long read = host.request(new Ask());
-            assertEquals(1, host.sentFor(read), "at " + host.now);
-            host.now += 20;
-            host.end(host.last(), Outcome.SERVED);
+            host.runTo(host.nowMs + 200);
+            long read = host.request(new TestRequest());
+            assertEquals(1, host.sentCount(read), "at " + host.nowMs);
+            host.nowMs += 20;
+            host.endAttempt(host.lastSent(), Outcome.SERVED);
         }
-        // Its own time is over long ago, and it is neither given up nor sent again.
-        assertEquals(null, host.answer(slow));
-        host.end(body, Outcome.RESET, true);
-        assertEquals(1, host.sentFor(slow));
+        // Its deadline has passed, but a started stream is neither ended nor retried.
+        assertEquals(null, host.finalAnswer(slow));
+        host.endAttempt(body, Outcome.RESET, true);
+        assertEquals(1, host.sentCount(slow));
     }
 }
--- a/src/test/java/petrelstand/decision/TokenBucketTest.java
+++ b/src/test/java/petrelstand/decision/TokenBucketTest.java
@@ -7,27 +7,27 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A store of units: what is held keeps its room, and at most half of it may be held. */
+/** Refill, held units and changes of capacity of a token bucket. */
 class TokenBucketTest {
     private static final double RATE = 10;
-    private static final double SIZE = 20;
+    private static final double CAPACITY = 20;
 
-    private final TokenBucket bucket = new TokenBucket(0, SIZE, SIZE);
+    private final TokenBucket bucket = new TokenBucket(0, CAPACITY, CAPACITY);
 
     @BeforeEach
-    void shape() {
-        bucket.reshape(0, RATE, SIZE);
+    void configure() {
+        bucket.reconfigure(0, RATE, CAPACITY);
     }
 
     @Test
-    void fillsAtItsRateUpToItsSize() {
-        bucket.take(0, SIZE);
+    void refillsAtItsRateUpToItsCapacity() {
+        bucket.take(0, CAPACITY);
         assertEquals(5, bucket.level(500), 1e-9);
-        assertEquals(SIZE, bucket.level(60_000), 1e-9);
+        assertEquals(CAPACITY, bucket.level(60_000), 1e-9);
     }
 
     @Test
-    void doesNotFillBesideWhatIsHeld() {
+    void heldUnitsReduceTheCapacityUntilReleased() {
         bucket.hold(0, 8);
         assertEquals(12, bucket.level(60_000), 1e-9);
         bucket.release(60_000, 8);
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void holdsHalfOfItsSizeOrOneOfAnySize() {
+    void holdsHalfOfItsCapacityOrOneRequestOfAnySize() {
         assertTrue(bucket.mayHold(15));
         bucket.hold(0, 6);
         assertTrue(bucket.mayHold(4));
@@ -44,9 +44,9 @@
     }
 
     @Test
-    void aSmallerSizeCountsWhatIsHeld() {
+    void heldUnitsCountAgainstASmallerCapacity() {
         bucket.hold(0, 8);
-        bucket.reshape(0, RATE / 2, SIZE / 2);
+        bucket.reconfigure(0, RATE / 2, CAPACITY / 2);
         assertEquals(2, bucket.level(0), 1e-9);
     }
 }
