--- a/src/test/java/petrelstand/decision/ManyHostsTest.java
+++ b/src/test/java/petrelstand/decision/ManyHostsTest.java
@@ -174,7 +174,7 @@
         }
         assertTrue(units <= 32 + 16 * 6, "units sent " + units);
         for (boolean sent : hasSent) {
-            assertTrue(sent);
+            assertTrue(sent, "a host sent no request");
         }
     }
 
@@ -244,13 +244,13 @@
     @Test
     void attemptOfAClientThatLeftIsCancelledOnce() {
         FakeHost host = hostAmongMany(new TestSettings());
-        long out = host.request(new TestRequest().units(2));
-        host.policy.clientGone(host.nowMs, out);
+        long id = host.request(new TestRequest().units(2));
+        host.policy.clientGone(host.nowMs, id);
         assertEquals(List.of("send 1 1", "cancel 1"), host.log);
-        host.policy.clientGone(host.nowMs, out);
+        host.policy.clientGone(host.nowMs, id);
         host.endAttempt(host.lastSent(), Outcome.CANCELLED, true);
         assertEquals(2, host.log.size());
-        assertNull(host.finalAnswer(out));
+        assertNull(host.finalAnswer(id));
     }
 
     @Test
--- a/src/test/java/petrelstand/decision/RulesTest.java
+++ b/src/test/java/petrelstand/decision/RulesTest.java
@@ -197,7 +197,7 @@
 
     @Test
     void limitIsDividedAmongTheHostsOfAVolume() {
-        for (int setSize : new int[] {1, 4}) {
+        for (int hostCount : new int[] {1, 4}) {
             TestSettings settings = new TestSettings();
             settings.limit = 16;
             FakeHost host = host(settings);
@@ -205,13 +205,13 @@
             double sentUnits = 0;
             for (int i = 0; i < 60; i++) {
                 long id = host.request(
-                        new TestRequest().units(4).hostCount(setSize).shard(-1));
+                        new TestRequest().units(4).hostCount(hostCount).shard(-1));
                 sentUnits += 4 * host.sentCount(id);
                 host.sent.stream()
                         .filter(attempt -> attempt.request() == id)
                         .forEach(attempt -> host.endAttempt(attempt, Outcome.SERVED));
             }
-            assertEquals(32.0 / setSize, sentUnits, "set size " + setSize);
+            assertEquals(32.0 / hostCount, sentUnits, "host count " + hostCount);
         }
     }
 
--- a/src/test/java/petrelstand/decision/SettingsChangeTest.java
+++ b/src/test/java/petrelstand/decision/SettingsChangeTest.java
@@ -79,7 +79,7 @@
                         host.policy.learnedState(host.nowMs).volumes()));
     }
 
-    /** Two processes of one host must not send a cold node more than one process would. */
+    /** Guards against two processes of one host that each spend the whole budget of a cold node. */
     @Test
     void halfTheBudgetShareSendsLessToAColdNode() {
         int whole = sentToColdNode(1);
