--- a/src/test/java/petrelstand/consensus/StoredVotesCompatibilityTest.java
+++ b/src/test/java/petrelstand/consensus/StoredVotesCompatibilityTest.java
@@ -96,7 +96,7 @@
         files.truncateLogEntriesFrom(13);
         files.persistLogEntries(List.of(register(13, 9)));
         files.flush();
-        List<byte[]> pieces = WireCodec.chunks(BOOK);
+        List<byte[]> pieces = WireCodec.encodeSnapshot(BOOK);
         for (int i = 0; i < pieces.size(); i++) {
             files.persistSnapshotChunk(RaftLiterals.chunk(2, 1, i, pieces.size(), pieces.get(i), SNAPSHOT_MEMBERS));
         }
@@ -181,7 +181,7 @@
                 contents.add(content);
             }
             assertEquals(2, contents.size());
-            assertEquals(BOOK, WireCodec.whole(contents));
+            assertEquals(BOOK, WireCodec.decodeSnapshot(contents));
         }
     }
 
