--- a/src/main/java/petrelstand/Descriptors.java
+++ b/src/main/java/petrelstand/Descriptors.java
@@ -8,25 +8,25 @@
  * requests on a third of all, so their part is never less.
  */
 record Descriptors(int clients, int nodes) {
-    private static final int KEPT = 64;
+    private static final int RESERVED = 64;
 
     /**
      * Kept back by each of two processes: for the jars, listeners and selector some 25, the rest for operators' calls.
      */
-    private static final int KEPT_HALF = 40;
+    private static final int RESERVED_PER_PROCESS = 40;
 
     /**
      * What each of two processes has of one gateway's. Clients' connections pass from one to the other and are at both
      * for a while, those to nodes are fewer than a quarter in use: so four fifths are for clients.
      */
-    static Descriptors half(int sockets, int rsync) {
-        int rest = Math.max(sockets / 4, sockets / 2 - KEPT_HALF - rsync);
-        return new Descriptors(rest * 4 / 5 - HttpFront.MAX_CONNECTIONS_OVER_LIMIT, rest / 5);
+    static Descriptors half(int sockets, int rsyncDescriptors) {
+        int available = Math.max(sockets / 4, sockets / 2 - RESERVED_PER_PROCESS - rsyncDescriptors);
+        return new Descriptors(available * 4 / 5 - HttpFront.MAX_CONNECTIONS_OVER_LIMIT, available / 5);
     }
 
     /** The clients' part leaves room for those that are only told that there is none. */
-    static Descriptors of(int sockets, int rsync) {
-        int rest = Math.max(sockets / 2, sockets - KEPT - rsync);
-        return new Descriptors(rest * 3 / 5 - HttpFront.MAX_CONNECTIONS_OVER_LIMIT, rest * 2 / 5);
+    static Descriptors of(int sockets, int rsyncDescriptors) {
+        int available = Math.max(sockets / 2, sockets - RESERVED - rsyncDescriptors);
+        return new Descriptors(available * 3 / 5 - HttpFront.MAX_CONNECTIONS_OVER_LIMIT, available * 2 / 5);
     }
 }
--- a/src/main/java/petrelstand/FleetPart.java
+++ b/src/main/java/petrelstand/FleetPart.java
@@ -16,7 +16,7 @@
 /** The fleet's part of a gateway, put together; loaded only where the operator's file has {@code [fleet]}. */
 final class FleetPart {
     private final FleetConfig config;
-    private final FleetService fleet;
+    private final FleetService service;
 
     FleetPart(
             FleetConfig config,
@@ -27,39 +27,39 @@
             Counters counters,
             Consumer<String> log) {
         this.config = config;
-        this.fleet = new FleetService(config, gateway.name(), gateway.seed(), timers, nowUs, loop, counters, log);
+        this.service = new FleetService(config, gateway.name(), gateway.seed(), timers, nowUs, loop, counters, log);
         if (log instanceof JsonLog json) {
-            json.setViewVersion(fleet::viewVersion);
+            json.setViewVersion(service::viewVersion);
         }
     }
 
-    FleetService fleet() {
-        return fleet;
+    FleetService service() {
+        return service;
     }
 
     void open() throws IOException {
-        fleet.open();
+        service.open();
     }
 
     void start(HttpFront front) {
-        fleet.start();
+        service.start();
         if (config.page()) {
-            front.addPage("/members", fleet::membersJson);
+            front.addPage("/members", service::membersJson);
         }
         if (config.metrics()) {
-            front.addPage("/metrics", () -> FleetMetrics.prometheusText(fleet));
+            front.addPage("/metrics", () -> FleetMetrics.prometheusText(service));
         }
     }
 
     void reload(FleetConfig changed) {
-        fleet.reload(changed);
+        service.reload(changed);
     }
 
     void leave() {
-        fleet.leave();
+        service.leave();
     }
 
     void afterLeaving(Runnable then) {
-        fleet.afterLeaving(then);
+        service.afterLeaving(then);
     }
 }
--- a/src/main/java/petrelstand/Gateway.java
+++ b/src/main/java/petrelstand/Gateway.java
@@ -39,32 +39,32 @@
 
 /** One real gateway: the parts put together, started, drained and ended. */
 final class Gateway {
-    private static final long END_CHECK_US = 10_000;
-    private static final long DRAIN_CHECK_US = 50_000;
+    private static final long END_CHECK_INTERVAL_US = 10_000;
+    private static final long DRAIN_CHECK_INTERVAL_US = 50_000;
     /** Of the connections that close in a spread way, the part at each check, and the least number. */
-    private static final int SPREAD = 16;
+    private static final int GRADUAL_CLOSE_DIVISOR = 16;
 
-    private static final int LEAST_CLOSED = 2;
+    private static final int MIN_GRADUAL_CLOSES = 2;
     /**
      * Lingering connections are not waited for longer than this once all is answered. Counted from the last answer, not
      * from the end of listening: the end of the process resets its connections, and an answer under way is lost with
      * it.
      */
-    private static final long LAST_LINGER_US = 600_000;
+    private static final long MAX_FINAL_LINGER_US = 600_000;
     /** For each transfer a client's and a node's, and a client's that is refused. */
-    private static final int RSYNC_DESCRIPTORS = 3;
+    private static final int DESCRIPTORS_PER_TRANSFER = 3;
     /**
      * Requests played in memory before the start: enough to load the code, and no more. What comes while a gateway
      * restarts is lost: on half a core 100 of them made a restart 2.5 s long, 25 of them 1.3 s.
      */
-    private static final int REHEARSED = 25;
+    private static final int REQUESTS_PER_WARM_UP = 25;
 
-    private static final int REHEARSALS_REPLACED = 16;
-    private static final long REST_NS = 50_000_000;
+    private static final int MAX_HOT_RESTART_WARM_UPS = 16;
+    private static final long WARM_UP_PAUSE_NS = 50_000_000;
     /** How long the start waits for the first list. */
-    private static final long FIRST_LIST_US = 800_000;
+    private static final long FIRST_LIST_TIMEOUT_US = 800_000;
     /** Of the 6 s that a process has from its start to its yes. */
-    private static final long MOST_REHEARSED_NS = 1_800_000_000L;
+    private static final long MAX_WARM_UP_NS = 1_800_000_000L;
 
     private final LoopClock clock = new LoopClock();
     private final Timers timers = new Timers();
@@ -75,41 +75,41 @@
 
     private final EventLoop loop;
     private final Broker broker;
-    private final HttpFront front;
-    private final NodeListWatcher watch;
-    private RsyncConfig rsync;
+    private final HttpFront httpFront;
+    private final NodeListWatcher nodeListWatcher;
+    private RsyncConfig rsyncConfig;
     private final RsyncFront rsyncFront;
-    private final StateKeeper keeper;
-    private AccountsPage accounts;
-    private final FleetPart fleet;
-    private final RulesPart rules;
-    private final Runnable atEnd;
+    private final StateKeeper stateKeeper;
+    private AccountsPage accountsPage;
+    private final FleetPart fleetPart;
+    private final RulesPart rulesPart;
+    private final Runnable onEnd;
     private final List<ServerSocketChannel> listeners = new ArrayList<>();
     private final CompletableFuture<List<Integer>> ports = new CompletableFuture<>();
-    private final Lifecycle life;
+    private final Lifecycle lifecycle;
     /** Null where no address for operators is given: nothing of it is loaded then. */
-    private final OperationPart operation;
+    private final OperationPart operationPart;
 
-    private final RetunePart retuning;
-    private Timers.Timer turn;
+    private final RetunePart retunePart;
+    private Timers.Timer lifecycleTimer;
     /** When all that was taken was answered, as of now; 0 while something is not. */
-    private long answeredUs;
+    private long allAnsweredAtUs;
 
     /**
      * A gateway as its file and, where there is one (else null), the operator's file say. Lines to be logged go to
      * {@code log}, and the end is told, on the loop's thread.
      */
-    Gateway(GatewayConfig config, OperatorConfig operator, Consumer<String> log, Runnable atEnd) {
+    Gateway(GatewayConfig config, OperatorConfig operator, Consumer<String> log, Runnable onEnd) {
         this.config = config;
         this.log = log;
-        this.atEnd = atEnd;
-        this.rsync = operator == null ? null : operator.rsync();
+        this.onEnd = onEnd;
+        this.rsyncConfig = operator == null ? null : operator.rsync();
         this.loop = new EventLoop(clock, timers);
-        int transfers = rsync == null ? 0 : RSYNC_DESCRIPTORS * rsync.mostTransfers();
-        Descriptors parts = Descriptors.of(config.sockets(), transfers);
-        MemoryLimits plan = memoryPlan(config, parts);
-        log.accept(plan.toLogLine());
-        BodyBudgets budgets = BodyBudgets.of(plan);
+        int rsyncDescriptors = rsyncConfig == null ? 0 : DESCRIPTORS_PER_TRANSFER * rsyncConfig.mostTransfers();
+        Descriptors descriptors = Descriptors.of(config.sockets(), rsyncDescriptors);
+        MemoryLimits memoryLimits = memoryLimits(config, descriptors);
+        log.accept(memoryLimits.toLogLine());
+        BodyBudgets bodyBudgets = BodyBudgets.of(memoryLimits);
         NodeConnectionPool pool = new NodeConnectionPool(
                 loop::connect,
                 clock::nowUs,
@@ -117,28 +117,28 @@
                 counters,
                 config.settings(),
                 "backend.local",
-                plan.nodeConnections(),
-                budgets);
+                memoryLimits.nodeConnections(),
+                bodyBudgets);
         this.broker = new Broker(
                 config.settings(),
                 config.seed(),
                 clock::nowUs,
                 timers,
-                rsync == null ? pool : withRsyncNodes(pool),
+                rsyncConfig == null ? pool : routeRsyncNodes(pool),
                 counters,
                 log);
-        this.rsyncFront = rsync == null ? null : new RsyncFront(broker, timers, rsync, log);
-        this.life = new Lifecycle(Lifecycle.Delays.of(config.settings()));
-        this.front = new HttpFront(broker, timers, plan.clientConnections(), life, budgets);
-        this.retuning = new RetunePart(broker, front, pool, life, timers, clock::nowUs, log);
-        this.operation = config.operator() == null
+        this.rsyncFront = rsyncConfig == null ? null : new RsyncFront(broker, timers, rsyncConfig, log);
+        this.lifecycle = new Lifecycle(Lifecycle.Delays.of(config.settings()));
+        this.httpFront = new HttpFront(broker, timers, memoryLimits.clientConnections(), lifecycle, bodyBudgets);
+        this.retunePart = new RetunePart(broker, httpFront, pool, lifecycle, timers, clock::nowUs, log);
+        this.operationPart = config.operator() == null
                 ? null
                 : new OperationPart(
                         config,
-                        transfers,
-                        life,
+                        rsyncDescriptors,
+                        lifecycle,
                         broker,
-                        front,
+                        httpFront,
                         pool,
                         timers,
                         clock::nowUs,
@@ -148,7 +148,7 @@
                         log,
                         this::evacuate,
                         this::rejoin);
-        this.watch = new NodeListWatcher(
+        this.nodeListWatcher = new NodeListWatcher(
                 loop::connect,
                 clock::nowUs,
                 timers,
@@ -156,10 +156,10 @@
                 "backend.local",
                 config.settings().zones(),
                 config.known().version(),
-                this::heard,
+                this::nodeListReceived,
                 counters,
                 log);
-        this.keeper = operator == null || operator.state() == null
+        this.stateKeeper = operator == null || operator.state() == null
                 ? null
                 : StateKeeper.onDisk(
                         operator.state().folder(),
@@ -173,74 +173,74 @@
                         counters,
                         log);
         if (operator != null && operator.accounts() != null) {
-            account(operator.accounts());
+            enableAccounts(operator.accounts());
         }
-        this.fleet = operator == null || operator.fleet() == null
+        this.fleetPart = operator == null || operator.fleet() == null
                 ? null
                 : new FleetPart(operator.fleet(), config, timers, clock::nowUs, loop::execute, counters, log);
-        this.rules = operator == null || operator.rules() == null
+        this.rulesPart = operator == null || operator.rules() == null
                 ? null
                 : new RulesPart(
                         operator.rules(),
                         config,
-                        fleet.fleet(),
+                        fleetPart.service(),
                         broker,
                         timers,
                         clock::nowUs,
                         loop::execute,
                         counters,
-                        this::ruled,
+                        this::rulesChanged,
                         log);
     }
 
-    private static MemoryLimits memoryPlan(GatewayConfig config, Descriptors parts) {
+    private static MemoryLimits memoryLimits(GatewayConfig config, Descriptors descriptors) {
         return MemoryLimits.of(
                 Runtime.getRuntime().maxMemory(),
                 config.memoryBytes(),
                 config.sockets(),
-                parts.clients(),
-                parts.nodes(),
+                descriptors.clients(),
+                descriptors.nodes(),
                 config.known().nodes().size(),
                 Policy.MAX_VOLUMES);
     }
 
     /** The pool, and beside it the nodes that speak the rsync protocol. */
-    private NodeTransport withRsyncNodes(NodeConnectionPool pool) {
+    private NodeTransport routeRsyncNodes(NodeConnectionPool pool) {
         double connectMs = config.settings().may().connectTimeoutMs();
         return new ByWire(pool, new RsyncNodes(loop::connect, clock::nowUs, timers, connectMs));
     }
 
     /** Switches the accounts on; where they are off nothing of them is loaded. */
-    private void account(OperatorConfig.AccountsConfig how) {
-        AccountsPage page = AccountsPage.watch(broker, how.nodeCores());
-        accounts = page;
-        if (how.folder() != null) {
-            page.record(how.folder(), config.name(), counters, loop::execute, log);
+    private void enableAccounts(OperatorConfig.AccountsConfig accountsConfig) {
+        AccountsPage page = AccountsPage.watch(broker, accountsConfig.nodeCores());
+        accountsPage = page;
+        if (accountsConfig.folder() != null) {
+            page.record(accountsConfig.folder(), config.name(), counters, loop::execute, log);
         }
-        if (how.metrics()) {
-            front.addPage("/metrics", page.metrics()::text);
+        if (accountsConfig.metrics()) {
+            httpFront.addPage("/metrics", page.metrics()::text);
         }
-        if (how.page()) {
-            front.addPage("/accounts", () -> page.json(clock.nowUs()));
+        if (accountsConfig.page()) {
+            httpFront.addPage("/accounts", () -> page.json(clock.nowUs()));
         }
     }
 
     /** Starts; the ports listened on are the platform front's and, where it is on, the rsync front's. */
     CompletableFuture<List<Integer>> start() throws Exception {
-        if (keeper != null) {
-            keeper.open();
+        if (stateKeeper != null) {
+            stateKeeper.open();
         }
-        if (operation != null) {
-            operation.look();
+        if (operationPart != null) {
+            operationPart.findOtherProcess();
         }
-        if (fleet != null) {
-            fleet.open();
+        if (fleetPart != null) {
+            fleetPart.open();
         }
-        if (rules != null) {
-            rules.open();
+        if (rulesPart != null) {
+            rulesPart.open();
         }
         loop.start();
-        loop.execute(this::begin);
+        loop.execute(this::startOnLoop);
         return ports;
     }
 
@@ -250,7 +250,7 @@
 
     /** From SIGTERM until the process ends whatever the loop does, µs; a reload may change it. From any thread. */
     long forcedEndUs() {
-        return life.forcedEndUs();
+        return lifecycle.forcedEndUs();
     }
 
     /** Runs a task on the loop's thread. */
@@ -271,17 +271,17 @@
         loop.stop();
     }
 
-    private void begin() {
-        rehearse();
-        if (keeper != null) {
-            keeper.start(broker);
+    private void startOnLoop() {
+        warmUp();
+        if (stateKeeper != null) {
+            stateKeeper.start(broker);
         }
-        if (operation != null) {
-            operation.recall();
+        if (operationPart != null) {
+            operationPart.takeOver();
         }
-        broker.updateNodes(NodeListKind.CACHED, withOperators(config.known().nodes()));
+        broker.updateNodes(NodeListKind.CACHED, addRsyncNodes(config.known().nodes()));
         // All of this was one turn: its time is no silence of discovery's, so the next one begins to ask.
-        timers.schedule(clock.nowUs() + 1, this::follow);
+        timers.schedule(clock.nowUs() + 1, this::startDiscovery);
     }
 
     /**
@@ -289,9 +289,9 @@
      * the agent has counts as told from the first moment, and clients come at once. Without an answer it opens all the
      * same.
      */
-    private void follow() {
-        watch.start();
-        timers.schedule(clock.nowUs() + FIRST_LIST_US, this::open);
+    private void startDiscovery() {
+        nodeListWatcher.start();
+        timers.schedule(clock.nowUs() + FIRST_LIST_TIMEOUT_US, this::startServing);
     }
 
     /**
@@ -299,40 +299,40 @@
      * rehearses more, beside another with rests in which that one serves. Elsewhere what comes while it starts is lost,
      * so little is rehearsed.
      */
-    private void rehearse() {
-        int times = operation != null ? REHEARSALS_REPLACED : 1;
-        boolean rests = operation != null && operation.takesOver();
-        long begun = System.nanoTime();
+    private void warmUp() {
+        int maxRounds = operationPart != null ? MAX_HOT_RESTART_WARM_UPS : 1;
+        boolean pauses = operationPart != null && operationPart.replacesProcess();
+        long startNs = System.nanoTime();
         long served = 0;
-        int played = 0;
+        int rounds = 0;
         // On a machine that is too busy the yes is owed all the same.
-        while (played < times && System.nanoTime() - begun < MOST_REHEARSED_NS) {
-            served += JvmWarmUp.run(config.settings(), REHEARSED);
-            played++;
-            LockSupport.parkNanos(rests ? REST_NS : 0);
+        while (rounds < maxRounds && System.nanoTime() - startNs < MAX_WARM_UP_NS) {
+            served += JvmWarmUp.run(config.settings(), REQUESTS_PER_WARM_UP);
+            rounds++;
+            LockSupport.parkNanos(pauses ? WARM_UP_PAUSE_NS : 0);
         }
-        log.accept("rehearsed: " + served + " of " + played * REHEARSED + " requests in memory");
+        log.accept("rehearsed: " + served + " of " + rounds * REQUESTS_PER_WARM_UP + " requests in memory");
     }
 
     /** Listens, and serves; only the first call does. */
-    private void open() {
-        if (life.phase() != Lifecycle.Phase.STARTING) {
+    private void startServing() {
+        if (lifecycle.phase() != Lifecycle.Phase.STARTING) {
             return;
         }
-        listen(config.listen(), front::accept);
-        if (rsync != null) {
-            listen(rsync.listen(), rsyncFront::accept);
-            log.accept("rsync: " + rsync.modules().size() + " modules on " + rsync.listen());
+        listen(config.listen(), httpFront::accept);
+        if (rsyncConfig != null) {
+            listen(rsyncConfig.listen(), rsyncFront::accept);
+            log.accept("rsync: " + rsyncConfig.modules().size() + " modules on " + rsyncConfig.listen());
         }
-        if (fleet != null) {
-            fleet.start(front);
+        if (fleetPart != null) {
+            fleetPart.start(httpFront);
         }
-        if (rules != null) {
-            rules.start(front);
+        if (rulesPart != null) {
+            rulesPart.start(httpFront);
         }
-        life.startServing(clock.nowUs());
-        if (operation != null) {
-            listen(operation::open, config.operator());
+        lifecycle.startServing(clock.nowUs());
+        if (operationPart != null) {
+            listen(operationPart::listen, config.operator());
         }
         ports.complete(listeners.stream()
                 .map(listener -> listener.socket().getLocalPort())
@@ -341,30 +341,33 @@
                 + config.known().nodes().size() + " nodes known");
     }
 
-    private void listen(String address, Function<EndPoint, Connection> to) {
-        listen((on, at) -> listeners.add(on.listen(SocketAddresses.parse(at), operation != null, to)), address);
+    private void listen(String address, Function<EndPoint, Connection> connectionFactory) {
+        listen(
+                (eventLoop, listenAddress) -> listeners.add(eventLoop.listen(
+                        SocketAddresses.parse(listenAddress), operationPart != null, connectionFactory)),
+                address);
     }
 
     /** Opens a listener on the loop. */
-    private interface Opening {
+    private interface ListenerOpener {
         void open(EventLoop loop, String address) throws IOException;
     }
 
-    private void listen(Opening opening, String address) {
+    private void listen(ListenerOpener opener, String address) {
         try {
-            opening.open(loop, address);
+            opener.open(loop, address);
         } catch (IOException | IllegalArgumentException e) {
             ports.completeExceptionally(new IOException("cannot listen on " + address + ": " + e.getMessage()));
         }
     }
 
-    private void heard(NodeList list) {
+    private void nodeListReceived(NodeList list) {
         if (list.full()) {
-            broker.updateNodes(NodeListKind.FULL, withOperators(list.nodes()));
+            broker.updateNodes(NodeListKind.FULL, addRsyncNodes(list.nodes()));
         } else if (!list.nodes().isEmpty()) {
             broker.updateNodes(NodeListKind.CHANGES, list.nodes());
         }
-        open();
+        startServing();
     }
 
     /**
@@ -372,15 +375,15 @@
      * node list is older than the one in use. On the loop's thread.
      */
     void reload(GatewayConfig changed) {
-        List<String> later = config.fixedChanges(changed);
+        List<String> restartOnly = config.fixedChanges(changed);
         if (!changed.settings().equals(config.settings())) {
             try {
-                retuning.begin(changed.settings());
-                if (keeper != null) {
-                    keeper.retune(changed.settings());
+                retunePart.start(changed.settings());
+                if (stateKeeper != null) {
+                    stateKeeper.retune(changed.settings());
                 }
-                if (operation != null) {
-                    operation.retune(changed.settings());
+                if (operationPart != null) {
+                    operationPart.retune(changed.settings());
                 }
             } catch (IllegalArgumentException e) {
                 reloadFailed(e.getMessage());
@@ -390,8 +393,10 @@
         counters.increment("reloads");
         config = changed;
         log.accept("reload: discovery at " + changed.discovery()
-                + (later.isEmpty() ? "" : "; only a restart takes the changed " + String.join(", ", later)));
-        watch.changeAddress(changed.discovery());
+                + (restartOnly.isEmpty()
+                        ? ""
+                        : "; only a restart takes the changed " + String.join(", ", restartOnly)));
+        nodeListWatcher.changeAddress(changed.discovery());
     }
 
     /** SIGHUP with a file that is wrong: all stays as it was. On the loop's thread. */
@@ -401,108 +406,115 @@
     }
 
     /** Takes the rsync front's modules and nodes of the operator's file as it is now. On the loop's thread. */
-    void reload(OperatorConfig file) {
-        if (fleet != null && file.fleet() != null) {
-            fleet.reload(file.fleet());
+    void reload(OperatorConfig operatorConfig) {
+        if (fleetPart != null && operatorConfig.fleet() != null) {
+            fleetPart.reload(operatorConfig.fleet());
         }
-        if (rules != null) {
-            rules.reload(file.rules());
+        if (rulesPart != null) {
+            rulesPart.reload(operatorConfig.rules());
         }
-        RsyncConfig changed = file.rsync();
-        if (rsync == null || changed == null) {
+        RsyncConfig changed = operatorConfig.rsync();
+        if (rsyncConfig == null || changed == null) {
             log.accept("the operator's file was read anew; only a restart switches a part on or off");
             return;
         }
         List<Node> nodes = new ArrayList<>(changed.nodes());
-        List<Long> kept = changed.nodes().stream().map(Node::number).toList();
-        rsync.nodes().stream().filter(node -> !kept.contains(node.number())).forEach(node -> nodes.add(node.asGone()));
-        rsync = changed;
-        rsyncFront.reload(rules == null ? changed : rules.allowed(changed));
+        List<Long> keptNumbers = changed.nodes().stream().map(Node::number).toList();
+        rsyncConfig.nodes().stream()
+                .filter(node -> !keptNumbers.contains(node.number()))
+                .forEach(node -> nodes.add(node.asGone()));
+        rsyncConfig = changed;
+        rsyncFront.reload(rulesPart == null ? changed : rulesPart.applyRules(changed));
         log.accept(
                 "rsync: the operator's file was read anew, " + changed.modules().size() + " modules");
         broker.updateNodes(NodeListKind.CHANGES, nodes);
     }
 
     /** Other rules are acted on: modules that they close take no new transfer, nodes that they remove no new work. */
-    private void ruled() {
-        if (rsync != null) {
-            RsyncConfig allowed = rules.allowed(rsync);
+    private void rulesChanged() {
+        if (rsyncConfig != null) {
+            RsyncConfig allowed = rulesPart.applyRules(rsyncConfig);
             rsyncFront.reload(allowed);
             broker.updateNodes(NodeListKind.CHANGES, allowed.nodes());
         }
     }
 
     /** Discovery's list and the operator's nodes, which discovery does not know and must not end. */
-    private List<Node> withOperators(List<Node> listed) {
-        List<Node> all = new ArrayList<>(listed);
-        if (rsync != null) {
-            all.addAll(rules == null ? rsync.nodes() : rules.allowed(rsync).nodes());
+    private List<Node> addRsyncNodes(List<Node> discovered) {
+        List<Node> nodes = new ArrayList<>(discovered);
+        if (rsyncConfig != null) {
+            nodes.addAll(
+                    rulesPart == null
+                            ? rsyncConfig.nodes()
+                            : rulesPart.applyRules(rsyncConfig).nodes());
         }
-        return all;
+        return nodes;
     }
 
     /** SIGTERM: takes what still comes for a while, answers all that was taken, and ends. On the loop's thread. */
     void drain() {
-        if (!life.terminate(clock.nowUs())) {
+        if (!lifecycle.terminate(clock.nowUs())) {
             return;
         }
-        broker.setAnswerDeadline(life.lastAnswerUs());
-        log.accept(
-                "draining: " + broker.openRequests() + " requests open, " + front.connectionCount() + " connections");
-        if (rules != null) {
-            rules.leave();
+        broker.setAnswerDeadline(lifecycle.lastAnswerUs());
+        log.accept("draining: " + broker.openRequests() + " requests open, " + httpFront.connectionCount()
+                + " connections");
+        if (rulesPart != null) {
+            rulesPart.leave();
         }
-        if (fleet != null) {
-            fleet.leave();
+        if (fleetPart != null) {
+            fleetPart.leave();
         }
-        live();
+        applyLifecycle();
     }
 
     private boolean evacuate() {
-        boolean done = life.evacuate(clock.nowUs());
+        boolean done = lifecycle.evacuate(clock.nowUs());
         log.accept(
                 done
-                        ? "evacuate: " + broker.openRequests() + " requests open, " + front.connectionCount()
+                        ? "evacuate: " + broker.openRequests() + " requests open, " + httpFront.connectionCount()
                                 + " connections"
                         : "evacuate: not before this process serves");
-        live();
+        applyLifecycle();
         return done;
     }
 
     private boolean rejoin() {
-        boolean done = life.rejoin(clock.nowUs());
+        boolean done = lifecycle.rejoin(clock.nowUs());
         log.accept(done ? "rejoin: serving" : "rejoin: this process is ending");
-        live();
+        applyLifecycle();
         return done;
     }
 
     /** Does what the process's life asks at this turn's time, and comes again when that changes. */
-    private void live() {
-        long now = clock.nowUs();
-        if (turn != null) {
-            turn.cancel();
+    private void applyLifecycle() {
+        long nowUs = clock.nowUs();
+        if (lifecycleTimer != null) {
+            lifecycleTimer.cancel();
         }
-        boolean ending = life.phase() == Lifecycle.Phase.ENDING;
+        boolean ending = lifecycle.phase() == Lifecycle.Phase.ENDING;
         if (rsyncFront != null) {
-            rsyncFront.takes(life.isReady());
+            rsyncFront.takes(lifecycle.isReady());
         }
-        if (ending && !life.acceptsConnections(now)) {
+        if (ending && !lifecycle.acceptsConnections(nowUs)) {
             stopListening();
         }
-        if (life.closesIdleConnections(now)) {
-            front.closeIdle(
-                    life.closesIdleGradually()
-                            ? Math.max(LEAST_CLOSED, front.connectionCount() / SPREAD)
+        if (lifecycle.closesIdleConnections(nowUs)) {
+            httpFront.closeIdle(
+                    lifecycle.closesIdleGradually()
+                            ? Math.max(MIN_GRADUAL_CLOSES, httpFront.connectionCount() / GRADUAL_CLOSE_DIVISOR)
                             : Integer.MAX_VALUE);
-            if (ending && over(now)) {
-                end();
+            if (ending && isReadyToExit(nowUs)) {
+                closeState();
                 return;
             }
         }
-        long next = life.closesIdleConnections(now) ? now + (ending ? END_CHECK_US : DRAIN_CHECK_US) : Long.MAX_VALUE;
-        next = Math.min(next, life.nextChangeUs(now));
-        if (next < Long.MAX_VALUE) {
-            turn = timers.schedule(next, this::live);
+        long nextUs = lifecycle.closesIdleConnections(nowUs)
+                ? nowUs + (ending ? END_CHECK_INTERVAL_US : DRAIN_CHECK_INTERVAL_US)
+                : Long.MAX_VALUE;
+        nextUs = Math.min(nextUs, lifecycle.nextChangeUs(nowUs));
+        if (nextUs < Long.MAX_VALUE) {
+            lifecycleTimer = timers.schedule(nextUs, this::applyLifecycle);
         }
     }
 
@@ -515,43 +527,43 @@
     }
 
     /** Whether all that was taken is answered, and no connection is waited for any more. */
-    private boolean over(long now) {
-        boolean answered = broker.openRequests() == 0 && front.answeringCount() == 0 && !loop.hasPendingAccepts();
-        answeredUs = !answered ? 0 : answeredUs == 0 ? now : answeredUs;
+    private boolean isReadyToExit(long nowUs) {
+        boolean answered = broker.openRequests() == 0 && httpFront.answeringCount() == 0 && !loop.hasPendingAccepts();
+        allAnsweredAtUs = !answered ? 0 : allAnsweredAtUs == 0 ? nowUs : allAnsweredAtUs;
         return answered
-                && (front.connectionsDelayingExit() + (rsync == null ? 0 : rsyncFront.sessions()) == 0
-                        || now >= answeredUs + LAST_LINGER_US);
+                && (httpFront.connectionsDelayingExit() + (rsyncConfig == null ? 0 : rsyncFront.sessions()) == 0
+                        || nowUs >= allAnsweredAtUs + MAX_FINAL_LINGER_US);
     }
 
-    private void end() {
-        if (keeper == null) {
-            endAccounts();
+    private void closeState() {
+        if (stateKeeper == null) {
+            closeAccounts();
         } else {
-            keeper.last(this::endAccounts);
+            stateKeeper.last(this::closeAccounts);
         }
     }
 
-    private void endAccounts() {
-        if (accounts == null) {
-            endFleet();
+    private void closeAccounts() {
+        if (accountsPage == null) {
+            leaveFleet();
         } else {
-            accounts.close(loop::execute, this::endFleet);
+            accountsPage.close(loop::execute, this::leaveFleet);
         }
     }
 
-    private void endFleet() {
-        if (fleet == null) {
-            ended();
+    private void leaveFleet() {
+        if (fleetPart == null) {
+            finish();
         } else {
-            fleet.afterLeaving(this::ended);
+            fleetPart.afterLeaving(this::finish);
         }
     }
 
-    private void ended() {
-        if (operation != null) {
-            operation.close();
+    private void finish() {
+        if (operationPart != null) {
+            operationPart.close();
         }
         log.accept("ended: " + counters.toLine());
-        atEnd.run();
+        onEnd.run();
     }
 }
--- a/src/main/java/petrelstand/HotRestartPart.java
+++ b/src/main/java/petrelstand/HotRestartPart.java
@@ -35,64 +35,70 @@
  */
 final class HotRestartPart {
     /** How often a process looks for another, and hands on what it knows while that one starts. */
-    static final long LOOK_MS = 100;
+    static final long SCAN_INTERVAL_MS = 100;
     /** Looks between two snapshots handed on: a look costs a glance at a folder, a snapshot some ms. */
-    private static final int LOOKS_A_SNAPSHOT = 3;
+    private static final int SCANS_PER_SNAPSHOT = 3;
     /**
      * So long after it began to listen a process runs once what handing on takes. Where that first ran while another
      * process started, which takes most of the core, it held up the loop for 460 ms (67 ms of CPU).
      */
-    private static final long WARM_MS = 2_000;
+    private static final long WARM_UP_DELAY_MS = 2_000;
 
     /** Told on the loop's thread that another process has come, listens, or is gone. */
-    interface Told {
-        void other(Other what);
+    interface OtherProcessListener {
+        void otherProcessChanged(Other what);
     }
 
     private final GatewayConfig config;
     private final Path folder;
     private final Executor loop;
     private final LongSupplier clock;
-    private final Told told;
+    private final OtherProcessListener listener;
     private final Consumer<String> log;
     private final Thread thread = new Thread(this::run, "hot-restart");
     /** Of the thread alone, but for the start. */
     private Marks marks;
 
-    private Other seen = Other.NONE;
+    private Other lastSeen = Other.NONE;
     /** Of the loop's thread, but for the start. */
-    private final ProcessShare share = new ProcessShare();
+    private final ProcessShare processShare = new ProcessShare();
 
     private Broker broker;
-    private volatile long settingsPrint;
+    private volatile long settingsFingerprint;
     /** Set by the loop, taken by the thread. */
-    private final AtomicReference<Snapshot> handing = new AtomicReference<>();
+    private final AtomicReference<Snapshot> pendingSnapshot = new AtomicReference<>();
 
-    private volatile boolean ended;
+    private volatile boolean closed;
 
     /** Looks in a folder; the clock is read from any thread, in µs; what is told, and logged, is on the loop. */
     HotRestartPart(
-            GatewayConfig config, Path folder, Executor loop, LongSupplier clock, Told told, Consumer<String> log) {
+            GatewayConfig config,
+            Path folder,
+            Executor loop,
+            LongSupplier clock,
+            OtherProcessListener listener,
+            Consumer<String> log) {
         this.config = config;
         this.folder = folder;
         this.loop = loop;
         this.clock = clock;
-        this.told = told;
+        this.listener = listener;
         this.log = line -> log.accept("hot restart: " + line);
         thread.setDaemon(true);
     }
 
     /** Writes and reads a file as between two processes, so that the build's class-data archive has what that takes. */
     static void rehearse(GatewayConfig config) throws StateFault {
-        long now = System.currentTimeMillis();
+        long nowMs = System.currentTimeMillis();
         LearnedState learned = new LearnedState(
-                now,
+                nowMs,
                 1,
                 1,
                 List.of(new LearnedNode(1, 0, 1, 1, 3, 10, 0, 0)),
                 List.of(new LearnedVolume(1, 0, 1, 1, 0, 0, 0)));
-        Snapshot taken = new Snapshot(config.name(), Snapshot.print(config.settings()), 1, now, false, learned);
-        new Trust(config.name(), config.settings()).weigh(SnapshotFormat.decode(SnapshotFormat.encode(taken)), now);
+        Snapshot snapshot = new Snapshot(config.name(), Snapshot.print(config.settings()), 1, nowMs, false, learned);
+        new Trust(config.name(), config.settings())
+                .weigh(SnapshotFormat.decode(SnapshotFormat.encode(snapshot)), nowMs);
     }
 
     /**
@@ -103,31 +109,32 @@
         try {
             marks = new Marks(folder, config.name() + " " + config.listen());
             Look look = marks.look();
-            seen = look.other();
-            share.recordMark(clock.getAsLong(), look.others());
+            lastSeen = look.other();
+            processShare.recordMark(clock.getAsLong(), look.others());
         } catch (IOException | RuntimeException e) {
             log.accept("no second process of this gateway can be known: " + e);
             marks = null;
         }
-        return seen;
+        return lastSeen;
     }
 
     /** The part of the gateway's due that is this process's own. */
-    ProcessShare share() {
-        return share;
+    ProcessShare processShare() {
+        return processShare;
     }
 
     /**
      * What the other process has learned, weighed for this one; null where it has handed on nothing that can be used.
      */
-    LearnedState handed() {
+    LearnedState readHandover() {
         try {
             Path file = marks == null ? null : marks.handover();
             if (file == null || !Files.exists(file) || Files.size(file) > SnapshotFormat.MOST_BYTES) {
                 return null;
             }
-            Snapshot old = SnapshotFormat.decode(Files.readAllBytes(file));
-            Trust.Verdict verdict = new Trust(config.name(), config.settings()).weigh(old, System.currentTimeMillis());
+            Snapshot snapshot = SnapshotFormat.decode(Files.readAllBytes(file));
+            Trust.Verdict verdict =
+                    new Trust(config.name(), config.settings()).weigh(snapshot, System.currentTimeMillis());
             log.accept(
                     verdict.refused() != null
                             ? "what the other process handed on is not used: " + verdict.refused()
@@ -142,8 +149,8 @@
     }
 
     /** This process listens from here on; it tells the other one, and looks for a later one. On the loop's thread. */
-    void listens(Broker of) {
-        broker = of;
+    void startScanning(Broker servingBroker) {
+        broker = servingBroker;
         if (marks != null) {
             thread.start();
         }
@@ -151,22 +158,22 @@
 
     /** Learned from now on under other settings. */
     void retune(Settings changed) {
-        settingsPrint = Snapshot.print(changed);
+        settingsFingerprint = Snapshot.print(changed);
     }
 
     /** The end: the mark goes with the process at the latest. */
     void close() {
-        ended = true;
+        closed = true;
         thread.interrupt();
     }
 
     private void run() {
         try {
             marks.listening();
-            for (long looks = 1; !ended; looks++) {
-                Thread.sleep(LOOK_MS);
-                look(looks % LOOKS_A_SNAPSHOT == 0);
-                if (looks == WARM_MS / LOOK_MS) {
+            for (long scans = 1; !closed; scans++) {
+                Thread.sleep(SCAN_INTERVAL_MS);
+                scan(scans % SCANS_PER_SNAPSHOT == 0);
+                if (scans == WARM_UP_DELAY_MS / SCAN_INTERVAL_MS) {
                     rehearse(config);
                     loop.execute(broker::learnedState);
                 }
@@ -177,49 +184,49 @@
             // The mark stays: while this process lives, another has to know of it.
             loop.execute(() -> log.accept("a second process is no longer looked for: " + e));
         }
-        if (ended) {
+        if (closed) {
             closeMarks();
         }
     }
 
-    private void look(boolean hand) throws IOException {
-        long beganUs = clock.getAsLong();
+    private void scan(boolean writesSnapshot) throws IOException {
+        long startUs = clock.getAsLong();
         Look look = marks.look();
-        long endedUs = clock.getAsLong();
+        long endUs = clock.getAsLong();
         loop.execute(() -> {
             if (look.marked()) {
-                share.recordScan(beganUs, look.others());
+                processShare.recordScan(startUs, look.others());
             } else {
-                share.recordMark(endedUs, look.others());
+                processShare.recordMark(endUs, look.others());
             }
         });
-        Other now = look.other();
-        if (now != seen) {
-            seen = now;
-            loop.execute(() -> told.other(now));
+        Other current = look.other();
+        if (current != lastSeen) {
+            lastSeen = current;
+            loop.execute(() -> listener.otherProcessChanged(current));
         }
-        if (now == Other.STARTING && settingsPrint == 0) {
-            settingsPrint = Snapshot.print(config.settings());
+        if (current == Other.STARTING && settingsFingerprint == 0) {
+            settingsFingerprint = Snapshot.print(config.settings());
         }
-        if (now == Other.STARTING && hand) {
+        if (current == Other.STARTING && writesSnapshot) {
             // The snapshot is the loop's to take; the file is this thread's to write.
-            loop.execute(() -> handing.set(new Snapshot(
-                    config.name(), settingsPrint, 1, System.currentTimeMillis(), false, broker.learnedState())));
-            Snapshot due = handing.getAndSet(null);
-            if (due != null) {
-                write(SnapshotFormat.encode(due));
+            loop.execute(() -> pendingSnapshot.set(new Snapshot(
+                    config.name(), settingsFingerprint, 1, System.currentTimeMillis(), false, broker.learnedState())));
+            Snapshot snapshot = pendingSnapshot.getAndSet(null);
+            if (snapshot != null) {
+                writeHandover(SnapshotFormat.encode(snapshot));
             }
         }
     }
 
-    private void write(byte[] file) throws IOException {
-        Path whole = marks.handover();
-        Path part = whole.resolveSibling(whole.getFileName() + ".tmp");
-        Files.write(part, file);
+    private void writeHandover(byte[] content) throws IOException {
+        Path target = marks.handover();
+        Path temporary = target.resolveSibling(target.getFileName() + ".tmp");
+        Files.write(temporary, content);
         try {
-            Files.move(part, whole, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+            Files.move(temporary, target, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         } catch (AtomicMoveNotSupportedException e) {
-            Files.delete(part);
+            Files.delete(temporary);
             throw e;
         }
     }
--- a/src/main/java/petrelstand/Main.java
+++ b/src/main/java/petrelstand/Main.java
@@ -28,7 +28,7 @@
  * archive.
  */
 public final class Main {
-    private static final Consumer<String> TEXT = line -> System.out.println("petrelstand: " + line);
+    private static final Consumer<String> TEXT_LOG = line -> System.out.println("petrelstand: " + line);
 
     private Main() {}
 
@@ -57,7 +57,7 @@
         // SIGHUP ends a virtual machine that does not handle it, so it is handled from the first moment on; one
         // that comes before the gateway serves waits for that.
         CompletableFuture<Gateway> serving = new CompletableFuture<>();
-        if (!Signals.on("HUP", () -> serving.thenAccept(Main::reload))) {
+        if (!Signals.handle("HUP", () -> serving.thenAccept(Main::reload))) {
             System.err.println("petrelstand: SIGHUP is ignored by whoever started this process: only a restart takes"
                     + " changed files");
         }
@@ -75,20 +75,20 @@
     }
 
     /** Ends without the shutdown hook, which would wait for a gateway that does not serve. */
-    private static void startFailed(String why) {
-        System.err.println("petrelstand: " + why);
+    private static void startFailed(String reason) {
+        System.err.println("petrelstand: " + reason);
         Runtime.getRuntime().halt(ExitStatus.START_FAILED);
     }
 
     /** Serves until SIGTERM, and ends the process. */
     static void serve(GatewayConfig config, OperatorConfig operator, CompletableFuture<Gateway> serving)
             throws Exception {
-        Consumer<String> log = log(operator);
+        Consumer<String> log = logFor(operator);
         Gateway gateway = new Gateway(config, operator, log, () -> {
             System.out.flush();
             Runtime.getRuntime().halt(ExitStatus.ENDED);
         });
-        Terminator terminator = guard(gateway);
+        Terminator terminator = installTerminator(gateway);
         Future<?> ready = gateway.start();
         // SIGTERM: the hook holds the process until the gateway has ended it. The loop takes tasks from here on.
         Thread hook = new Thread(() -> terminate(gateway, terminator), "terminate");
@@ -109,7 +109,7 @@
      * Before the start: sees to it that the process ends where this thread or the loop's can't go on, and where the
      * loop stands still.
      */
-    private static Terminator guard(Gateway gateway) {
+    private static Terminator installTerminator(Gateway gateway) {
         Terminator terminator = new Terminator();
         Thread.currentThread().setUncaughtExceptionHandler(terminator);
         gateway.loop().setFatalErrorHandler(terminator);
@@ -122,27 +122,27 @@
      * signal that comes before the gateway serves waits for that, on the loop.
      */
     private static void terminate(Gateway gateway, Terminator terminator) {
-        long begun = System.nanoTime();
+        long startNs = System.nanoTime();
         gateway.execute(gateway::drain);
-        long leftUs = gateway.forcedEndUs();
-        while (leftUs > 0) {
+        long remainingUs = gateway.forcedEndUs();
+        while (remainingUs > 0) {
             try {
-                TimeUnit.MICROSECONDS.sleep(leftUs);
+                TimeUnit.MICROSECONDS.sleep(remainingUs);
             } catch (InterruptedException e) {
                 // Nobody means to interrupt it, and the process must not end sooner.
             }
             // The drain may have followed a reload with longer deadlines.
-            leftUs = gateway.forcedEndUs() - (System.nanoTime() - begun) / 1000;
+            remainingUs = gateway.forcedEndUs() - (System.nanoTime() - startNs) / 1000;
         }
         terminator.end(ExitStatus.SHUTDOWN_OVERDUE, "not ended by itself in time after SIGTERM");
     }
 
     /** Where log lines go: text on standard output, or JSON where the operator asks for it. */
-    private static Consumer<String> log(OperatorConfig operator) {
+    private static Consumer<String> logFor(OperatorConfig operator) {
         if (operator != null && operator.jsonLog()) {
             return new JsonLog();
         }
-        return TEXT;
+        return TEXT_LOG;
     }
 
     /**
@@ -165,8 +165,8 @@
             GatewayConfig config =
                     GatewayConfig.parse(new String(file.readAllBytes(), StandardCharsets.UTF_8), Map.of());
             CountDownLatch ended = new CountDownLatch(1);
-            Gateway gateway = new Gateway(config, null, TEXT, ended::countDown);
-            guard(gateway);
+            Gateway gateway = new Gateway(config, null, TEXT_LOG, ended::countDown);
+            installTerminator(gateway);
             int port = gateway.start().get().get(0);
             try (Socket client = new Socket(InetAddress.getLoopbackAddress(), port)) {
                 client.getOutputStream()
--- a/src/main/java/petrelstand/OperationPart.java
+++ b/src/main/java/petrelstand/OperationPart.java
@@ -30,17 +30,17 @@
  */
 final class OperationPart {
     private final int sockets;
-    private final int transfers;
-    private final OperatorDoor door;
+    private final int rsyncDescriptors;
+    private final OperatorDoor operatorApi;
     private final HotRestartPart hotRestart;
-    private final Lifecycle life;
+    private final Lifecycle lifecycle;
     private final Broker broker;
-    private final HttpFront front;
+    private final HttpFront httpFront;
     private final NodeConnectionPool pool;
     private final Timers timers;
-    private final LongSupplier clock;
+    private final LongSupplier loopClock;
     private final Consumer<String> log;
-    private Other other = Other.NONE;
+    private Other otherProcess = Other.NONE;
 
     /**
      * Before a gateway's parts, of which its rsync transfers take descriptors too; evacuate and rejoin say whether they
@@ -48,59 +48,61 @@
      */
     OperationPart(
             GatewayConfig config,
-            int transfers,
-            Lifecycle life,
+            int rsyncDescriptors,
+            Lifecycle lifecycle,
             Broker broker,
-            HttpFront front,
+            HttpFront httpFront,
             NodeConnectionPool pool,
             Timers timers,
-            LongSupplier clock,
-            LongSupplier anyThreadsClock,
+            LongSupplier loopClock,
+            LongSupplier threadSafeClock,
             Executor loop,
             Counters counters,
             Consumer<String> log,
             BooleanSupplier evacuate,
             BooleanSupplier rejoin) {
         this.sockets = config.sockets();
-        this.transfers = transfers;
-        this.life = life;
+        this.rsyncDescriptors = rsyncDescriptors;
+        this.lifecycle = lifecycle;
         this.broker = broker;
-        this.front = front;
+        this.httpFront = httpFront;
         this.pool = pool;
         this.timers = timers;
-        this.clock = clock;
+        this.loopClock = loopClock;
         this.log = log;
-        String shared = System.getenv("TMPDIR");
+        String temporaryFolder = System.getenv("TMPDIR");
         this.hotRestart = new HotRestartPart(
                 config,
-                Path.of(shared == null ? System.getProperty("java.io.tmpdir") : shared),
+                Path.of(temporaryFolder == null ? System.getProperty("java.io.tmpdir") : temporaryFolder),
                 loop,
-                anyThreadsClock,
-                this::other,
+                threadSafeClock,
+                this::otherProcess,
                 log);
-        Telemetry telemetry = new Telemetry(broker, counters, () -> (int) front.answeringCount());
-        this.door = new OperatorDoor(
+        Telemetry telemetry = new Telemetry(broker, counters, () -> (int) httpFront.answeringCount());
+        this.operatorApi = new OperatorDoor(
                 timers,
-                clock,
+                loopClock,
                 counters,
                 Map.of(
                         "/api/ready",
                                 new Call(
                                         "GET",
-                                        () -> life.canServe()
+                                        () -> lifecycle.canServe()
                                                 ? new Answer(200, "ready")
-                                                : new Answer(503, "this process can't serve: " + word())),
+                                                : new Answer(503, "this process can't serve: " + phaseName())),
                         "/api/telemetry", new Call("GET", () -> new Answer(200, telemetry.text())),
-                        "/api/evacuate", new Call("POST", () -> done(evacuate)),
-                        "/api/rejoin", new Call("POST", () -> done(rejoin))));
+                        "/api/evacuate", new Call("POST", () -> answerTo(evacuate)),
+                        "/api/rejoin", new Call("POST", () -> answerTo(rejoin))));
     }
 
-    private Answer done(BooleanSupplier call) {
-        return call.getAsBoolean() ? new Answer(200, word()) : new Answer(409, "not now: this process is " + word());
+    private Answer answerTo(BooleanSupplier action) {
+        return action.getAsBoolean()
+                ? new Answer(200, phaseName())
+                : new Answer(409, "not now: this process is " + phaseName());
     }
 
-    private String word() {
-        return switch (life.phase()) {
+    private String phaseName() {
+        return switch (lifecycle.phase()) {
             case STARTING -> "starting";
             case SERVING -> "serving";
             case DRAINED -> "drained";
@@ -109,17 +111,17 @@
     }
 
     /** Looks for a process whose place this one takes; before the loop starts. */
-    void look() {
-        other = hotRestart.open();
-        broker.setShareFunction(hotRestart.share()::share);
+    void findOtherProcess() {
+        otherProcess = hotRestart.open();
+        broker.setShareFunction(hotRestart.processShare()::share);
     }
 
     /** Takes over what that process has learned, before the first list. */
-    void recall() {
-        if (other != Other.NONE) {
+    void takeOver() {
+        if (otherProcess != Other.NONE) {
             log.accept("hot restart: this process takes the place of another");
-            bound();
-            LearnedState learned = hotRestart.handed();
+            limitConnections();
+            LearnedState learned = hotRestart.readHandover();
             if (learned != null) {
                 broker.restoreLearnedState(learned);
             }
@@ -127,38 +129,39 @@
     }
 
     /** True where this process takes another's place. */
-    boolean takesOver() {
-        return other != Other.NONE;
+    boolean replacesProcess() {
+        return otherProcess != Other.NONE;
     }
 
     /** Listens at the operators' address, to the end of the process, and looks for one that takes this one's place. */
-    void open(EventLoop loop, String address) throws IOException {
-        loop.listen(SocketAddresses.parse(address), door::accept);
-        hotRestart.listens(broker);
+    void listen(EventLoop loop, String address) throws IOException {
+        loop.listen(SocketAddresses.parse(address), operatorApi::accept);
+        hotRestart.startScanning(broker);
     }
 
     /** Told by the hot restart's thread, on the loop. */
-    private void other(Other now) {
+    private void otherProcess(Other current) {
         log.accept("hot restart: "
-                + switch (now) {
+                + switch (current) {
                     case NONE -> "the other process is gone; this one has all that is the gateway's";
                     case STARTING -> "another process of this gateway starts";
                     case LISTENING -> "another process of this gateway listens too";
                 });
-        other = now;
-        bound();
+        otherProcess = current;
+        limitConnections();
     }
 
     /**
      * While two processes are one gateway, each has half of its descriptors, once the newer listens: until then
      * connections that the older closed would only come back to it.
      */
-    private void bound() {
-        boolean both = other == Other.LISTENING;
-        life.setSuccessorListening(both);
-        Descriptors parts = both ? Descriptors.half(sockets, transfers) : Descriptors.of(sockets, transfers);
-        front.setMaxConnections(parts.clients());
-        pool.setMaxConnections(parts.nodes());
+    private void limitConnections() {
+        boolean bothListen = otherProcess == Other.LISTENING;
+        lifecycle.setSuccessorListening(bothListen);
+        Descriptors descriptors =
+                bothListen ? Descriptors.half(sockets, rsyncDescriptors) : Descriptors.of(sockets, rsyncDescriptors);
+        httpFront.setMaxConnections(descriptors.clients());
+        pool.setMaxConnections(descriptors.nodes());
     }
 
     void retune(Settings changed) {
--- a/src/main/java/petrelstand/RetunePart.java
+++ b/src/main/java/petrelstand/RetunePart.java
@@ -16,58 +16,59 @@
 /** Brings other settings into a running gateway's parts, one step after another. On the loop's thread. */
 final class RetunePart {
     private final Broker broker;
-    private final HttpFront front;
+    private final HttpFront httpFront;
     private final NodeConnectionPool pool;
-    private final Lifecycle life;
+    private final Lifecycle lifecycle;
     private final Timers timers;
     private final LongSupplier clock;
     private final Consumer<String> log;
-    private Set<String> closed = Set.of();
-    private Timers.Timer next;
+    private Set<String> closedClasses = Set.of();
+    private Timers.Timer nextStep;
 
     RetunePart(
             Broker broker,
-            HttpFront front,
+            HttpFront httpFront,
             NodeConnectionPool pool,
-            Lifecycle life,
+            Lifecycle lifecycle,
             Timers timers,
             LongSupplier clock,
             Consumer<String> log) {
         this.broker = broker;
-        this.front = front;
+        this.httpFront = httpFront;
         this.pool = pool;
-        this.life = life;
+        this.lifecycle = lifecycle;
         this.timers = timers;
         this.clock = clock;
         this.log = log;
     }
 
     /** Begins with another file's settings; steps of a former reload that are not yet due are never taken. */
-    void begin(Settings changed) {
-        List<Step> steps = SettingsTransition.steps(broker.settings(), changed, closed, clock.getAsLong());
-        if (next != null) {
-            next.cancel();
+    void start(Settings changed) {
+        List<Step> steps = SettingsTransition.steps(broker.settings(), changed, closedClasses, clock.getAsLong());
+        if (nextStep != null) {
+            nextStep.cancel();
         }
-        take(steps);
+        applyFirst(steps);
     }
 
-    private void take(List<Step> steps) {
+    private void applyFirst(List<Step> steps) {
         Step step = steps.get(0);
-        closed = step.closedClasses();
+        closedClasses = step.closedClasses();
         broker.updateSettings(step.settings());
-        front.applySettings(step.settings(), closed);
+        httpFront.applySettings(step.settings(), closedClasses);
         pool.applySettings(step.settings());
-        life.setDelays(Lifecycle.Delays.of(step.settings()));
+        lifecycle.setDelays(Lifecycle.Delays.of(step.settings()));
         log.accept("settings: classes "
                 + String.join(
                         ", ",
                         step.settings().classes().stream()
-                                .map(kind -> kind.name())
-                                .filter(name -> !closed.contains(name))
+                                .map(requestClass -> requestClass.name())
+                                .filter(name -> !closedClasses.contains(name))
                                 .toList())
                 + "; at most " + step.settings().may().maxAttempts()
                 + " attempts" + (steps.size() > 1 ? "; clients may go by the former file yet" : ""));
-        List<Step> rest = steps.subList(1, steps.size());
-        next = rest.isEmpty() ? null : timers.schedule(rest.get(0).atUs(), () -> take(rest));
+        List<Step> laterSteps = steps.subList(1, steps.size());
+        nextStep =
+                laterSteps.isEmpty() ? null : timers.schedule(laterSteps.get(0).atUs(), () -> applyFirst(laterSteps));
     }
 }
--- a/src/main/java/petrelstand/RulesPart.java
+++ b/src/main/java/petrelstand/RulesPart.java
@@ -52,20 +52,20 @@
  * {@code [rules]}.
  */
 final class RulesPart implements LeaseHolder.Actions, Voter.Callbacks, RaftNodeExecutor {
-    private static final long TICK_US = 50_000;
+    private static final long TICK_INTERVAL_US = 50_000;
     /** Parcels that wait for the loop or the voter; more are lost, as datagrams are. */
-    private static final int MOST_WAITING = 512;
+    private static final int MAX_QUEUED_MESSAGES = 512;
 
-    private static final int MOST_VOTERS = 64;
-    private static final String ASKER = "asker";
-    private static final String PASSED_ON = "asker passed on";
+    private static final int MAX_TRACKED_VOTERS = 64;
+    private static final String ADMIN_SENDER = "asker";
+    private static final String FORWARDED_ADMIN_SENDER = "asker passed on";
 
     /** A voter that starts waits so long for the others to say how far they have heard it. */
-    private static final long COPY_PATIENCE_US = 10_000_000;
+    private static final long GENERATION_TIMEOUT_US = 10_000_000;
 
     /** Makes the holder; the usual one, but for tests that plant a defect. */
-    interface Maker {
-        LeaseHolder holder(
+    interface LeaseHolderFactory {
+        LeaseHolder create(
                 long nowUs,
                 long life,
                 RulesConfig config,
@@ -81,25 +81,25 @@
     private final LongSupplier nowUs;
     private final Executor loop;
     private final Counters counters;
-    private final Runnable ruled;
+    private final Runnable onRulesChanged;
     private final Consumer<String> log;
     private final long seed;
-    private final List<String> plans;
-    private final boolean votes;
-    private final AtomicInteger waiting = new AtomicInteger();
-    private ScheduledThreadPoolExecutor thread;
-    private RaftFiles files;
+    private final List<String> planNames;
+    private final boolean votingConfigured;
+    private final AtomicInteger queuedMessages = new AtomicInteger();
+    private ScheduledThreadPoolExecutor voterThread;
+    private RaftFiles raftFiles;
     private RulesFileProposer proposer;
-    private String proposed;
-    private KeptText kept;
+    private String proposedText;
+    private KeptText keptRules;
     private LeaseHolder holder;
     private volatile Voter voter;
-    private volatile RulesStatus.VoterStatus shown;
-    private boolean left;
+    private volatile RulesStatus.VoterStatus voterStatus;
+    private boolean leaving;
     /** How far each other voter's store was heard to be. */
     private final Map<String, Long> generations = new HashMap<>();
 
-    private StaleFolderCheck copy;
+    private StaleFolderCheck staleFolderCheck;
     /**
      * The epoch that this gateway's folder has versions of, -1 for none, and whether a later one was heard to have
      * begun.
@@ -108,16 +108,16 @@
 
     private boolean superseded;
     /** Ready to vote, and begins when a leader that was ordered to add it sends it something. */
-    private boolean awaitsLeader;
+    private boolean awaitsAddition;
 
-    private long copyNonce;
+    private long generationNonce;
 
-    private static Maker maker = (now, life, config, seed, loader, act) ->
+    private static LeaseHolderFactory holderFactory = (now, life, config, seed, loader, act) ->
             new LeaseHolder(now, life, config.voters(), config.promise(), seed, loader, act);
 
     /** For tests, before a start: a holder with a planted defect. */
-    static void in(Maker holders) {
-        maker = holders;
+    static void setHolderFactory(LeaseHolderFactory factory) {
+        holderFactory = factory;
     }
 
     RulesPart(
@@ -129,7 +129,7 @@
             LongSupplier nowUs,
             Executor loop,
             Counters counters,
-            Runnable ruled,
+            Runnable onRulesChanged,
             Consumer<String> log) {
         this.config = config;
         this.fleet = fleet;
@@ -138,129 +138,134 @@
         this.nowUs = nowUs;
         this.loop = loop;
         this.counters = counters;
-        this.ruled = ruled;
+        this.onRulesChanged = onRulesChanged;
         this.log = line -> log.accept("rules: " + line);
         this.seed = gateway.seed();
-        this.plans =
+        this.planNames =
                 gateway.settings().plans().stream().map(plan -> plan.name()).toList();
-        this.votes = config.voters().contains(fleet.name()) || config.mayVote();
+        this.votingConfigured = config.voters().contains(fleet.name()) || config.mayVote();
     }
 
-    private Rules load(String text) {
-        return RulesText.load("rules", text, plans);
+    private Rules parseRules(String text) {
+        return RulesText.load("rules", text, planNames);
     }
 
     /** Takes the folder; a voter without one, or with one that can't be trusted, does not vote, and says so. */
     void open() throws IOException {
-        thread = new ScheduledThreadPoolExecutor(1, task -> {
-            Thread made = new Thread(task, "rules");
-            made.setDaemon(true);
-            return made;
+        voterThread = new ScheduledThreadPoolExecutor(1, task -> {
+            Thread created = new Thread(task, "rules");
+            created.setDaemon(true);
+            return created;
         });
-        thread.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
+        voterThread.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
         if (config.folder() == null) {
-            if (votes) {
+            if (votingConfigured) {
                 throw new IOException("[rules] folder is missing: a voter that forgets its votes may vote twice");
             }
             return;
         }
         try {
             DiskFolder folder = new DiskFolder(config.folder());
-            files = new RaftFiles(folder, log);
-            long newest = files.restoredState() == null
+            raftFiles = new RaftFiles(folder, log);
+            long newestVersion = raftFiles.restoredState() == null
                     ? 0
-                    : new QuorumRecovery(files).registry().newest();
-            votedEpoch = newest == 0 ? -1 : RuleRegistry.epoch(newest);
-            kept = new KeptText(folder, log);
+                    : new QuorumRecovery(raftFiles).registry().newest();
+            votedEpoch = newestVersion == 0 ? -1 : RuleRegistry.epoch(newestVersion);
+            keptRules = new KeptText(folder, log);
         } catch (StateFault e) {
             log.accept("this gateway does not vote: " + config.folder() + ": " + e.getMessage());
-            files = null;
+            raftFiles = null;
         } catch (IOException e) {
-            log.accept((votes ? "this gateway does not vote: " : "nothing is kept: ") + config.folder() + ": "
-                    + e.getMessage());
-            files = null;
+            log.accept((votingConfigured ? "this gateway does not vote: " : "nothing is kept: ") + config.folder()
+                    + ": " + e.getMessage());
+            raftFiles = null;
         }
     }
 
     /** Begins to ask for leases, on the loop; a voter begins to vote. */
     void start(HttpFront front) {
-        long now = nowUs.getAsLong();
-        long life = new java.security.SecureRandom().nextLong();
-        holder = maker.holder(now, life, config, seed, this::load, this);
+        long startUs = nowUs.getAsLong();
+        long instanceNonce = new java.security.SecureRandom().nextLong();
+        holder = holderFactory.create(startUs, instanceNonce, config, seed, this::parseRules, this);
         if (config.file() != null) {
-            proposer = new RulesFileProposer(fleet.name(), "the file " + config.file(), holder, seed, new FromFile());
-            proposed = config.text();
+            proposer = new RulesFileProposer(
+                    fleet.name(), "the file " + config.file(), holder, seed, new FileProposalActions());
+            proposedText = config.text();
         }
-        if (kept != null && kept.text() != null) {
-            holder.restore(now, kept.version(), kept.text());
+        if (keptRules != null && keptRules.text() != null) {
+            holder.restore(startUs, keptRules.version(), keptRules.text());
         }
-        broker.setAdmissionControl(gate());
-        fleet.setRulesHandler(this::arrived);
-        if (votes && files != null) {
-            copyNonce = life;
-            copy = new StaleFolderCheck(now, config.voters().size(), files.generation(), COPY_PATIENCE_US);
-            recall();
+        broker.setAdmissionControl(admissionControl());
+        fleet.setRulesHandler(this::datagramReceived);
+        if (votingConfigured && raftFiles != null) {
+            generationNonce = instanceNonce;
+            staleFolderCheck = new StaleFolderCheck(
+                    startUs, config.voters().size(), raftFiles.generation(), GENERATION_TIMEOUT_US);
+            checkFolder();
         }
         if (config.page()) {
-            front.addPage("/rules", () -> RulesStatus.toJson(fleet.name(), nowUs.getAsLong(), holder, shown));
+            front.addPage("/rules", () -> RulesStatus.toJson(fleet.name(), nowUs.getAsLong(), holder, voterStatus));
         }
         tick();
     }
 
     /** Asks the other voters how far they have heard this one, until it may vote or must not. */
-    private void recall() {
-        switch (left || superseded ? StaleFolderCheck.Verdict.REFUSE : copy.verdict(nowUs.getAsLong())) {
+    private void checkFolder() {
+        switch (leaving || superseded ? StaleFolderCheck.Verdict.REFUSE : staleFolderCheck.verdict(nowUs.getAsLong())) {
             case VOTE -> {
-                if (copy.answerCount() < copy.requiredAnswers()) {
-                    log.accept("votes though only " + copy.answerCount() + " other voters answered in "
-                            + COPY_PATIENCE_US / 1_000_000 + " s: where its folder is an old copy, that is not known");
+                if (staleFolderCheck.answerCount() < staleFolderCheck.requiredAnswers()) {
+                    log.accept("votes though only " + staleFolderCheck.answerCount() + " other voters answered in "
+                            + GENERATION_TIMEOUT_US / 1_000_000
+                            + " s: where its folder is an old copy, that is not known");
                 }
                 // One that is none of the first voters and was not added yet would only call elections that it can't
                 // win.
-                awaitsLeader = !config.voters().contains(fleet.name()) && files.restoredState() == null;
-                if (!awaitsLeader) {
-                    execute(this::vote);
+                awaitsAddition = !config.voters().contains(fleet.name()) && raftFiles.restoredState() == null;
+                if (!awaitsAddition) {
+                    execute(this::startVoter);
                 }
             }
             case REFUSE -> {
-                if (!left && !superseded) {
-                    log.accept("this gateway does not vote: its folder is an old copy, written " + files.generation()
-                            + " times where others have heard of " + copy.highestGeneration());
+                if (!leaving && !superseded) {
+                    log.accept(
+                            "this gateway does not vote: its folder is an old copy, written " + raftFiles.generation()
+                                    + " times where others have heard of " + staleFolderCheck.highestGeneration());
                 }
             }
             default -> {
                 for (String name : config.voters()) {
                     if (!name.equals(fleet.name())) {
-                        post(name, heardEpoch(), null, new RulesMessage.GenerationQuery(copyNonce));
+                        sendEnvelope(name, holderEpoch(), null, new RulesMessage.GenerationQuery(generationNonce));
                     }
                 }
-                timers.schedule(nowUs.getAsLong() + 2 * TICK_US, this::recall);
+                timers.schedule(nowUs.getAsLong() + 2 * TICK_INTERVAL_US, this::checkFolder);
             }
         }
     }
 
-    private petrelstand.core.AdmissionControl gate() {
-        PlanLimiter limits = new PlanLimiter(holder, plans, broker.settings().mostUnits());
+    private petrelstand.core.AdmissionControl admissionControl() {
+        PlanLimiter limits =
+                new PlanLimiter(holder, planNames, broker.settings().mostUnits());
         return (demand, now) -> limits.takeOrDelayUs(now, demand.planIndex(), demand.units());
     }
 
-    private void vote() {
+    private void startVoter() {
         voter = new Voter(
                 fleet.name(),
                 config.voters(),
                 config.promise(),
-                files,
+                raftFiles,
                 LeaseGrantor::new,
                 this,
                 this::monotonicUs,
                 seed,
-                this::load,
+                this::parseRules,
                 this);
         voter.start();
-        thread.scheduleWithFixedDelay(this::turn, TICK_US, TICK_US, TimeUnit.MICROSECONDS);
+        voterThread.scheduleWithFixedDelay(this::tickVoter, TICK_INTERVAL_US, TICK_INTERVAL_US, TimeUnit.MICROSECONDS);
     }
 
-    private void turn() {
+    private void tickVoter() {
         try {
             if (voter != null) {
                 voter.tick();
@@ -277,20 +282,21 @@
     }
 
     private void tick() {
-        if (!left) {
+        if (!leaving) {
             holder.tick(nowUs.getAsLong());
             if (proposer != null) {
                 proposer.tick(nowUs.getAsLong());
             }
-            timers.schedule(nowUs.getAsLong() + TICK_US, this::tick);
+            timers.schedule(nowUs.getAsLong() + TICK_INTERVAL_US, this::tick);
         }
     }
 
     /** What an operator wrote into the file goes to whoever leads, as what comes from outside does. */
-    private final class FromFile implements RulesFileProposer.Actions {
+    private final class FileProposalActions implements RulesFileProposer.Actions {
         @Override
-        public void send(String leader, RulesMessage talk) {
-            asked(new Envelope(fleet.config().fleet(), ASKER, fleet.config().advertise(), 0, 0, null, talk));
+        public void send(String leader, RulesMessage message) {
+            handleAdminRequest(new Envelope(
+                    fleet.config().fleet(), ADMIN_SENDER, fleet.config().advertise(), 0, 0, null, message));
         }
 
         @Override
@@ -303,120 +309,128 @@
     void reload(RulesConfig changed) {
         if (changed == null || changed.text() == null || proposer == null) {
             log.accept("only a restart switches a part on or off");
-        } else if (!changed.text().equals(proposed)) {
-            proposed = changed.text();
-            proposer.fileChanged(nowUs.getAsLong(), proposed, System.currentTimeMillis());
+        } else if (!changed.text().equals(proposedText)) {
+            proposedText = changed.text();
+            proposer.fileChanged(nowUs.getAsLong(), proposedText, System.currentTimeMillis());
         }
     }
 
     /** SIGTERM: asks for no lease any more; a leader's successor is found by the others. */
     void leave() {
-        left = true;
+        leaving = true;
         execute(() -> {
             if (voter != null) {
                 voter.leave();
             }
         });
-        schedule(thread::shutdown, 2 * Voter.LEADERSHIP_TRANSFER_MS, TimeUnit.MILLISECONDS);
+        schedule(voterThread::shutdown, 2 * Voter.LEADERSHIP_TRANSFER_MS, TimeUnit.MILLISECONDS);
     }
 
     // ---- What comes and goes ----
 
     /** On the link's thread. */
-    private void arrived(byte[] content) {
-        if (waiting.incrementAndGet() > MOST_WAITING) {
-            waiting.decrementAndGet();
+    private void datagramReceived(byte[] content) {
+        if (queuedMessages.incrementAndGet() > MAX_QUEUED_MESSAGES) {
+            queuedMessages.decrementAndGet();
             return;
         }
         loop.execute(() -> {
-            waiting.decrementAndGet();
+            queuedMessages.decrementAndGet();
             try {
-                take(Wire.decode(content));
+                handleEnvelope(Wire.decode(content));
             } catch (IOException | RuntimeException e) {
                 counters.increment("rules.refused.malformed");
             }
         });
     }
 
-    private void take(Envelope parcel) {
-        if (!parcel.fleet().equals(fleet.config().fleet())) {
+    private void handleEnvelope(Envelope envelope) {
+        if (!envelope.fleet().equals(fleet.config().fleet())) {
             counters.increment("rules.refused.fleet");
             return;
         }
         counters.increment("rules.taken");
-        RulesMessage talk = parcel.rulesMessage();
-        laterEpoch(parcel.epoch());
-        if (parcel.generation() > 0 && (generations.size() < MOST_VOTERS || generations.containsKey(parcel.sender()))) {
-            generations.merge(parcel.sender(), parcel.generation(), Math::max);
+        RulesMessage message = envelope.rulesMessage();
+        noteEpoch(envelope.epoch());
+        if (envelope.generation() > 0
+                && (generations.size() < MAX_TRACKED_VOTERS || generations.containsKey(envelope.sender()))) {
+            generations.merge(envelope.sender(), envelope.generation(), Math::max);
         }
-        if (talk instanceof RulesMessage.GenerationQuery asked) {
-            post(
-                    parcel.sender(),
-                    heardEpoch(),
+        if (message instanceof RulesMessage.GenerationQuery query) {
+            sendEnvelope(
+                    envelope.sender(),
+                    holderEpoch(),
                     null,
-                    new RulesMessage.GenerationAnswer(asked.nonce(), generations.getOrDefault(parcel.sender(), 0L)));
-        } else if (talk instanceof RulesMessage.GenerationAnswer answer) {
-            if (copy != null && answer.nonce() == copyNonce) {
-                copy.recordAnswer(parcel.sender(), answer.generation());
+                    new RulesMessage.GenerationAnswer(query.nonce(), generations.getOrDefault(envelope.sender(), 0L)));
+        } else if (message instanceof RulesMessage.GenerationAnswer answer) {
+            if (staleFolderCheck != null && answer.nonce() == generationNonce) {
+                staleFolderCheck.recordAnswer(envelope.sender(), answer.generation());
             }
-        } else if (parcel.raftMessage() != null) {
-            if (awaitsLeader) {
-                awaitsLeader = false;
-                execute(this::vote);
+        } else if (envelope.raftMessage() != null) {
+            if (awaitsAddition) {
+                awaitsAddition = false;
+                execute(this::startVoter);
             }
-            toVoter(() -> voter.receiveRaftMessage(parcel.raftMessage(), parcel.epoch()));
-        } else if (talk instanceof RulesMessage.RequestAnswer taken) {
+            runOnVoter(() -> voter.receiveRaftMessage(envelope.raftMessage(), envelope.epoch()));
+        } else if (message instanceof RulesMessage.RequestAnswer requestAnswer) {
             if (proposer != null) {
-                proposer.receive(nowUs.getAsLong(), taken);
+                proposer.receive(nowUs.getAsLong(), requestAnswer);
             }
-        } else if (talk instanceof RulesMessage.ProposalPiece || talk instanceof RulesMessage.AdminRequest) {
-            asked(parcel);
-        } else if (talk instanceof RulesMessage.LeaseRequest || talk instanceof RulesMessage.FetchPiece) {
-            toVoter(() -> voter.receiveRequest(parcel.sender(), talk));
+        } else if (message instanceof RulesMessage.ProposalPiece || message instanceof RulesMessage.AdminRequest) {
+            handleAdminRequest(envelope);
+        } else if (message instanceof RulesMessage.LeaseRequest || message instanceof RulesMessage.FetchPiece) {
+            runOnVoter(() -> voter.receiveRequest(envelope.sender(), message));
         } else {
-            holder.receive(nowUs.getAsLong(), parcel.sender(), talk);
+            holder.receive(nowUs.getAsLong(), envelope.sender(), message);
         }
     }
 
     /** Who has voted in an epoch that the operator ended takes no further part: its majority is not the fleet's. */
-    private void laterEpoch(long heard) {
-        RulesStatus.VoterStatus now = shown;
-        if (now != null && now.registry().newest() > 0) {
-            votedEpoch = Math.max(votedEpoch, RuleRegistry.epoch(now.registry().newest()));
+    private void noteEpoch(long epoch) {
+        RulesStatus.VoterStatus status = voterStatus;
+        if (status != null && status.registry().newest() > 0) {
+            votedEpoch =
+                    Math.max(votedEpoch, RuleRegistry.epoch(status.registry().newest()));
         }
-        if (votedEpoch >= 0 && heard > votedEpoch && !superseded) {
+        if (votedEpoch >= 0 && epoch > votedEpoch && !superseded) {
             superseded = true;
-            log.accept("this gateway does not vote: epoch " + heard + " has begun, and its folder is of epoch "
+            log.accept("this gateway does not vote: epoch " + epoch + " has begun, and its folder is of epoch "
                     + votedEpoch);
-            Voter voting = voter;
+            Voter stoppedVoter = voter;
             voter = null;
-            if (voting != null) {
-                execute(voting::stop);
+            if (stoppedVoter != null) {
+                execute(stoppedVoter::stop);
             }
         }
     }
 
     /** The command line asks whom it knows; who does not lead passes it on to who does, once. */
-    private void asked(Envelope parcel) {
-        RulesStatus.VoterStatus now = shown;
-        boolean leads = now != null && now.isLeader();
-        String leader = now != null && !now.leader().isEmpty() ? now.leader() : holder.leader();
+    private void handleAdminRequest(Envelope envelope) {
+        RulesStatus.VoterStatus status = voterStatus;
+        boolean isLeader = status != null && status.isLeader();
+        String leader = status != null && !status.leader().isEmpty() ? status.leader() : holder.leader();
         String address = leader.isEmpty() ? null : fleet.addressOf(leader);
-        if (leads) {
-            toVoter(() -> voter.receiveRequest("@" + parcel.senderAddress(), parcel.rulesMessage()));
-        } else if (parcel.sender().equals(ASKER) && address != null && !leader.equals(fleet.name())) {
+        if (isLeader) {
+            runOnVoter(() -> voter.receiveRequest("@" + envelope.senderAddress(), envelope.rulesMessage()));
+        } else if (envelope.sender().equals(ADMIN_SENDER) && address != null && !leader.equals(fleet.name())) {
             fleet.sendRulesMessage(
                     address,
                     Wire.encode(new Envelope(
-                            parcel.fleet(), PASSED_ON, parcel.senderAddress(), 0, 0, null, parcel.rulesMessage())));
+                            envelope.fleet(),
+                            FORWARDED_ADMIN_SENDER,
+                            envelope.senderAddress(),
+                            0,
+                            0,
+                            null,
+                            envelope.rulesMessage())));
         }
     }
 
-    private void toVoter(Runnable task) {
+    private void runOnVoter(Runnable task) {
         if (voter == null) {
             return;
         }
-        if (thread.getQueue().size() > MOST_WAITING) {
+        if (voterThread.getQueue().size() > MAX_QUEUED_MESSAGES) {
             counters.increment("rules.refused.full");
             return;
         }
@@ -427,45 +441,51 @@
         });
     }
 
-    private void post(String to, long epoch, RaftMessage raft, RulesMessage talk) {
+    private void sendEnvelope(String recipient, long epoch, RaftMessage raftMessage, RulesMessage rulesMessage) {
         // What is asked before it votes tells nothing of a store that may be an old copy.
-        long generation = files == null || voter == null ? 0 : files.generation();
+        long generation = raftFiles == null || voter == null ? 0 : raftFiles.generation();
         loop.execute(() -> {
-            String address = to.startsWith("@") ? to.substring(1) : fleet.addressOf(to);
-            Envelope parcel = new Envelope(
-                    fleet.config().fleet(), fleet.name(), fleet.config().advertise(), generation, epoch, raft, talk);
-            if (to.equals(fleet.name())) {
-                take(parcel);
+            String address = recipient.startsWith("@") ? recipient.substring(1) : fleet.addressOf(recipient);
+            Envelope envelope = new Envelope(
+                    fleet.config().fleet(),
+                    fleet.name(),
+                    fleet.config().advertise(),
+                    generation,
+                    epoch,
+                    raftMessage,
+                    rulesMessage);
+            if (recipient.equals(fleet.name())) {
+                handleEnvelope(envelope);
             } else if (address != null) {
-                fleet.sendRulesMessage(address, Wire.encode(parcel));
+                fleet.sendRulesMessage(address, Wire.encode(envelope));
             }
         });
     }
 
     /** The epoch of what this gateway heard to be acted on; for the loop. */
-    private long heardEpoch() {
+    private long holderEpoch() {
         return RuleRegistry.epoch(holder.knownVersions()[0]);
     }
 
     /** On the voter's thread. */
-    private long ownEpoch() {
-        Voter now = voter;
-        return now == null ? 0 : now.epoch();
+    private long voterEpoch() {
+        Voter current = voter;
+        return current == null ? 0 : current.epoch();
     }
 
     @Override
-    public void sendRaftMessage(String to, RaftMessage message) {
-        post(to, ownEpoch(), message, null);
+    public void sendRaftMessage(String recipient, RaftMessage message) {
+        sendEnvelope(recipient, voterEpoch(), message, null);
     }
 
     @Override
-    public void sendRulesMessage(String to, RulesMessage talk) {
-        post(to, ownEpoch(), null, talk);
+    public void sendRulesMessage(String recipient, RulesMessage message) {
+        sendEnvelope(recipient, voterEpoch(), null, message);
     }
 
     @Override
-    public void send(String voterName, RulesMessage talk) {
-        post(voterName, heardEpoch(), null, talk);
+    public void send(String voterName, RulesMessage message) {
+        sendEnvelope(voterName, holderEpoch(), null, message);
     }
 
     // ---- The voter's executor ----
@@ -475,7 +495,7 @@
         schedule(task, 0, TimeUnit.MILLISECONDS);
     }
 
-    private void guarded(Runnable task) {
+    private void runLoggingErrors(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException e) {
@@ -495,7 +515,7 @@
     @Override
     public void schedule(Runnable task, long delay, TimeUnit unit) {
         try {
-            thread.schedule(() -> guarded(task), delay, unit);
+            voterThread.schedule(() -> runLoggingErrors(task), delay, unit);
         } catch (RejectedExecutionException e) {
             // This gateway ends: nobody waits for it any more.
         }
@@ -504,43 +524,43 @@
     @Override
     public void stateChanged() {
         if (voter != null) {
-            shown = RulesStatus.VoterStatus.of(voter, monotonicUs());
+            voterStatus = RulesStatus.VoterStatus.of(voter, monotonicUs());
         }
     }
 
     // ---- What the holder says, on the loop ----
 
     @Override
-    public void effectiveRulesChanged(long at, LeaseHolder.EffectiveRules acting, String why) {
+    public void effectiveRulesChanged(long changedAtUs, LeaseHolder.EffectiveRules effective, String reason) {
         log.accept(
-                switch (acting.mode()) {
-                    case LEASED -> "acts on version " + acting.version() + ": " + why;
-                    case FALLBACK -> "FALLBACK: acts on the floors of version " + acting.version() + ": " + why;
-                    case NONE -> "acts on no version: " + why;
+                switch (effective.mode()) {
+                    case LEASED -> "acts on version " + effective.version() + ": " + reason;
+                    case FALLBACK -> "FALLBACK: acts on the floors of version " + effective.version() + ": " + reason;
+                    case NONE -> "acts on no version: " + reason;
                 });
-        counters.increment("rules.acts." + acting.mode().name().toLowerCase(java.util.Locale.ROOT));
-        JsonObject line = new JsonObject();
-        line.addProperty("version", acting.version());
-        line.addProperty("mode", acting.mode().name());
-        line.addProperty("why", why);
+        counters.increment("rules.acts." + effective.mode().name().toLowerCase(java.util.Locale.ROOT));
+        JsonObject event = new JsonObject();
+        event.addProperty("version", effective.version());
+        event.addProperty("mode", effective.mode().name());
+        event.addProperty("why", reason);
         JsonObject limits = new JsonObject();
-        acting.rules().limits().forEach((plan, limit) -> limits.addProperty(plan, limit.units()));
-        line.add("limits", limits);
-        line.addProperty("gateways", acting.rules().gateways());
-        fleet.recordEvent("rules", line);
-        ruled.run();
+        effective.rules().limits().forEach((plan, limit) -> limits.addProperty(plan, limit.units()));
+        event.add("limits", limits);
+        event.addProperty("gateways", effective.rules().gateways());
+        fleet.recordEvent("rules", event);
+        onRulesChanged.run();
     }
 
     @Override
     public void storeVersion(long version, String text) {
-        if (kept != null) {
-            execute(() -> kept.keep(version, text));
+        if (keptRules != null) {
+            execute(() -> keptRules.keep(version, text));
         }
     }
 
     @Override
-    public void count(String what) {
-        counters.increment(what);
+    public void count(String counter) {
+        counters.increment(counter);
     }
 
     @Override
@@ -551,29 +571,29 @@
     // ---- What the rest of the gateway asks ----
 
     /** The rsync front's settings as far as the rules allow them now. */
-    RsyncConfig allowed(RsyncConfig file) {
+    RsyncConfig applyRules(RsyncConfig configured) {
         if (holder == null) {
-            return file;
+            return configured;
         }
         Rules rules = holder.effectiveRules(nowUs.getAsLong()).rules();
-        boolean on = rules.switches().getOrDefault("rsync", true);
-        Set<String> closed = new HashSet<>();
+        boolean rsyncEnabled = rules.switches().getOrDefault("rsync", true);
+        Set<String> closedModules = new HashSet<>();
         rules.modules().forEach((name, module) -> {
             if (!module.open()) {
-                closed.add(name);
+                closedModules.add(name);
             }
         });
         List<Node> nodes = new ArrayList<>();
-        for (Node node : file.nodes()) {
-            Rules.Node ruledNode = rules.nodes().get(node.name());
-            nodes.add(ruledNode != null && ruledNode.removed() ? node.asGone() : node);
+        for (Node node : configured.nodes()) {
+            Rules.Node nodeRule = rules.nodes().get(node.name());
+            nodes.add(nodeRule != null && nodeRule.removed() ? node.asGone() : node);
         }
         return new RsyncConfig(
-                file.listen(),
-                file.idleUs(),
-                file.mostTransfers(),
-                file.modules().stream()
-                        .filter(module -> on && !closed.contains(module.name()))
+                configured.listen(),
+                configured.idleUs(),
+                configured.mostTransfers(),
+                configured.modules().stream()
+                        .filter(module -> rsyncEnabled && !closedModules.contains(module.name()))
                         .toList(),
                 nodes);
     }
--- a/src/main/java/petrelstand/Signals.java
+++ b/src/main/java/petrelstand/Signals.java
@@ -13,18 +13,18 @@
      * Runs the action, on a thread of its own, each time the signal comes: "HUP" for SIGHUP. False where whoever
      * started the process has it ignored, as {@code nohup} does: the JVM keeps that, and the action never runs.
      */
-    static boolean on(String name, Runnable action) {
+    static boolean handle(String name, Runnable action) {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object ours = Proxy.newProxyInstance(
+            Object newHandler = Proxy.newProxyInstance(
                     handler.getClassLoader(), new Class<?>[] {handler}, (proxy, method, arguments) -> {
                         action.run();
                         return null;
                     });
-            Object before = signal.getMethod("handle", signal, handler)
-                    .invoke(null, signal.getConstructor(String.class).newInstance(name), ours);
-            return before != handler.getField("SIG_IGN").get(null);
+            Object previousHandler = signal.getMethod("handle", signal, handler)
+                    .invoke(null, signal.getConstructor(String.class).newInstance(name), newHandler);
+            return previousHandler != handler.getField("SIG_IGN").get(null);
         } catch (ReflectiveOperationException e) {
             throw new IllegalStateException("SIG" + name + " cannot be handled: " + e);
         }
--- a/src/main/java/petrelstand/Terminator.java
+++ b/src/main/java/petrelstand/Terminator.java
@@ -14,16 +14,16 @@
  */
 final class Terminator implements Thread.UncaughtExceptionHandler {
     /** A longer line is cut. */
-    private static final int MOST_BYTES = 400;
+    private static final int MAX_LINE_BYTES = 400;
     /** How long a line may take: standard error may be a pipe that nobody reads. */
-    private static final long WRITE_NS = 50_000_000;
+    private static final long WRITE_TIMEOUT_NS = 50_000_000;
 
-    private final byte[] line = new byte[MOST_BYTES + 1];
-    private final FileOutputStream error = new FileOutputStream(FileDescriptor.err);
-    private final AtomicBoolean ending = new AtomicBoolean();
+    private final byte[] line = new byte[MAX_LINE_BYTES + 1];
+    private final FileOutputStream standardError = new FileOutputStream(FileDescriptor.err);
+    private final AtomicBoolean terminating = new AtomicBoolean();
     private int length;
     private volatile int status;
-    private volatile Thread standby;
+    private volatile Thread standbyThread;
 
     Terminator() {
         // Used for the first time, these would load classes and make names.
@@ -36,10 +36,11 @@
     }
 
     /**
-     * Names the thread that calls {@link #finish} whenever it wakes, and ends the process should the line not go out.
+     * Names the thread that calls {@link #haltIfTerminating} whenever it wakes, and ends the process should the line
+     * not go out.
      */
-    void standby(Thread thread) {
-        standby = thread;
+    void standbyThread(Thread thread) {
+        standbyThread = thread;
     }
 
     @Override
@@ -50,30 +51,30 @@
         append("thread ");
         append(thread.getName());
         append(" has ended by ");
-        describe(thrown);
+        appendThrowable(thrown);
         end();
     }
 
     /** Ends the process; does nothing where it is being ended already. */
-    void end(int with, String why) {
-        if (begin(with)) {
-            append(why);
+    void end(int exitStatus, String reason) {
+        if (begin(exitStatus)) {
+            append(reason);
             end();
         }
     }
 
-    private boolean begin(int with) {
-        if (!ending.compareAndSet(false, true)) {
+    private boolean begin(int exitStatus) {
+        if (!terminating.compareAndSet(false, true)) {
             return false;
         }
-        status = with;
-        LockSupport.unpark(standby);
+        status = exitStatus;
+        LockSupport.unpark(standbyThread);
         append("petrelstand: fatal: ");
         return true;
     }
 
     /** What was thrown and, where there may be memory for that, at which place. */
-    private void describe(Throwable thrown) {
+    private void appendThrowable(Throwable thrown) {
         try {
             append(thrown.getClass().getName());
             if (thrown.getMessage() != null) {
@@ -94,7 +95,7 @@
         append(status);
         line[length] = '\n';
         try {
-            error.write(line, 0, length + 1);
+            standardError.write(line, 0, length + 1);
         } catch (IOException | Error e) {
             // Nobody hears it; the status says it.
         }
@@ -102,19 +103,19 @@
     }
 
     /** Called by the standby thread: where the process is being ended, ends it when the line has had its time. */
-    void finish() {
-        if (!ending.get()) {
+    void haltIfTerminating() {
+        if (!terminating.get()) {
             return;
         }
-        long begun = System.nanoTime();
-        while (System.nanoTime() - begun < WRITE_NS) {
-            LockSupport.parkNanos(WRITE_NS);
+        long startNs = System.nanoTime();
+        while (System.nanoTime() - startNs < WRITE_TIMEOUT_NS) {
+            LockSupport.parkNanos(WRITE_TIMEOUT_NS);
         }
         Runtime.getRuntime().halt(status);
     }
 
     private void append(String text) {
-        for (int i = 0; i < text.length() && length < MOST_BYTES; i++) {
+        for (int i = 0; i < text.length() && length < MAX_LINE_BYTES; i++) {
             char c = text.charAt(i);
             line[length++] = (byte) (c >= ' ' && c < 0x7f ? c : '?');
         }
@@ -124,7 +125,7 @@
         if (number >= 10) {
             append(number / 10);
         }
-        if (length < MOST_BYTES) {
+        if (length < MAX_LINE_BYTES) {
             line[length++] = (byte) ('0' + number % 10);
         }
     }
--- a/src/main/java/petrelstand/Watchdog.java
+++ b/src/main/java/petrelstand/Watchdog.java
@@ -23,7 +23,7 @@
         Thread thread = new Thread(new Watchdog(loop, terminator)::run, "watchdog");
         thread.setDaemon(true);
         thread.setUncaughtExceptionHandler(terminator);
-        terminator.standby(thread);
+        terminator.standbyThread(thread);
         thread.start();
     }
 
@@ -31,7 +31,7 @@
         StallDetector detector = new StallDetector(System.nanoTime(), loop.iterations());
         while (true) {
             LockSupport.parkNanos(StallDetector.PERIOD_NS);
-            terminator.finish();
+            terminator.haltIfTerminating();
             if (detector.observe(System.nanoTime(), loop.iterations())) {
                 terminator.end(
                         ExitStatus.LOOP_STALLED,
--- a/src/test/java/petrelstand/CrossingsTest.java
+++ b/src/test/java/petrelstand/CrossingsTest.java
@@ -15,32 +15,32 @@
 import org.junit.jupiter.api.Timeout;
 import petrelstand.config.GatewayConfig;
 import petrelstand.testing.Configs;
-import petrelstand.testing.Peers;
-import petrelstand.testing.Peers.Door;
-import petrelstand.testing.Peers.Peer;
-import petrelstand.testing.StandIns;
+import petrelstand.testing.LoopbackPeers;
+import petrelstand.testing.ScriptedPeers;
+import petrelstand.testing.ScriptedPeers.Listener;
+import petrelstand.testing.ScriptedPeers.Peer;
 
 /** Pairs of events that cross on a gateway's connections, each forced on real sockets (docs/design/crossings.md). */
 @Timeout(60)
-class CrossingsTest extends GatewayTests {
+class CrossingsTest extends GatewayTestBase {
     private final CountDownLatch ended = new CountDownLatch(1);
     private final AtomicLong clientsAtEnd = new AtomicLong(-1);
-    private Door node;
-    private Door discovery;
+    private Listener node;
+    private Listener discovery;
     private int port;
 
     /** A gateway before one node, with times so long that a slow machine decides nothing. */
     private void start(String... replaced) throws Exception {
-        start(opened(new Door()), replaced);
+        start(closeAfterTest(new Listener()), replaced);
     }
 
-    private void start(Door door, String... replaced) throws Exception {
+    private void start(Listener door, String... replaced) throws Exception {
         node = door;
         start(door.port(), replaced);
     }
 
     private void start(int nodePort, String... replaced) throws Exception {
-        discovery = opened(new Door());
+        discovery = closeAfterTest(new Listener());
         String file = Configs.gateway(nodePort, discovery.port())
                 .replace(":250.0", ":20000.0")
                 .replace(":1500.0", ":30000.0")
@@ -57,17 +57,17 @@
     }
 
     private Peer client() throws IOException {
-        return opened(Peer.to(port));
+        return closeAfterTest(Peer.connect(port));
     }
 
     private Peer taken() throws IOException {
-        return opened(node.take());
+        return closeAfterTest(node.accept());
     }
 
     /** The gateway's next connection to the node, once its request is read. */
     private Peer asked() throws IOException {
         Peer peer = taken();
-        peer.message();
+        peer.readMessage();
         return peer;
     }
 
@@ -106,49 +106,50 @@
     @Test
     void anAnswerWithoutALengthIsWholeWhereItsConnectionEnds() throws Exception {
         start();
-        Peer client = client().write(Peers.read("tile-read", "t1", 30_000));
+        Peer client = client().write(ScriptedPeers.readRequest("tile-read", "t1", 30_000));
         Peer first = asked();
-        first.write(UNFRAMED).end();
-        assertTrue(client.message().endsWith("half a tile"));
+        first.write(UNFRAMED).shutdownOutput();
+        assertTrue(client.readMessage().endsWith("half a tile"));
     }
 
     @Test
     void anAnswerWithoutALengthThatIsResetIsNotServedButTriedAgain() throws Exception {
         start();
-        Peer client = client().write(Peers.read("tile-read", "t1", 30_000));
+        Peer client = client().write(ScriptedPeers.readRequest("tile-read", "t1", 30_000));
         Peer first = asked();
         whileTheLoopStandsStill(() -> first.write(UNFRAMED).reset());
         Peer second = asked();
-        second.write(Peers.served("whole"));
-        String answer = client.message();
+        second.write(ScriptedPeers.okResponse("whole"));
+        String answer = client.readMessage();
         assertTrue(answer.startsWith("HTTP/1.1 200") && answer.endsWith("whole"), answer);
-        awaitCount("outcome.reset", 1);
+        awaitCounter("outcome.reset", 1);
     }
 
     @Test
     void aResetBehindAWholeAnswerTakesNothingFromIt() throws Exception {
         start();
-        Peer client = client().write(Peers.read("tile-read", "t1", 30_000));
+        Peer client = client().write(ScriptedPeers.readRequest("tile-read", "t1", 30_000));
         Peer first = asked();
-        whileTheLoopStandsStill(() -> first.write(Peers.served("whole")).reset());
-        assertTrue(client.message().endsWith("whole"));
-        awaitCount("outcome.served", 1);
-        assertEquals(0, count("outcome.reset"));
+        whileTheLoopStandsStill(
+                () -> first.write(ScriptedPeers.okResponse("whole")).reset());
+        assertTrue(client.readMessage().endsWith("whole"));
+        awaitCounter("outcome.served", 1);
+        assertEquals(0, counter("outcome.reset"));
     }
 
     @Test
     void aResetBeforeAndWithinTheHeadIsAReset() throws Exception {
         start();
-        Peer client = client().write(Peers.read("tile-read", "t1", 30_000));
+        Peer client = client().write(ScriptedPeers.readRequest("tile-read", "t1", 30_000));
         Peer first = asked();
         first.reset();
         Peer second = asked();
         second.write("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nConte");
         second.reset();
         Peer third = asked();
-        third.write("HTTP/1.1 103 Early Hints\r\n\r\n" + Peers.served("whole"));
-        assertTrue(client.message().endsWith("whole"));
-        awaitCount("outcome.reset", 2);
+        third.write("HTTP/1.1 103 Early Hints\r\n\r\n" + ScriptedPeers.okResponse("whole"));
+        assertTrue(client.readMessage().endsWith("whole"));
+        awaitCounter("outcome.reset", 2);
     }
 
     // ---- Connections that come up late ----
@@ -157,9 +158,9 @@
      * A gateway before a node whose backlog is full: what is dialed comes up when the test has taken what is before it.
      */
     private void startBeforeAFullNode(String... replaced) throws Exception {
-        Door full = opened(new Door(1));
+        Listener full = closeAfterTest(new Listener(1));
         for (int i = 0; i < 2; i++) {
-            opened(Peer.to(full.port()));
+            closeAfterTest(Peer.connect(full.port()));
         }
         start(full, replaced);
     }
@@ -175,15 +176,15 @@
     @Test
     void aConnectionThatComesUpAfterTheClientLeftCarriesOnlyTheNextRequest() throws Exception {
         startBeforeAFullNode("\"cancel\":true", "\"cancel\":false");
-        Peer client = client().write(Peers.read("tile-read", "t1", 30_000));
-        awaitCount("connections.nodes", 1);
+        Peer client = client().write(ScriptedPeers.readRequest("tile-read", "t1", 30_000));
+        awaitCounter("connections.nodes", 1);
         client.reset();
-        awaitCount("client_gone", 1);
+        awaitCounter("client_gone", 1);
         Peer late = takenBehindTheFillers();
-        awaitCount("outcome.cancelled", 1);
-        client().write(Peers.read("tile-read", "t2", 30_000));
-        assertTrue(late.message().contains("X-Txn: t2\r\n"));
-        late.write(Peers.served("two"));
+        awaitCounter("outcome.cancelled", 1);
+        client().write(ScriptedPeers.readRequest("tile-read", "t2", 30_000));
+        assertTrue(late.readMessage().contains("X-Txn: t2\r\n"));
+        late.write(ScriptedPeers.okResponse("two"));
     }
 
     /** Guards against an end that lies behind more bytes than are read while a request waits. */
@@ -191,19 +192,19 @@
     void aClientThatSendsMuchAndGoesIsSeenToGo() throws Exception {
         startBeforeAFullNode();
         for (int bytes : new int[] {0, 6_000, 100_000}) {
-            long gone = count("client_gone");
-            Peer client = client().write(Peers.read("tile-read", "t" + bytes, 30_000));
+            long gone = counter("client_gone");
+            Peer client = client().write(ScriptedPeers.readRequest("tile-read", "t" + bytes, 30_000));
             client.write("x".repeat(bytes));
             client.close();
-            awaitCount("client_gone", gone + 1);
+            awaitCounter("client_gone", gone + 1);
         }
         for (int bytes : new int[] {0, 30_000, 100_000}) {
-            long gone = count("client_gone");
-            Peer client = client().write(Peers.head("PUT", "survey-write", "w" + bytes, 30_000)
+            long gone = counter("client_gone");
+            Peer client = client().write(ScriptedPeers.requestHead("PUT", "survey-write", "w" + bytes, 30_000)
                     + "Content-Length: 900000\r\n\r\n" + "x".repeat(20_000));
             client.write("x".repeat(bytes));
             client.close();
-            awaitCount("client_gone", gone + 1);
+            awaitCounter("client_gone", gone + 1);
         }
     }
 
@@ -216,27 +217,28 @@
      */
     @Test
     void aProcessThatStartsServesWhenItHasTheListAsItIsNow() throws Exception {
-        node = opened(new Door());
-        discovery = opened(new Door());
+        node = closeAfterTest(new Listener());
+        discovery = closeAfterTest(new Listener());
         gateway = new Gateway(
                 GatewayConfig.parse(Configs.gateway(node.port(), discovery.port()), Map.of()),
                 null,
                 line -> {},
                 () -> {});
         CompletableFuture<List<Integer>> ports = gateway.start();
-        Peer agent = opened(discovery.take());
-        assertTrue(agent.message().startsWith("GET /v1/endpoints?index=1&wait="));
+        Peer agent = closeAfterTest(discovery.accept());
+        assertTrue(agent.readMessage().startsWith("GET /v1/endpoints?index=1&wait="));
         whileTheLoopStandsStill(() -> {
             assertTrue(!ports.isDone(), "it serves before its agent has answered");
-            agent.write(Peers.served(
+            agent.write(ScriptedPeers.okResponse(
                     "{\"version\":2,\"full\":false,\"servers\":[{\"id\":\"s-00000001\",\"addr\":\"127.0.0.1:"
                             + node.port() + "\",\"zone\":\"a\",\"cell\":3,\"state\":\"draining\",\"started_ms\":0}]}"));
         });
         port = ports.get(20, TimeUnit.SECONDS).get(0);
         assertEquals(
                 "503",
-                status(client().write(Peers.read("tile-read", "t1", 1_000)).message()));
-        assertEquals(0, count("connections.nodes"));
+                status(client().write(ScriptedPeers.readRequest("tile-read", "t1", 1_000))
+                        .readMessage()));
+        assertEquals(0, counter("connections.nodes"));
     }
 
     // ---- Descriptors ----
@@ -246,9 +248,9 @@
     /** Idle clients may come in any number, also in the moments in which discovery must be dialed anew. */
     @Test
     void idleClientsLeaveDiscoveryAndTheNodesTheirDescriptors() throws Exception {
-        start(opened(StandIns.storageNode(1)).port(), "\"sockets\":1024", "\"sockets\":128");
+        start(closeAfterTest(LoopbackPeers.storageNode(1)).port(), "\"sockets\":1024", "\"sockets\":128");
         int bound = Descriptors.of(128, 0).clients();
-        Peer agent = opened(discovery.take());
+        Peer agent = closeAfterTest(discovery.accept());
         List<Peer> idle = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
             Peer client = client();
@@ -257,18 +259,19 @@
                 agent.reset();
             }
         }
-        awaitCount("connections.clients", 300);
-        awaitCount("discovery.failures", 1);
-        Peer again = opened(discovery.take());
-        again.message();
-        again.write(Peers.served("{\"version\":2,\"full\":false,\"servers\":[]}"));
-        awaitCount("discovery.answers", 1);
+        awaitCounter("connections.clients", 300);
+        awaitCounter("discovery.failures", 1);
+        Peer again = closeAfterTest(discovery.accept());
+        again.readMessage();
+        again.write(ScriptedPeers.okResponse("{\"version\":2,\"full\":false,\"servers\":[]}"));
+        awaitCounter("discovery.answers", 1);
         // Half a request has its second; whoever comes meanwhile may be told to come again.
         String answer = "";
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
         for (int i = 0; System.nanoTime() < until && !answer.startsWith("HTTP/1.1 200"); i++) {
-            try (Peer asks = Peer.to(port)) {
-                answer = asks.write(Peers.read("tile-read", "t" + i, 30_000)).message();
+            try (Peer asks = Peer.connect(port)) {
+                answer = asks.write(ScriptedPeers.readRequest("tile-read", "t" + i, 30_000))
+                        .readMessage();
             } catch (IOException e) {
                 answer = "";
             }
@@ -276,10 +279,10 @@
                     answer.isEmpty() || answer.startsWith("HTTP/1.1 200") || answer.startsWith("HTTP/1.1 503"), answer);
         }
         assertTrue(answer.startsWith("HTTP/1.1 200"), answer);
-        long left = count("connections.clients")
-                - count("connections.gave_way")
-                - count("connections.full")
-                - count("connections.closed_at_once");
+        long left = counter("connections.clients")
+                - counter("connections.gave_way")
+                - counter("connections.full")
+                - counter("connections.closed_at_once");
         assertTrue(left <= bound + petrelstand.http.HttpFront.MAX_CONNECTIONS_OVER_LIMIT, left + " of " + bound);
     }
 
@@ -291,19 +294,19 @@
      */
     @Test
     void whatLiesInTheBacklogAtTheEndOfListeningIsTakenBeforeTheProcessEnds() throws Exception {
-        start(opened(StandIns.storageNode(1)).port());
+        start(closeAfterTest(LoopbackPeers.storageNode(1)).port());
         List<Peer> clients = new ArrayList<>();
         gateway.execute(gateway::drain);
         whileTheLoopStandsStill(() -> {
             long listened = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(600);
             for (int i = 0; i < 50; i++) {
-                clients.add(client().write(Peers.read("tile-read", "t" + i, 30_000)));
+                clients.add(client().write(ScriptedPeers.readRequest("tile-read", "t" + i, 30_000)));
             }
             // The end of listening is a time, not an order: it has to be over.
             TimeUnit.NANOSECONDS.sleep(Math.max(0, listened - System.nanoTime()));
         });
         for (int i = 0; i < clients.size(); i++) {
-            String status = status(clients.get(i).message());
+            String status = status(clients.get(i).readMessage());
             assertTrue(status.equals("200") || status.equals("503"), "client " + i + ": " + status);
         }
         assertTrue(ended.await(20, TimeUnit.SECONDS));
--- a/src/test/java/petrelstand/DefectiveRules.java
+++ b/src/test/java/petrelstand/DefectiveRules.java
@@ -11,7 +11,7 @@
             throw new IllegalArgumentException("no defect " + args[0]);
         }
         // A lease once given is acted on until another comes.
-        RulesPart.in((now, life, config, seed, loader, act) ->
+        RulesPart.setHolderFactory((now, life, config, seed, loader, act) ->
                 new LeaseHolder(now, life, config.voters(), config.promise(), seed, loader, act) {
                     @Override
                     protected boolean isLeaseValid(long at) {
--- a/src/test/java/petrelstand/EndingProcessTest.java
+++ b/src/test/java/petrelstand/EndingProcessTest.java
@@ -20,9 +20,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import petrelstand.lifecycle.ExitStatus;
-import petrelstand.testing.ServedGateway;
-import petrelstand.testing.ServedGateway.Run;
-import petrelstand.testing.StandIns.Client;
+import petrelstand.testing.GatewayProcesses;
+import petrelstand.testing.GatewayProcesses.GatewayProcess;
+import petrelstand.testing.LoopbackPeers.Client;
 
 /** A started process that can serve nobody any more ends, says so, and leaves its port free. */
 @Timeout(120)
@@ -33,11 +33,11 @@
     @TempDir
     Path folder;
 
-    private ServedGateway gateway;
+    private GatewayProcesses gateway;
 
     @BeforeEach
     void open() throws IOException {
-        gateway = new ServedGateway(folder, 2);
+        gateway = new GatewayProcesses(folder, 2);
     }
 
     @AfterEach
@@ -45,8 +45,8 @@
         gateway.close();
     }
 
-    private Run faulty(String fault) throws Exception {
-        Run run = gateway.start(List.of("petrelstand.FaultyGateway", fault));
+    private GatewayProcess faulty(String fault) throws Exception {
+        GatewayProcess run = gateway.start(List.of("petrelstand.FaultyGateway", fault));
         run.await("fault: " + fault);
         return run;
     }
@@ -56,9 +56,9 @@
     }
 
     /** Waits for the end; gives how long it took, ms. */
-    private static long ended(Run run, int status, long withinMs) throws InterruptedException {
+    private static long ended(GatewayProcess run, int status, long withinMs) throws InterruptedException {
         long begun = System.nanoTime();
-        assertTrue(run.process().waitFor(withinMs, TimeUnit.MILLISECONDS), "still there: " + run.seen());
+        assertTrue(run.process().waitFor(withinMs, TimeUnit.MILLISECONDS), "still there: " + run.linesRead());
         long tookMs = (System.nanoTime() - begun) / 1_000_000;
         assertEquals(status, run.process().exitValue());
         return tookMs;
@@ -71,7 +71,7 @@
         "memory, java.lang.OutOfMemoryError: Java heap space"
     })
     void anErrorOnTheLoopEndsTheProcess(String fault, String told) throws Exception {
-        Run run = faulty(fault);
+        GatewayProcess run = faulty(fault);
         // Filling the heap takes collections of garbage; the line comes when the error does.
         String line = run.await("petrelstand: fatal: ");
         long tookMs = ended(run, ExitStatus.FATAL_ERROR, SOON_MS);
@@ -85,7 +85,7 @@
 
     @Test
     void aLoopThatStandsStillEndsTheProcess() throws Exception {
-        Run run = faulty("stand");
+        GatewayProcess run = faulty("stand");
         long begun = System.nanoTime();
         String line = run.await("petrelstand: fatal: ");
         assertTrue(System.nanoTime() - begun >= TimeUnit.SECONDS.toNanos(13));
@@ -104,10 +104,12 @@
     @ParameterizedTest
     @CsvSource({"TERM", "INT"})
     void aSignalEndsAProcessWhoseLoopStandsStill(String signal) throws Exception {
-        Run run = faulty("stand");
+        GatewayProcess run = faulty("stand");
         run.signal(signal);
         if (signal.equals("INT") && ignoresInterrupt(run.process())) {
-            assertFalse(run.process().waitFor(1, TimeUnit.SECONDS), "ended by a signal that it ignores: " + run.seen());
+            assertFalse(
+                    run.process().waitFor(1, TimeUnit.SECONDS),
+                    "ended by a signal that it ignores: " + run.linesRead());
             run.signal("TERM");
         }
         // The longest deadline of the settings is 5 s; the process may be killed after 5.7 s.
@@ -129,14 +131,14 @@
 
     @Test
     void aProcessThatWasStoppedForLongGoesOnServing() throws Exception {
-        Run run = gateway.start();
+        GatewayProcess run = gateway.start();
         run.await("ready: ");
         run.signal("STOP");
         TimeUnit.SECONDS.sleep(17);
         run.signal("CONT");
         for (int i = 0; i < 30; i++) {
             try (Client client = new Client(gateway.port())) {
-                assertTrue(ServedGateway.read(client, "tile-read", "c" + i).startsWith("200"));
+                assertTrue(GatewayProcesses.read(client, "tile-read", "c" + i).startsWith("200"));
             }
             TimeUnit.MILLISECONDS.sleep(100);
         }
--- a/src/test/java/petrelstand/GatewayTests.java
+++ b/src/test/java/petrelstand/GatewayTestBase.java
@@ -12,19 +12,19 @@
  * What tests of a whole gateway on loopback share: it and all that they opened end with the test, and its counts are
  * read.
  */
-abstract class GatewayTests {
-    private final List<AutoCloseable> opened = new ArrayList<>();
+abstract class GatewayTestBase {
+    private final List<AutoCloseable> closeAfterTest = new ArrayList<>();
     Gateway gateway;
 
-    <T extends AutoCloseable> T opened(T one) {
-        opened.add(one);
-        return one;
+    <T extends AutoCloseable> T closeAfterTest(T resource) {
+        closeAfterTest.add(resource);
+        return resource;
     }
 
     @AfterEach
     void closeAll() throws Exception {
-        for (AutoCloseable one : opened) {
-            one.close();
+        for (AutoCloseable resource : closeAfterTest) {
+            resource.close();
         }
         if (gateway != null) {
             gateway.stop();
@@ -32,17 +32,17 @@
     }
 
     /** A count of the gateway's, read on its loop. */
-    long count(String name) throws Exception {
+    long counter(String name) throws Exception {
         CompletableFuture<Long> read = new CompletableFuture<>();
         gateway.execute(() -> read.complete(gateway.broker().counters().get(name)));
         return read.get(20, TimeUnit.SECONDS);
     }
 
     /** A count, once it has come to be: what the loop counts may follow what a client sees. */
-    void awaitCount(String name, long wanted) throws Exception {
-        for (int i = 0; i < 2000 && count(name) != wanted; i++) {
+    void awaitCounter(String name, long wanted) throws Exception {
+        for (int i = 0; i < 2000 && counter(name) != wanted; i++) {
             Thread.sleep(5);
         }
-        assertEquals(wanted, count(name), name);
+        assertEquals(wanted, counter(name), name);
     }
 }
--- a/src/test/java/petrelstand/LimitProcessTest.java
+++ b/src/test/java/petrelstand/LimitProcessTest.java
@@ -17,9 +17,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import petrelstand.testing.ServedGateway;
-import petrelstand.testing.ServedGateway.Run;
-import petrelstand.testing.StandIns.Client;
+import petrelstand.testing.GatewayProcesses;
+import petrelstand.testing.GatewayProcesses.GatewayProcess;
+import petrelstand.testing.LoopbackPeers.Client;
 
 /**
  * A volume's limit over two started processes of one gateway: one takes the other's place, one is stopped, one is
@@ -44,7 +44,7 @@
     @TempDir
     Path folder;
 
-    private ServedGateway gateway;
+    private GatewayProcesses gateway;
     private final AtomicBoolean over = new AtomicBoolean();
     private final List<Thread> clients = new ArrayList<>();
     /** When each served request was answered, ns, and its units. */
@@ -54,7 +54,7 @@
 
     @BeforeEach
     void open() throws IOException {
-        gateway = new ServedGateway(folder, 2);
+        gateway = new GatewayProcesses(folder, 2);
         JsonObject config = gateway.config();
         JsonObject plan = config.getAsJsonObject("settings")
                 .getAsJsonArray("plans")
@@ -75,8 +75,8 @@
         gateway.close();
     }
 
-    private Run serving() throws Exception {
-        Run run = gateway.start();
+    private GatewayProcess serving() throws Exception {
+        GatewayProcess run = gateway.start();
         run.await("ready: ");
         return run;
     }
@@ -93,7 +93,7 @@
         while (!over.get()) {
             long number = asked.incrementAndGet();
             try (Client client = new Client(gateway.port())) {
-                if (ServedGateway.read(client, "tile-read", Long.toHexString(number))
+                if (GatewayProcesses.read(client, "tile-read", Long.toHexString(number))
                         .startsWith("200")) {
                     served.put(System.nanoTime(), 1);
                 }
@@ -120,10 +120,10 @@
 
     @Test
     void twoProcessesOfAGatewayKeepOneLimit() throws Exception {
-        Run old = serving();
+        GatewayProcess old = serving();
         TimeUnit.MILLISECONDS.sleep((long) (1000 * BURST / RATE));
         askForMuchMore();
-        Run fresh = serving();
+        GatewayProcess fresh = serving();
         old.await("another process of this gateway listens too");
         TimeUnit.MILLISECONDS.sleep(BOTH_SERVE_MS);
         old.signal("TERM");
@@ -131,17 +131,18 @@
         fresh.await("the other process is gone");
         TimeUnit.MILLISECONDS.sleep(1_500);
         assertLimitHeld();
-        assertTrue(fresh.figure("passed.tile-read") > RATE * BOTH_SERVE_MS / 1000 / 4, "the new process has its half");
-        assertEquals(0, fresh.figure("bad_gateway.tile-read"));
+        assertTrue(
+                fresh.telemetry("passed.tile-read") > RATE * BOTH_SERVE_MS / 1000 / 4, "the new process has its half");
+        assertEquals(0, fresh.telemetry("bad_gateway.tile-read"));
     }
 
     /** The old process holds a full store, is stopped while the new one comes, and goes on; then it is killed. */
     @Test
     void aStoppedProcessThatGoesOnHasGivenUpItsHalf() throws Exception {
-        Run old = serving();
+        GatewayProcess old = serving();
         TimeUnit.MILLISECONDS.sleep((long) (1000 * BURST / RATE));
         old.signal("STOP");
-        Run fresh = gateway.start();
+        GatewayProcess fresh = gateway.start();
         fresh.await("ready: ");
         askForMuchMore();
         TimeUnit.MILLISECONDS.sleep(BOTH_SERVE_MS);
@@ -155,14 +156,14 @@
     /** Bodies that began over time end in one moment, with all that the limit allows right behind them. */
     @Test
     void slowBodiesThatEndTogetherAreNoBurstBesideTheFullStore() throws Exception {
-        Run run = serving();
+        GatewayProcess run = serving();
         TimeUnit.MILLISECONDS.sleep((long) (1000 * BURST / RATE));
         List<Client> slow = new ArrayList<>();
         for (int i = 0; i < SLOW_BODIES; i++) {
             Client client = new Client(gateway.port());
-            client.send(
-                    ServedGateway.request("PUT", "survey-write", "", "s" + i).replace("units=1", "units=" + SLOW_UNITS)
-                            + "Content-Length: " + SLOW_BYTES + "\r\n\r\n" + "z".repeat(SLOW_BYTES - 1));
+            client.send(GatewayProcesses.request("PUT", "survey-write", "", "s" + i)
+                            .replace("units=1", "units=" + SLOW_UNITS)
+                    + "Content-Length: " + SLOW_BYTES + "\r\n\r\n" + "z".repeat(SLOW_BYTES - 1));
             slow.add(client);
         }
         TimeUnit.MILLISECONDS.sleep(1_500);
@@ -171,12 +172,12 @@
             client.send("z");
         }
         for (Client client : slow) {
-            assertTrue(client.answer().startsWith("200"));
+            assertTrue(client.readAnswer().startsWith("200"));
             served.put(System.nanoTime(), SLOW_UNITS);
             client.close();
         }
         TimeUnit.MILLISECONDS.sleep(1_000);
-        assertEquals(SLOW_BODIES, run.figure("passed.survey-write"));
+        assertEquals(SLOW_BODIES, run.telemetry("passed.survey-write"));
         assertLimitHeld();
     }
 }
--- a/src/test/java/petrelstand/LoopbackTest.java
+++ b/src/test/java/petrelstand/LoopbackTest.java
@@ -24,13 +24,13 @@
 import petrelstand.config.OperatorConfig;
 import petrelstand.rsync.Golden;
 import petrelstand.testing.Configs;
-import petrelstand.testing.StandIns;
-import petrelstand.testing.StandIns.Client;
-import petrelstand.testing.StandIns.Server;
+import petrelstand.testing.LoopbackPeers;
+import petrelstand.testing.LoopbackPeers.Client;
+import petrelstand.testing.LoopbackPeers.Server;
 
 /** Whole gateways on loopback, between clients, storage nodes and rsync daemons that the tests play. */
 @Timeout(60)
-class LoopbackTest extends GatewayTests {
+class LoopbackTest extends GatewayTestBase {
     @TempDir
     Path folder;
 
@@ -41,7 +41,9 @@
     private GatewayConfig config(Server node) throws IOException {
         Path file = Files.writeString(
                 folder.resolve("config.json"),
-                Configs.gateway(node.port(), opened(StandIns.silent()).port())
+                Configs.gateway(
+                                node.port(),
+                                closeAfterTest(LoopbackPeers.silentServer()).port())
                         .replace(":250.0", ":20000.0")
                         .replace(":1500.0", ":30000.0")
                         .replace(":5000.0", ":60000.0"));
@@ -61,11 +63,11 @@
     }
 
     private void startWith(Server daemon) throws Exception {
-        start(opened(StandIns.storageNode(1)), 10_000, Map.of(daemon.port(), "HEALTHY"));
+        start(closeAfterTest(LoopbackPeers.storageNode(1)), 10_000, Map.of(daemon.port(), "HEALTHY"));
     }
 
     private static Server goldenDaemon() throws IOException {
-        return StandIns.rsyncDaemon((arguments, in, out) -> {
+        return LoopbackPeers.rsyncDaemon((arguments, in, out) -> {
             boolean pull = arguments.contains("--sender");
             out.write(pull ? Golden.pullDown() : Golden.SEED);
             assertArrayEquals(
@@ -78,8 +80,8 @@
     }
 
     private Client asked(String module, String expected) throws IOException {
-        Client client = opened(new Client(rsyncPort));
-        assertEquals("@RSYNCD: 29.0\n" + expected, client.ask(module));
+        Client client = closeAfterTest(new Client(rsyncPort));
+        assertEquals("@RSYNCD: 29.0\n" + expected, client.requestModule(module));
         return client;
     }
 
@@ -87,39 +89,39 @@
 
     @Test
     void aPullPassesUnchangedAndEndsWhole() throws Exception {
-        startWith(opened(goldenDaemon()));
+        startWith(closeAfterTest(goldenDaemon()));
         Client client = asked("charts", "@RSYNCD: OK\n");
         client.send(Golden.ARGUMENTS);
         byte[] down = client.in.readNBytes(Golden.pullDown().length);
         client.out.write(Golden.pullUp());
         assertArrayEquals(Golden.pullDown(), down);
         assertEquals(-1, client.in.read());
-        awaitCount("answered.served", 1);
-        awaitCount("outcome.served", 1);
+        awaitCounter("answered.served", 1);
+        awaitCounter("outcome.served", 1);
     }
 
     @Test
     void aPushPassesUnchangedAndEndsWhole() throws Exception {
-        startWith(opened(goldenDaemon()));
+        startWith(closeAfterTest(goldenDaemon()));
         Client client = asked("charts", "@RSYNCD: OK\n");
         client.send(Golden.PUSH_ARGUMENTS);
         client.out.write(Golden.pushUp());
         assertArrayEquals(Golden.pushDown(), client.in.readAllBytes());
-        awaitCount("answered.served", 1);
+        awaitCounter("answered.served", 1);
     }
 
     @Test
     void modulesAreListedAndOtherOpeningsGetACleanError() throws Exception {
-        startWith(opened(goldenDaemon()));
+        startWith(closeAfterTest(goldenDaemon()));
         asked("#list", "charts         \tChart editions\n@RSYNCD: EXIT\n");
         asked("", "charts         \tChart editions\n@RSYNCD: EXIT\n");
         asked("maps", "@ERROR: Unknown module 'maps'\n");
-        Client old = opened(new Client(rsyncPort));
+        Client old = closeAfterTest(new Client(rsyncPort));
         old.send("@RSYNCD: 28.0\ncharts\n");
         assertEquals(
                 "@RSYNCD: 29.0\n@ERROR: protocol version 28 is not carried here, 29 or later is\n",
                 new String(old.in.readAllBytes(), StandardCharsets.UTF_8));
-        Client other = opened(new Client(rsyncPort));
+        Client other = closeAfterTest(new Client(rsyncPort));
         other.send("GET / HTTP/1.1\r\n\r\n");
         assertEquals(
                 "@RSYNCD: 29.0\n@ERROR: protocol startup error\n",
@@ -128,32 +130,32 @@
 
     @Test
     void anOptionOutsideTheSubsetIsNamedInAnErrorFrame() throws Exception {
-        startWith(opened(goldenDaemon()));
+        startWith(closeAfterTest(goldenDaemon()));
         Client client = asked("charts", "@RSYNCD: OK\n");
         client.send("--server\n--sender\n-logDtprz\n.\ncharts/\n\n");
         String answer = new String(client.in.readAllBytes(), StandardCharsets.ISO_8859_1);
         assertEquals("@ERROR: option -z is not carried here\n", answer.substring(8));
-        awaitCount("client_gone", 1);
-        awaitCount("outcome.cancelled", 1);
+        awaitCounter("client_gone", 1);
+        awaitCounter("outcome.cancelled", 1);
     }
 
     @Test
     void aTransferCutHalfwayIsVisiblyIncompleteAndNotSentAgain() throws Exception {
         byte[] half = java.util.Arrays.copyOf(Golden.pullDown(), 60);
-        Server daemon = opened(StandIns.rsyncDaemon((arguments, in, out) -> out.write(half)));
+        Server daemon = closeAfterTest(LoopbackPeers.rsyncDaemon((arguments, in, out) -> out.write(half)));
         startWith(daemon);
         Client client = asked("charts", "@RSYNCD: OK\n");
         client.send(Golden.ARGUMENTS);
         assertArrayEquals(half, client.in.readAllBytes());
-        awaitCount("answered.cut", 1);
-        awaitCount("outcome.reset", 1);
+        awaitCounter("answered.cut", 1);
+        awaitCounter("outcome.reset", 1);
         assertEquals(1, daemon.connections.get());
     }
 
     @Test
     void aCutBetweenFramesIsToldInWords() throws Exception {
         byte[] seed = Golden.SEED;
-        startWith(opened(StandIns.rsyncDaemon((arguments, in, out) -> out.write(seed))));
+        startWith(closeAfterTest(LoopbackPeers.rsyncDaemon((arguments, in, out) -> out.write(seed))));
         Client client = asked("charts", "@RSYNCD: OK\n");
         client.send(Golden.ARGUMENTS);
         String answer = new String(client.in.readAllBytes(), StandardCharsets.ISO_8859_1);
@@ -165,22 +167,22 @@
         Server daemon = goldenDaemon();
         daemon.close();
         startWith(daemon);
-        Client client = opened(new Client(rsyncPort));
-        String answer = client.ask("charts");
+        Client client = closeAfterTest(new Client(rsyncPort));
+        String answer = client.requestModule("charts");
         assertTrue(answer.matches("@RSYNCD: 29.0\n@ERROR: refused, come again in [0-9.]+ s\n"), answer);
     }
 
     @Test
     void aDrainingEndpointGetsNoTransfer() throws Exception {
-        Server draining = opened(goldenDaemon());
-        start(opened(StandIns.storageNode(1)), 10_000, Map.of(draining.port(), "DRAINING"));
+        Server draining = closeAfterTest(goldenDaemon());
+        start(closeAfterTest(LoopbackPeers.storageNode(1)), 10_000, Map.of(draining.port(), "DRAINING"));
         asked("charts", "@ERROR: refused, come again in 0.5 s\n");
         assertEquals(0, draining.connections.get());
     }
 
     @Test
     void anEndpointThatTheChangedFileDrainsGetsNoMore() throws Exception {
-        Server daemon = opened(goldenDaemon());
+        Server daemon = closeAfterTest(goldenDaemon());
         startWith(daemon);
         asked("charts", "@RSYNCD: OK\n");
         GatewayConfig config = config(daemon);
@@ -189,7 +191,7 @@
         var bad = new java.util.concurrent.CompletableFuture<String>();
         Thread follower = OperatorConfig.load(ini, config.settings())
                 .follow(config.settings(), changed -> gateway.execute(() -> gateway.reload(changed)), bad::complete);
-        opened(follower::interrupt);
+        closeAfterTest(follower::interrupt);
         Files.writeString(xds, "[");
         Files.setLastModifiedTime(xds, java.nio.file.attribute.FileTime.fromMillis(1000));
         assertTrue(bad.get(20, TimeUnit.SECONDS).contains("xds.json: the text is not"));
@@ -198,7 +200,7 @@
         for (int i = 0; i < 1000 && !answer.contains("refused, come again in 0.5 s"); i++) {
             Thread.sleep(20);
             try (Client client = new Client(rsyncPort)) {
-                answer = client.ask("charts");
+                answer = client.requestModule("charts");
             }
         }
         assertTrue(answer.contains("refused, come again in 0.5 s"), answer);
@@ -207,7 +209,7 @@
     @Test
     void aDrainingGatewayEndsWhatItTookAndRefusesTheRest() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        startWith(opened(StandIns.rsyncDaemon((arguments, in, out) -> {
+        startWith(closeAfterTest(LoopbackPeers.rsyncDaemon((arguments, in, out) -> {
             out.write(Golden.SEED);
             go.await();
             out.write(Golden.pullDown(), 4, Golden.pullDown().length - 4);
@@ -235,7 +237,7 @@
         AtomicLong answeredNs = new AtomicLong();
         AtomicLong endedNs = new AtomicLong();
         CountDownLatch ended = new CountDownLatch(1);
-        Server node = opened(new Server((socket, in, out) -> {
+        Server node = closeAfterTest(new Server((socket, in, out) -> {
             byte[] buffer = new byte[4096];
             in.read(buffer);
             Thread.sleep(1_600);
@@ -249,12 +251,12 @@
             ended.countDown();
         });
         httpPort = gateway.start().get(20, TimeUnit.SECONDS).get(0);
-        Client client = opened(new Client(httpPort));
+        Client client = closeAfterTest(new Client(httpPort));
         client.send("GET /bulk-export/00000000000000a1/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: b\r\nX-Txn: late\r\n"
                 + "X-Qos-Policy: basic\r\nX-Remaining-Ms: 30000\r\nX-Placement: units=1,shard=3,hosts=1\r\n\r\n");
-        awaitCount("sent", 1);
+        awaitCounter("sent", 1);
         gateway.execute(gateway::drain);
-        assertTrue(client.answer().startsWith("200 ok"));
+        assertTrue(client.readAnswer().startsWith("200 ok"));
         assertTrue(ended.await(20, TimeUnit.SECONDS));
         // Stalls of the machine only add to this.
         assertTrue(endedNs.get() - answeredNs.get() >= 400_000_000L, (endedNs.get() - answeredNs.get()) / 1000 + " us");
@@ -263,14 +265,14 @@
     @Test
     void aClientThatStallsIsCutAndTheGatewayKeepsLittleOfWhatItDidNotTake() throws Exception {
         AtomicLong sent = new AtomicLong();
-        Server daemon = opened(StandIns.endlessDaemon(endlessStart(), sent));
-        start(opened(StandIns.storageNode(1)), 300, Map.of(daemon.port(), "HEALTHY"));
-        Client client = opened(Client.small(rsyncPort));
-        client.ask("charts");
+        Server daemon = closeAfterTest(LoopbackPeers.endlessDaemon(endlessStart(), sent));
+        start(closeAfterTest(LoopbackPeers.storageNode(1)), 300, Map.of(daemon.port(), "HEALTHY"));
+        Client client = closeAfterTest(Client.withSmallReceiveBuffer(rsyncPort));
+        client.requestModule("charts");
         client.send(Golden.ARGUMENTS);
-        awaitCount("rsync.idle", 1);
-        awaitCount("client_gone", 1);
-        awaitCount("outcome.cancelled", 1);
+        awaitCounter("rsync.idle", 1);
+        awaitCounter("client_gone", 1);
+        awaitCounter("outcome.cancelled", 1);
         // What both sockets' buffers hold, and no more: the relay itself keeps 16 KiB a direction.
         assertTrue(sent.get() < 24L << 20, "the daemon could send " + sent);
     }
@@ -291,12 +293,12 @@
     @Test
     void tileReadsKeepTheirAnswersInASurgeWhileRsyncClientsStall() throws Exception {
         AtomicLong sent = new AtomicLong();
-        Server daemon = opened(StandIns.endlessDaemon(endlessStart(), sent));
-        start(opened(StandIns.storageNode(2)), 20_000, Map.of(daemon.port(), "HEALTHY"));
-        Client stalled = opened(Client.small(rsyncPort));
-        stalled.ask("charts");
+        Server daemon = closeAfterTest(LoopbackPeers.endlessDaemon(endlessStart(), sent));
+        start(closeAfterTest(LoopbackPeers.storageNode(2)), 20_000, Map.of(daemon.port(), "HEALTHY"));
+        Client stalled = closeAfterTest(Client.withSmallReceiveBuffer(rsyncPort));
+        stalled.requestModule("charts");
         stalled.send(Golden.ARGUMENTS);
-        Client silent = opened(new Client(rsyncPort));
+        Client silent = closeAfterTest(new Client(rsyncPort));
         ExecutorService clients = Executors.newFixedThreadPool(16);
         List<Future<Integer>> served = new ArrayList<>();
         for (int c = 0; c < 16; c++) {
@@ -307,7 +309,7 @@
                     for (int i = 0; i < 12; i++) {
                         boolean tile = number < 4;
                         String txn = number + "-" + i;
-                        String answer = client.http(tile ? "tile-read" : "bulk-export", txn);
+                        String answer = client.get(tile ? "tile-read" : "bulk-export", txn);
                         good += tile && answer.equals("200 node:" + txn) ? 1 : 0;
                         Thread.sleep(tile ? 20 : 1);
                     }
@@ -321,7 +323,7 @@
         }
         clients.shutdown();
         assertEquals(48, good);
-        awaitCount("rsync.idle", 0);
+        awaitCounter("rsync.idle", 0);
         assertTrue(silent.in.read() == '@');
     }
 
@@ -337,28 +339,30 @@
         builder.environment().put("RELAY_CONFIG", configFile.toString());
         builder.redirectErrorStream(true);
         Process process = builder.start();
-        opened(process::destroyForcibly);
+        closeAfterTest(process::destroyForcibly);
         return process;
     }
 
     @Test
     void sigtermAnswersAllThatWasTakenThenEndsWithTheCounters() throws Exception {
-        Server node = opened(StandIns.storageNode(700));
+        Server node = closeAfterTest(LoopbackPeers.storageNode(700));
         Path file = folder.resolve("serve.json");
         int port = freePort();
         Files.writeString(
                 file,
-                Configs.gateway(node.port(), opened(StandIns.silent()).port())
+                Configs.gateway(
+                                node.port(),
+                                closeAfterTest(LoopbackPeers.silentServer()).port())
                         .replace("127.0.0.1:0", "127.0.0.1:" + port));
         Process process = serve(file);
         var log = process.inputReader();
         while (!log.readLine().contains("ready: n1")) {
             // The lines before it tell of the nodes.
         }
-        Client taken = opened(new Client(port));
-        Client idle = opened(new Client(port));
+        Client taken = closeAfterTest(new Client(port));
+        Client idle = closeAfterTest(new Client(port));
         idle.send("GET /ready HTTP/1.1\r\nHost: b\r\n\r\n");
-        assertEquals("200 ready\n", idle.answer());
+        assertEquals("200 ready\n", idle.readAnswer());
         taken.send("GET /tile-read/00000000000000a1/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: b\r\nX-Txn: t1\r\n"
                 + "X-Qos-Policy: basic\r\nX-Remaining-Ms: 1500\r\nX-Placement: units=1,shard=3,hosts=1\r\n\r\n");
         while (node.connections.get() == 0) {
@@ -368,9 +372,9 @@
         while (!log.readLine().contains("draining")) {
             // The hook has asked the loop to drain.
         }
-        assertTrue(opened(new Client(port)).http("tile-read", "t2").startsWith("200 node:t2"));
-        assertEquals("200 node:t1", taken.answer());
-        assertEquals("closed", idle.answer());
+        assertTrue(closeAfterTest(new Client(port)).get("tile-read", "t2").startsWith("200 node:t2"));
+        assertEquals("200 node:t1", taken.readAnswer());
+        assertEquals("closed", idle.readAnswer());
         String last = log.lines().reduce("", (a, b) -> b);
         assertTrue(process.waitFor(20, TimeUnit.SECONDS));
         assertEquals(0, process.exitValue());
@@ -396,9 +400,9 @@
     /** An unhandled SIGHUP ends a virtual machine: this program reads its file anew instead, and serves on. */
     @Test
     void sighupMovesTheWatchAndABadFileLeavesTheFormerInUse() throws Exception {
-        Server node = opened(StandIns.storageNode(1));
-        Server first = opened(StandIns.silent());
-        Server second = opened(StandIns.silent());
+        Server node = closeAfterTest(LoopbackPeers.storageNode(1));
+        Server first = closeAfterTest(LoopbackPeers.silentServer());
+        Server second = closeAfterTest(LoopbackPeers.silentServer());
         Path file = folder.resolve("hup.json");
         int port = freePort();
         String at = Configs.gateway(node.port(), first.port()).replace("127.0.0.1:0", "127.0.0.1:" + port);
@@ -421,7 +425,7 @@
         while (second.connections.get() == 0) {
             Thread.sleep(2);
         }
-        assertTrue(opened(new Client(port)).http("tile-read", "t1").startsWith("200 node:t1"));
+        assertTrue(closeAfterTest(new Client(port)).get("tile-read", "t1").startsWith("200 node:t1"));
         signal(process, "HUP");
         process.toHandle().destroy();
         signal(process, "HUP");
--- a/src/test/java/petrelstand/MemoryBoundsProcessTest.java
+++ b/src/test/java/petrelstand/MemoryBoundsProcessTest.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import petrelstand.testing.ServedGateway;
-import petrelstand.testing.StandIns.Client;
+import petrelstand.testing.GatewayProcesses;
+import petrelstand.testing.LoopbackPeers.Client;
 
 /** A started gateway with a small heap, and clients that bring 1, 2 and 10 times what it may hold. */
 class MemoryBoundsProcessTest {
@@ -32,14 +32,14 @@
     @TempDir
     Path folder;
 
-    private ServedGateway gateway;
-    private ServedGateway.Run run;
+    private GatewayProcesses gateway;
+    private GatewayProcesses.GatewayProcess run;
     private int mostClients;
     private int asked;
 
     @BeforeEach
     void start() throws Exception {
-        gateway = new ServedGateway(folder, 5);
+        gateway = new GatewayProcesses(folder, 5);
         JsonObject config = gateway.config();
         config.getAsJsonObject("limits").addProperty("sockets", SOCKETS);
         gateway.config(config);
@@ -65,7 +65,7 @@
         JsonObject changed = config.deepCopy();
         changed.getAsJsonObject("limits").addProperty(field, value);
         gateway.config(changed);
-        ServedGateway.Run refused = gateway.start();
+        GatewayProcesses.GatewayProcess refused = gateway.start();
         refused.await(line);
         assertEquals(1, refused.process().waitFor());
         gateway.config(config);
@@ -85,19 +85,20 @@
 
     @Test
     void manyHalfSentBodies() throws Exception {
-        withstands(number -> ServedGateway.request("PUT", "survey-write", "", "h" + number)
+        withstands(number -> GatewayProcesses.request("PUT", "survey-write", "", "h" + number)
                 + "Content-Length: 65536\r\n\r\n" + "x".repeat(60_000));
     }
 
     @Test
     void manyWholeRequestsWithLargestBodies() throws Exception {
-        withstands(number -> ServedGateway.request("PUT", "survey-write", "", "w" + number)
+        withstands(number -> GatewayProcesses.request("PUT", "survey-write", "", "w" + number)
                 + "Content-Length: 65536\r\n\r\n" + "x".repeat(65_536));
     }
 
     @Test
     void manyRequestsSentAheadOfTheirAnswers() throws Exception {
-        String ahead = ServedGateway.request("GET", "tile-read", "", "a") + "X-Long: " + "x".repeat(7000) + "\r\n\r\n";
+        String ahead =
+                GatewayProcesses.request("GET", "tile-read", "", "a") + "X-Long: " + "x".repeat(7000) + "\r\n\r\n";
         withstands(number -> ahead.repeat(30));
     }
 
@@ -117,7 +118,7 @@
             }
             assertServed(factor);
         }
-        List<String> lines = new ArrayList<>(run.seen());
+        List<String> lines = new ArrayList<>(run.linesRead());
         run.lines().drainTo(lines);
         assertEquals(
                 List.of(),
@@ -145,7 +146,7 @@
         List<String> answers = new ArrayList<>();
         while (System.nanoTime() < until && run.process().isAlive()) {
             try (Client client = new Client(gateway.port())) {
-                String answer = ServedGateway.read(client, "tile-read", "o" + asked++);
+                String answer = GatewayProcesses.read(client, "tile-read", "o" + asked++);
                 if (answer.startsWith("200")) {
                     return;
                 }
--- a/src/test/java/petrelstand/OperationProcessTest.java
+++ b/src/test/java/petrelstand/OperationProcessTest.java
@@ -23,9 +23,9 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import petrelstand.testing.ServedGateway;
-import petrelstand.testing.ServedGateway.Run;
-import petrelstand.testing.StandIns.Client;
+import petrelstand.testing.GatewayProcesses;
+import petrelstand.testing.GatewayProcesses.GatewayProcess;
+import petrelstand.testing.LoopbackPeers.Client;
 
 /** Started processes, as operators meet them: calls, drains, other settings, a change of the process, large bodies. */
 @Timeout(120)
@@ -33,11 +33,11 @@
     @TempDir
     Path folder;
 
-    private ServedGateway gateway;
+    private GatewayProcesses gateway;
 
     @BeforeEach
     void open() throws IOException {
-        gateway = new ServedGateway(folder, 2);
+        gateway = new GatewayProcesses(folder, 2);
     }
 
     @AfterEach
@@ -45,8 +45,8 @@
         gateway.close();
     }
 
-    private Run serving() throws Exception {
-        Run run = gateway.start();
+    private GatewayProcess serving() throws Exception {
+        GatewayProcess run = gateway.start();
         run.await("ready: ");
         return run;
     }
@@ -54,37 +54,37 @@
     private String ready() throws IOException {
         try (Client client = new Client(gateway.port())) {
             client.send("GET /ready HTTP/1.1\r\nHost: b\r\n\r\n");
-            return client.answer().substring(0, 3);
+            return client.readAnswer().substring(0, 3);
         }
     }
 
     @Test
     void callsAreAnsweredBesideSilentCallersAndFiguresAreTrue() throws Exception {
-        Run run = serving();
+        GatewayProcess run = serving();
         List<Client> silent = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
-            silent.add(new Client(run.operator()));
+            silent.add(new Client(run.operatorPort()));
             silent.get(i).send("GET /api/rea");
         }
         try (Client client = new Client(gateway.port())) {
             for (int i = 0; i < 20; i++) {
-                assertTrue(ServedGateway.read(client, "tile-read", "t" + i).startsWith("200"));
+                assertTrue(GatewayProcesses.read(client, "tile-read", "t" + i).startsWith("200"));
             }
-            client.send(ServedGateway.request("GET", "bulk-export", "", "e").replace("shard=0", "shard=7") + "\r\n");
-            assertTrue(client.answer().startsWith("503"));
+            client.send(GatewayProcesses.request("GET", "bulk-export", "", "e").replace("shard=0", "shard=7") + "\r\n");
+            assertTrue(client.readAnswer().startsWith("503"));
             long before = System.nanoTime();
-            assertEquals("200 ready\n", run.call("GET", "/api/ready"));
+            assertEquals("200 ready\n", run.callOperator("GET", "/api/ready"));
             assertTrue(System.nanoTime() - before < TimeUnit.SECONDS.toNanos(1));
-            assertEquals(20, run.figure("passed.tile-read"));
-            assertEquals(0, run.figure("bad_gateway.tile-read"));
-            assertEquals(1, run.figure("dropped.bulk-export"));
-            assertEquals(20, run.figure("upstream_tries"));
-            assertEquals(1, run.figure("known_storage_nodes"));
-            assertEquals(0, run.figure("skipped_storage_nodes"));
-            assertEquals(0, run.figure("in_progress"));
+            assertEquals(20, run.telemetry("passed.tile-read"));
+            assertEquals(0, run.telemetry("bad_gateway.tile-read"));
+            assertEquals(1, run.telemetry("dropped.bulk-export"));
+            assertEquals(20, run.telemetry("upstream_tries"));
+            assertEquals(1, run.telemetry("known_storage_nodes"));
+            assertEquals(0, run.telemetry("skipped_storage_nodes"));
+            assertEquals(0, run.telemetry("in_progress"));
         }
-        assertTrue(run.call("GET", "/api/evacuate").startsWith("405"));
-        assertTrue(run.call("GET", "/tile-read").startsWith("404"));
+        assertTrue(run.callOperator("GET", "/api/evacuate").startsWith("405"));
+        assertTrue(run.callOperator("GET", "/tile-read").startsWith("404"));
         for (Client one : silent) {
             one.close();
         }
@@ -92,20 +92,20 @@
 
     @Test
     void aDrainEndsConnectionsAndARejoinBringsTheYesBack() throws Exception {
-        Run run = serving();
+        GatewayProcess run = serving();
         try (Client idle = new Client(gateway.port());
                 Client used = new Client(gateway.port())) {
-            assertTrue(ServedGateway.read(idle, "tile-read", "a").startsWith("200"));
+            assertTrue(GatewayProcesses.read(idle, "tile-read", "a").startsWith("200"));
             long asked = System.nanoTime();
-            assertTrue(run.call("POST", "/api/evacuate").startsWith("200"));
+            assertTrue(run.callOperator("POST", "/api/evacuate").startsWith("200"));
             assertEquals("503", ready());
-            assertEquals("200 ready\n", run.call("GET", "/api/ready"));
+            assertEquals("200 ready\n", run.callOperator("GET", "/api/ready"));
             // In use until they are noted: none of these may be lost, and the connection ends between two of them.
             String last = "200";
             int served = 0;
             while (last.startsWith("200")) {
                 try {
-                    last = ServedGateway.read(used, "tile-read", "u" + served);
+                    last = GatewayProcesses.read(used, "tile-read", "u" + served);
                     served += last.startsWith("200") ? 1 : 0;
                     Thread.sleep(20);
                 } catch (java.io.UncheckedIOException | java.net.SocketException e) {
@@ -116,11 +116,11 @@
             // How many fit in is the machine's speed; how long it goes on is the program's.
             long inUseMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - asked);
             assertTrue(inUseMs >= 400 && served >= 1, served + " served in " + inUseMs + " ms");
-            assertEquals("closed", idle.answer());
-            assertTrue(run.call("POST", "/api/evacuate").startsWith("200"));
-            assertTrue(run.call("POST", "/api/rejoin").startsWith("200"));
+            assertEquals("closed", idle.readAnswer());
+            assertTrue(run.callOperator("POST", "/api/evacuate").startsWith("200"));
+            assertTrue(run.callOperator("POST", "/api/rejoin").startsWith("200"));
             assertEquals("200", ready());
-            assertEquals(served + 1, run.figure("passed.tile-read"));
+            assertEquals(served + 1, run.telemetry("passed.tile-read"));
         }
         run.signal("TERM");
         assertTrue(run.process().waitFor(20, TimeUnit.SECONDS));
@@ -143,16 +143,16 @@
 
     @Test
     void classesComeAndGoAndBrokenFilesAreTurnedDownWhole() throws Exception {
-        Run run = serving();
+        GatewayProcess run = serving();
         try (Client client = new Client(gateway.port())) {
-            assertTrue(ServedGateway.read(client, "tile-read", "a").startsWith("200"));
-            assertTrue(ServedGateway.read(client, "sounding-read", "b").startsWith("404"));
+            assertTrue(GatewayProcesses.read(client, "tile-read", "a").startsWith("200"));
+            assertTrue(GatewayProcesses.read(client, "sounding-read", "b").startsWith("404"));
         }
         gateway.config(changed(gateway.config(), -1, "sounding-read", 2));
         run.signal("HUP");
         run.await("at most 2 attempts; clients may go by the former file yet");
         try (Client client = new Client(gateway.port())) {
-            assertTrue(ServedGateway.read(client, "sounding-read", "c").startsWith("200"));
+            assertTrue(GatewayProcesses.read(client, "sounding-read", "c").startsWith("200"));
         }
         String whole = gateway.config().toString();
         JsonObject zero = changed(gateway.config(), -1, null, 0);
@@ -179,22 +179,22 @@
             {without.toString(), "limits is missing"},
         };
         for (int i = 0; i < broken.length; i++) {
-            gateway.text(broken[i][0]);
+            gateway.writeConfigText(broken[i][0]);
             run.signal("HUP");
             String line = run.await(broken[i][1]);
             assertTrue(line.contains("the former file stays in use") && line.contains("config.json"), line);
-            assertEquals(i + 1, run.figure("load_errors"));
+            assertEquals(i + 1, run.telemetry("load_errors"));
         }
         gateway.config(changed(gateway.config(), 0, null, 1));
         run.signal("HUP");
         run.await("classes survey-write, bulk-export, sounding-read; at most 1 attempts");
         try (Client client = new Client(gateway.port())) {
-            assertTrue(ServedGateway.read(client, "sounding-read", "d").startsWith("200"));
-            assertTrue(ServedGateway.read(client, "tile-read", "e").startsWith("404"));
+            assertTrue(GatewayProcesses.read(client, "sounding-read", "d").startsWith("200"));
+            assertTrue(GatewayProcesses.read(client, "tile-read", "e").startsWith("404"));
         }
-        assertEquals(2, run.figure("loads"));
-        assertEquals(1, run.figure("passed.tile-read"));
-        assertEquals(2, run.figure("passed.sounding-read"));
+        assertEquals(2, run.telemetry("loads"));
+        assertEquals(1, run.telemetry("passed.tile-read"));
+        assertEquals(2, run.telemetry("passed.sounding-read"));
     }
 
     /** Clients that keep a connection, and open another where it ended before they sent; what went wrong is told. */
@@ -221,7 +221,7 @@
                     client = fresh ? new Client(gateway.port()) : client;
                     String answer;
                     try {
-                        answer = ServedGateway.read(client, "tile-read", number + "-" + i);
+                        answer = GatewayProcesses.read(client, "tile-read", number + "-" + i);
                     } catch (IOException | java.io.UncheckedIOException e) {
                         answer = "closed";
                     }
@@ -261,14 +261,14 @@
 
     @Test
     void aNewProcessTakesTheOldOnesPlaceUnderLoadWithoutALostRequest() throws Exception {
-        Run old = serving();
+        GatewayProcess old = serving();
         Load load = new Load(8);
         awaitMore(load, 200);
-        Run fresh = gateway.start();
+        GatewayProcess fresh = gateway.start();
         old.await("another process of this gateway starts");
         fresh.await("hot restart: took over 1 nodes and 1 volumes");
         fresh.await("ready: ");
-        assertEquals("200 ready\n", fresh.call("GET", "/api/ready"));
+        assertEquals("200 ready\n", fresh.callOperator("GET", "/api/ready"));
         old.await("another process of this gateway listens too");
         awaitMore(load, 100);
         old.signal("TERM");
@@ -279,7 +279,7 @@
         assertEquals(List.of(), load.wrong);
         // A connection closed between requests can be crossed by the next one: a few of eight at most.
         assertTrue(load.crossed.get() <= 8 + 2, "crossed " + load.crossed.get());
-        assertTrue(fresh.figure("passed.tile-read") >= 200);
+        assertTrue(fresh.telemetry("passed.tile-read") >= 200);
         try (Stream<Path> marks = Files.list(folder)) {
             assertEquals(
                     1, marks.filter(file -> file.toString().endsWith(".mark")).count());
@@ -288,31 +288,31 @@
 
     @Test
     void aNewProcessThatDiesLeavesTheOldOneServingAndAKilledOldOneIsReplaced() throws Exception {
-        Run old = serving();
-        Run died = gateway.start();
+        GatewayProcess old = serving();
+        GatewayProcess died = gateway.start();
         old.await("another process of this gateway starts");
         died.process().destroyForcibly();
         old.await("the other process is gone");
         try (Client client = new Client(gateway.port())) {
-            assertTrue(ServedGateway.read(client, "tile-read", "a").startsWith("200"));
+            assertTrue(GatewayProcesses.read(client, "tile-read", "a").startsWith("200"));
         }
         assertEquals("200", ready());
-        Run second = gateway.start();
+        GatewayProcess second = gateway.start();
         second.await("ready: ");
         old.await("another process of this gateway listens too");
         second.process().destroyForcibly().waitFor();
         for (int i = 0; i < 20; i++) {
             try (Client client = new Client(gateway.port())) {
-                assertTrue(ServedGateway.read(client, "tile-read", "b" + i).startsWith("200"));
+                assertTrue(GatewayProcesses.read(client, "tile-read", "b" + i).startsWith("200"));
             }
         }
-        Run third = gateway.start();
+        GatewayProcess third = gateway.start();
         third.await("ready: ");
         old.process().destroyForcibly().waitFor();
         third.await("the other process is gone");
         for (int i = 0; i < 20; i++) {
             try (Client client = new Client(gateway.port())) {
-                assertTrue(ServedGateway.read(client, "tile-read", "c" + i).startsWith("200"));
+                assertTrue(GatewayProcesses.read(client, "tile-read", "c" + i).startsWith("200"));
             }
         }
         third.signal("TERM");
@@ -320,7 +320,7 @@
     }
 
     /** Brings a replacement to a step, told as "old: LINE" or "new: LINE". */
-    private static void awaitStep(Run old, Run fresh, String step) throws Exception {
+    private static void awaitStep(GatewayProcess old, GatewayProcess fresh, String step) throws Exception {
         if (step.contains("draining")) {
             fresh.await("ready: ");
             old.await("another process of this gateway listens too");
@@ -332,7 +332,7 @@
     private void assertServes(String when) throws IOException {
         for (int i = 0; i < 10; i++) {
             try (Client client = new Client(gateway.port())) {
-                assertTrue(ServedGateway.read(client, "tile-read", "k" + i).startsWith("200"), when);
+                assertTrue(GatewayProcesses.read(client, "tile-read", "k" + i).startsWith("200"), when);
             }
         }
     }
@@ -351,15 +351,15 @@
         "old, 'old: draining: '",
     })
     void whicheverProcessIsKilledAtWhicheverStepTheOtherServes(String killed, String step) throws Exception {
-        Run old = serving();
-        Run fresh = gateway.start();
+        GatewayProcess old = serving();
+        GatewayProcess fresh = gateway.start();
         awaitStep(old, fresh, step);
         (killed.equals("old") ? old : fresh).process().destroyForcibly().waitFor();
-        Run left = killed.equals("old") ? fresh : old;
+        GatewayProcess left = killed.equals("old") ? fresh : old;
         left.await("ready: ");
         assertServes(killed + " at " + step);
         assertEquals("200", ready());
-        assertEquals("200 ready\n", left.call("GET", "/api/ready"));
+        assertEquals("200 ready\n", left.callOperator("GET", "/api/ready"));
     }
 
     /**
@@ -376,10 +376,10 @@
         "new, 'old: draining: '",
     })
     void whicheverProcessIsStoppedAtWhicheverStepTheReplacementGoesOn(String stopped, String step) throws Exception {
-        Run old = serving();
-        Run fresh = gateway.start();
+        GatewayProcess old = serving();
+        GatewayProcess fresh = gateway.start();
         awaitStep(old, fresh, step);
-        Run one = stopped.equals("old") ? old : fresh;
+        GatewayProcess one = stopped.equals("old") ? old : fresh;
         one.signal("STOP");
         Thread.sleep(1_500);
         one.signal("CONT");
@@ -388,7 +388,7 @@
         assertTrue(old.process().waitFor(30, TimeUnit.SECONDS));
         assertEquals(0, old.process().exitValue());
         assertServes(stopped + " at " + step);
-        assertEquals("200 ready\n", fresh.call("GET", "/api/ready"));
+        assertEquals("200 ready\n", fresh.callOperator("GET", "/api/ready"));
     }
 
     private static final int MANY = 24;
@@ -397,7 +397,7 @@
     /** 192 MB on their way at once, through a heap of 64: each arrives whole, whichever side is slow. */
     @Test
     void largeBodiesAndAnswersPassInPiecesThroughASmallHeap() throws Exception {
-        Run run = serving();
+        GatewayProcess run = serving();
         byte[] body = new byte[LARGE];
         new java.util.Random(1).nextBytes(body);
         CRC32 crc = new CRC32();
@@ -430,19 +430,19 @@
         assertEquals(List.of(), wrong);
         // The admission is the module's, and a machine of few cores is slow: most must pass all the same.
         assertTrue(refused.get() <= MANY / 2, "refused " + refused.get());
-        for (int i = 0; i < 100 && run.figure("in_progress") > 0; i++) {
+        for (int i = 0; i < 100 && run.telemetry("in_progress") > 0; i++) {
             Thread.sleep(20);
         }
-        assertEquals(0, run.figure("in_progress"));
-        assertEquals(MANY - refused.get(), run.figure("passed.survey-write") + run.figure("passed.bulk-export"));
+        assertEquals(0, run.telemetry("in_progress"));
+        assertEquals(MANY - refused.get(), run.telemetry("passed.survey-write") + run.telemetry("passed.bulk-export"));
         assertFalse(
-                run.seen().stream().anyMatch(line -> line.contains("OutOfMemory")),
-                run.seen().toString());
+                run.linesRead().stream().anyMatch(line -> line.contains("OutOfMemory")),
+                run.linesRead().toString());
     }
 
     private String upload(int number, byte[] body, boolean chunked) throws IOException, InterruptedException {
         try (Client client = new Client(gateway.port())) {
-            client.send(ServedGateway.request("PUT", "survey-write", "", "p" + number)
+            client.send(GatewayProcesses.request("PUT", "survey-write", "", "p" + number)
                     + (chunked ? "Transfer-Encoding: chunked\r\n\r\n" : "Content-Length: " + body.length + "\r\n\r\n"));
             int step = 100_003;
             for (int at = 0; at < body.length; at += step) {
@@ -461,13 +461,13 @@
             if (chunked) {
                 client.send("0\r\n\r\n");
             }
-            return client.answer();
+            return client.readAnswer();
         }
     }
 
     private String download(int number, boolean chunked) throws IOException, InterruptedException {
         try (Client client = new Client(gateway.port())) {
-            client.send(ServedGateway.request(
+            client.send(GatewayProcesses.request(
                             "GET", "bulk-export", "?bytes=" + LARGE + (chunked ? "&chunked" : ""), "g" + number)
                     + "Connection: close\r\n\r\n");
             Thread.sleep(300);
--- a/src/test/java/petrelstand/ServeProcessTest.java
+++ b/src/test/java/petrelstand/ServeProcessTest.java
@@ -21,8 +21,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import petrelstand.lab.StandInPlatform;
-import petrelstand.testing.StandIns;
-import petrelstand.testing.StandIns.Client;
+import petrelstand.testing.LoopbackPeers;
+import petrelstand.testing.LoopbackPeers.Client;
 
 /** The program as it is started: what it loads, and what it remembers after SIGTERM and after SIGKILL. */
 class ServeProcessTest {
@@ -60,7 +60,7 @@
 
     private Run start(Map<String, String> env, String... options) throws IOException {
         int port;
-        try (StandIns.Server free = StandIns.silent()) {
+        try (LoopbackPeers.Server free = LoopbackPeers.silentServer()) {
             port = free.port();
         }
         JsonObject config = JsonParser.parseString(Files.readString(Path.of("src/main/resources/tryout.json")))
@@ -96,7 +96,7 @@
                 client.send(
                         "GET /tile-read/00000000000000a1/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: b\r\nX-Txn: t" + i
                                 + "\r\nX-Qos-Policy: basic\r\nX-Remaining-Ms: 30000\r\nX-Placement: units=1,shard=1,hosts=1\r\n\r\n");
-                assertTrue(client.answer().startsWith("200 node s-00000002 (shard 1) served GET /tile-read/"));
+                assertTrue(client.readAnswer().startsWith("200 node s-00000002 (shard 1) served GET /tile-read/"));
             }
         }
     }
@@ -151,7 +151,7 @@
     private static String page(Run run, String path) throws IOException {
         try (Client client = new Client(run.port)) {
             client.send("GET " + path + " HTTP/1.1\r\nHost: b\r\n\r\n");
-            return client.answer();
+            return client.readAnswer();
         }
     }
 
@@ -187,9 +187,9 @@
         try (Client client = new Client(run.port)) {
             for (int i = 0; i < 10; i++) {
                 send(client, 0, "00000000000000a1", "r" + i, 1);
-                assertTrue(client.answer().startsWith("200"));
+                assertTrue(client.readAnswer().startsWith("200"));
                 send(client, 2, "00000000000000e0", "e" + i, 5);
-                assertTrue(client.answer().startsWith("200"));
+                assertTrue(client.readAnswer().startsWith("200"));
             }
         }
         // The record is by seconds: the surge begins with one, so that the first requests' slowness is not in it.
@@ -222,7 +222,7 @@
             Thread.sleep(5);
         }
         for (Client client : clients) {
-            client.answer();
+            client.readAnswer();
             client.close();
         }
         watch.interrupt();
--- a/src/test/java/petrelstand/config/ConfigTest.java
+++ b/src/test/java/petrelstand/config/ConfigTest.java
@@ -10,13 +10,13 @@
 import petrelstand.decision.Scheduling.DedupGroup;
 import petrelstand.decision.Scheduling.NodeEntry;
 import petrelstand.decision.Scheduling.NodeState;
+import petrelstand.testing.BrokerFixture;
 import petrelstand.testing.Configs;
-import petrelstand.testing.Harness;
 
 /** The gateway's file, the node list and the operator's file. */
 class ConfigTest {
     private static final Map<Integer, String> DAEMON = Map.of(8731, "HEALTHY");
-    private final Harness world = new Harness();
+    private final BrokerFixture world = new BrokerFixture();
 
     /** The simulator's text and the gateway's JSON are two writings of one thing. */
     @Test
@@ -42,7 +42,7 @@
     /** Guards against settings of another customer that leave out who drops repeats: the loosest was assumed. */
     @Test
     void aKeyedClassWithoutAGroupIsTakenForTheStrictest() {
-        String text = Harness.SETTINGS;
+        String text = BrokerFixture.SETTINGS;
         assertEquals(
                 DedupGroup.SHARD,
                 SettingsReader.ofText(text.replace("classes.1.group=cell\n", ""))
--- a/src/test/java/petrelstand/config/SettingsVariantsTest.java
+++ b/src/test/java/petrelstand/config/SettingsVariantsTest.java
@@ -11,17 +11,17 @@
 import petrelstand.decision.Scheduling.DedupGroup;
 import petrelstand.decision.Scheduling.DiscoveryMode;
 import petrelstand.decision.Scheduling.Settings;
-import petrelstand.testing.Harness;
+import petrelstand.testing.BrokerFixture;
 
 /** Settings that one deployment states in another way than the next: followed, or refused by the field's name. */
 class SettingsVariantsTest {
     private static Settings with(String more) {
-        return SettingsReader.ofText(Harness.SETTINGS + more);
+        return SettingsReader.ofText(BrokerFixture.SETTINGS + more);
     }
 
     private static Settings without(String line) {
-        assertTrue(Harness.SETTINGS.contains(line + "\n"), line);
-        return SettingsReader.ofText(Harness.SETTINGS.replace(line + "\n", ""));
+        assertTrue(BrokerFixture.SETTINGS.contains(line + "\n"), line);
+        return SettingsReader.ofText(BrokerFixture.SETTINGS.replace(line + "\n", ""));
     }
 
     @Test
--- a/src/test/java/petrelstand/core/BrokerTest.java
+++ b/src/test/java/petrelstand/core/BrokerTest.java
@@ -18,11 +18,11 @@
 import petrelstand.decision.Scheduling.NodeState;
 import petrelstand.decision.Scheduling.Outcome;
 import petrelstand.decision.Scheduling.Settings;
-import petrelstand.testing.Harness;
+import petrelstand.testing.BrokerFixture;
 
 /** Tests the broker with the real decision module and a node transport that the test controls. */
 class BrokerTest {
-    private final Harness harness = new Harness();
+    private final BrokerFixture harness = new BrokerFixture();
     private final List<Attempt> started = new ArrayList<>();
     private final List<Attempt> abandoned = new ArrayList<>();
     private final NodeTransport transport = new NodeTransport() {
@@ -80,7 +80,7 @@
     }
 
     private void listNode() {
-        harness.list(Harness.node("s-00000001", 3, NodeState.READY, 0));
+        harness.setNodes(BrokerFixture.node("s-00000001", 3, NodeState.READY, 0));
     }
 
     /** Guards against an open request whose class, dropped since, has a longer deadline than the process has left. */
@@ -90,11 +90,11 @@
         Client longer = submit(2, 3, 4_000_000);
         Client shorter = submit(0, 3, 1_000_000);
         broker.setAnswerDeadline(harness.nowUs + 2_000_000);
-        harness.run(1_100_000);
+        harness.advance(1_100_000);
         assertEquals(1, shorter.answers.size());
-        harness.run(800_000);
+        harness.advance(800_000);
         assertEquals(List.of(), longer.answers);
-        harness.run(100_000);
+        harness.advance(100_000);
         assertEquals(List.of("failed"), longer.answers);
         assertEquals(0, broker.openRequests());
     }
@@ -106,11 +106,11 @@
         Client streamed = submit(1, 3, 2_000_000);
         started.get(0).beginBodyStream();
         broker.setAnswerDeadline(harness.nowUs + 3_000_000);
-        harness.run(2_500_000);
+        harness.advance(2_500_000);
         broker.requestBodyComplete(streamed.exchange, harness.nowUs);
-        harness.run(499_999);
+        harness.advance(499_999);
         assertEquals(List.of(), streamed.answers);
-        harness.run(1);
+        harness.advance(1);
         assertEquals(List.of("failed"), streamed.answers);
         assertEquals(0, broker.openRequests());
     }
@@ -123,7 +123,7 @@
         assertEquals(client.exchange.deadlineUs(), started.get(0).timeoutAtUs());
         started.get(0).end(Outcome.SERVED, "body", null);
         started.get(0).end(Outcome.RESET, null, null);
-        harness.run(5_000_000);
+        harness.advance(5_000_000);
         assertEquals(List.of("served"), client.answers);
         assertEquals(0, broker.openRequests());
     }
@@ -139,9 +139,9 @@
     void silentNodeGivesOneAnswerByTheDeadlineAndIsAbandoned() {
         listNode();
         Client client = submit(0, 3, 1_500_000);
-        harness.run(1_499_999);
+        harness.advance(1_499_999);
         assertEquals(1, client.answers.size());
-        harness.run(1);
+        harness.advance(1);
         assertEquals(started, abandoned);
         assertEquals(Outcome.TIMED_OUT, started.get(0).outcome());
         assertEquals(1, client.answers.size());
@@ -151,8 +151,8 @@
     void loopTurnAfterTheDeadlineAnswersOnce() {
         listNode();
         Client client = submit(1, 3, 400_000);
-        harness.late(3_000_000);
-        harness.run(100_000);
+        harness.jumpAndRunDue(3_000_000);
+        harness.advance(100_000);
         assertEquals(1, client.answers.size());
         assertEquals(Outcome.TIMED_OUT, started.get(0).outcome());
     }
@@ -163,7 +163,7 @@
         Client client = submit(0, 3, 1_500_000);
         broker.clientGone(client.exchange);
         assertEquals(started, abandoned);
-        harness.run(5_000_000);
+        harness.advance(5_000_000);
         assertEquals(List.of(), client.answers);
     }
 
@@ -173,7 +173,7 @@
         Client client = submit(0, 3, 1_500_000);
         started.get(0).commit();
         started.get(0).end(Outcome.RESET, null, null);
-        harness.run(2_000_000);
+        harness.advance(2_000_000);
         assertEquals(1, started.size());
         assertEquals(List.of("failed"), client.answers);
     }
@@ -183,9 +183,9 @@
         listNode();
         Client client = submit(2, 3, 5_000_000);
         started.get(0).commit();
-        harness.run(4_999_999);
+        harness.advance(4_999_999);
         assertEquals(List.of(), client.answers);
-        harness.run(1);
+        harness.advance(1);
         assertEquals(List.of("failed"), client.answers);
         assertEquals(started, abandoned);
         assertEquals(1, harness.counters.get("answered.cut"));
@@ -197,14 +197,14 @@
         listNode();
         submit(1, 3, 2_500_000);
         started.get(0).end(Outcome.NOT_CONNECTED, null, null);
-        harness.run(1_000_000);
+        harness.advance(1_000_000);
         assertTrue(started.size() > 1);
         assertEquals(1, started.get(1).number());
     }
 
     @Test
     void newObjectIsNotSentToAPrivateNode() {
-        harness.list(Harness.node("charts/127.0.0.1:1", NodeEntry.FIRST_PRIVATE_SHARD, NodeState.READY, 0));
+        harness.setNodes(BrokerFixture.node("charts/127.0.0.1:1", NodeEntry.FIRST_PRIVATE_SHARD, NodeState.READY, 0));
         Client client = submit(1, -1, 2_500_000);
         assertEquals(List.of(), started);
         assertEquals(List.of("refused"), client.answers);
@@ -215,7 +215,7 @@
     void requestUnansweredByTheModuleFailsWithinTheGrace() {
         for (double graceMs : new double[] {1, 8, 500}) {
             Settings settings = SettingsReader.ofText(
-                    Harness.SETTINGS.replace("grace_to_answer_ms=8.0", "grace_to_answer_ms=" + graceMs));
+                    BrokerFixture.SETTINGS.replace("grace_to_answer_ms=8.0", "grace_to_answer_ms=" + graceMs));
             Broker unanswering = new Broker(
                     settings,
                     (now, ignoredSettings, actions) -> (HostEvents) java.lang.reflect.Proxy.newProxyInstance(
@@ -229,9 +229,9 @@
                     harness.log::add);
             Client client = new Client();
             unanswering.submit(new Demand(0, 0, 5, 9, 2, 3, 1, false, false, 1_000_000), "ask", client, exchange -> {});
-            harness.run(1_000_000 + Math.min(2_000, (long) (250 * graceMs)) - 1);
+            harness.advance(1_000_000 + Math.min(2_000, (long) (250 * graceMs)) - 1);
             assertEquals(List.of(), client.answers);
-            harness.run(1);
+            harness.advance(1);
             assertEquals(List.of("failed"), client.answers);
         }
     }
@@ -254,7 +254,7 @@
                 harness.counters,
                 harness.log::add);
         faulty.submit(new Demand(0, 0, 5, 9, 2, 3, 1, false, false, 1000), "ask", client, exchange -> {});
-        harness.run(10_000);
+        harness.advance(10_000);
         assertEquals(List.of("failed"), client.answers);
     }
 
@@ -275,18 +275,18 @@
     @Test
     void replacedNodesAndCancelledTimersAreNotKept() {
         for (int i = 0; i < 5_000; i++) {
-            Node node = Harness.node(String.format("s-%08x", i), 3, NodeState.READY, 0);
+            Node node = BrokerFixture.node(String.format("s-%08x", i), 3, NodeState.READY, 0);
             if (i % 2 == 0) {
-                harness.list(node);
+                harness.setNodes(node);
             } else {
                 broker.updateNodes(
                         NodeListKind.CHANGES,
-                        List.of(node, Harness.node(String.format("s-%08x", i - 1), 3, NodeState.GONE, 0)));
+                        List.of(node, BrokerFixture.node(String.format("s-%08x", i - 1), 3, NodeState.GONE, 0)));
             }
             Client client = submit(0, 3, 1_500_000);
             started.get(started.size() - 1).end(Outcome.SERVED, "body", null);
             assertEquals(List.of("served"), client.answers);
-            harness.run(1_000);
+            harness.advance(1_000);
         }
         assertEquals(1, broker.knownNodeCount());
         assertTrue(harness.timers.size() < 3_000, "timers in the queue: " + harness.timers.size());
@@ -304,9 +304,9 @@
                     test.started.stream().filter(a -> !a.isEnded()).findFirst().orElse(null);
             switch (step) {
                 case 0, 1, 2 -> clients.add(test.submit(step, 3, 100_000 * (step + 1)));
-                case 3 -> test.harness.run(30_000);
-                case 4 -> test.harness.late(170_000);
-                case 5 -> test.harness.list(Harness.node("s-00000001", 3, NodeState.DRAINING, 0));
+                case 3 -> test.harness.advance(30_000);
+                case 4 -> test.harness.jumpAndRunDue(170_000);
+                case 5 -> test.harness.setNodes(BrokerFixture.node("s-00000001", 3, NodeState.DRAINING, 0));
                 case 6 -> test.listNode();
                 case 7 ->
                     clients.stream()
@@ -337,7 +337,7 @@
                 assertTrue(!overdue || client.answers.size() == expected);
             }
         }
-        test.harness.run(6_000_000);
+        test.harness.advance(6_000_000);
         assertEquals(0, test.broker.openRequests());
         assertTrue(test.started.stream().allMatch(Attempt::isEnded));
     }
@@ -376,8 +376,9 @@
     }
 
     private void playInOneTurn(List<Integer> order, Outcome outcome, int classIndex) {
-        harness.list(
-                Harness.node("s-00000001", 3, NodeState.READY, 0), Harness.node("s-00000002", 3, NodeState.READY, 0));
+        harness.setNodes(
+                BrokerFixture.node("s-00000001", 3, NodeState.READY, 0),
+                BrokerFixture.node("s-00000002", 3, NodeState.READY, 0));
         Client client = submit(classIndex, 3, 1_500_000);
         Attempt first = started.get(0);
         Node node = first.node();
@@ -399,7 +400,7 @@
                     started.stream().filter(attempt -> !attempt.isEnded()).count() <= 1,
                     "two active attempts: " + order);
         }
-        harness.run(10_000_000);
+        harness.advance(10_000_000);
         String message = order + " " + outcome + " class " + classIndex + ": " + client.answers;
         assertEquals(clientLeft ? 0 : 1, client.answers.size(), message);
         assertEquals(0, broker.openRequests(), message);
--- a/src/test/java/petrelstand/core/LimitBoundTest.java
+++ b/src/test/java/petrelstand/core/LimitBoundTest.java
@@ -14,9 +14,9 @@
 import petrelstand.decision.Scheduling.Outcome;
 import petrelstand.decision.Scheduling.Settings;
 import petrelstand.lifecycle.ProcessShare;
-import petrelstand.testing.Harness;
-import petrelstand.testing.InertNodes;
-import petrelstand.testing.SilentClient;
+import petrelstand.testing.BrokerFixture;
+import petrelstand.testing.StubClientHandler;
+import petrelstand.testing.StubNodeTransport;
 
 /**
  * Simulates gateways whose processes are replaced, paused and killed, with slow connections and slow request bodies,
@@ -34,8 +34,8 @@
     /** From the write of the last byte to its arrival. */
     private static final long NETWORK_DELAY_US = 2_000;
 
-    private static final String SETTINGS = (Harness.SETTINGS + "plans.0.limit=" + RATE + "\nplans.0.burst=" + BURST
-                    + "\n")
+    private static final String SETTINGS = (BrokerFixture.SETTINGS + "plans.0.limit=" + RATE + "\nplans.0.burst="
+                    + BURST + "\n")
             .replace("balancers=1", "balancers=" + GATEWAYS);
 
     /** The volume's token bucket as the limit defines it: full at first, charged when units arrive. */
@@ -138,7 +138,7 @@
     }
 
     /** A gateway process: an event loop that turns once per millisecond unless paused, and a scanning thread. */
-    private static final class Process extends InertNodes {
+    private static final class Process extends StubNodeTransport {
         private final Simulation simulation;
         private final List<Process> gatewayProcesses;
         private final Timers timers = new Timers();
@@ -166,7 +166,7 @@
             broker.setShareFunction(share::share);
             List<Node> nodes = new ArrayList<>();
             for (int shard = 0; shard < NODES; shard++) {
-                nodes.add(Harness.node(
+                nodes.add(BrokerFixture.node(
                         "s-0000000" + Integer.toHexString(shard % 16) + shard / 16, shard, NodeState.READY, 0));
             }
             broker.updateNodes(NodeListKind.FULL, nodes);
@@ -241,7 +241,7 @@
                     false,
                     classIndex == 1,
                     1_500_000 + simulation.random.nextInt(1_000_000));
-            broker.submit(demand, "ask", new SilentClient(), exchange -> {});
+            broker.submit(demand, "ask", new StubClientHandler(), exchange -> {});
         }
 
         // ---- Node transport ----
--- a/src/test/java/petrelstand/core/ModuleMemoryTest.java
+++ b/src/test/java/petrelstand/core/ModuleMemoryTest.java
@@ -10,9 +10,9 @@
 import petrelstand.decision.Scheduling.NodeState;
 import petrelstand.decision.Scheduling.Outcome;
 import petrelstand.lifecycle.MemoryLimits;
-import petrelstand.testing.Harness;
-import petrelstand.testing.InertNodes;
-import petrelstand.testing.SilentClient;
+import petrelstand.testing.BrokerFixture;
+import petrelstand.testing.StubClientHandler;
+import petrelstand.testing.StubNodeTransport;
 
 /** Checks that volumes and nodes use no more heap than the memory limits reserve for them. */
 class ModuleMemoryTest {
@@ -20,15 +20,15 @@
     private static final int[] FACTORS = {1, 2, 10};
     private static final long STEP_US = 500;
 
-    private final Harness harness = new Harness();
-    private final Broker broker = harness.broker(new InertNodes() {
+    private final BrokerFixture harness = new BrokerFixture();
+    private final Broker broker = harness.broker(new StubNodeTransport() {
         @Override
         public void start(Attempt attempt) {
             attempt.end(Outcome.SERVED, "answer", null);
         }
     });
     private int served;
-    private final SilentClient client = new SilentClient() {
+    private final StubClientHandler client = new StubClientHandler() {
         @Override
         public boolean served(Object answer) {
             served++;
@@ -50,9 +50,9 @@
     private void listNodes() {
         List<Node> nodes = new ArrayList<>();
         for (int i = 0; i < NODES; i++) {
-            nodes.add(Harness.node("s-" + String.format("%08x", i + 1), i, NodeState.READY, 0));
+            nodes.add(BrokerFixture.node("s-" + String.format("%08x", i + 1), i, NodeState.READY, 0));
         }
-        harness.list(nodes.toArray(new Node[0]));
+        harness.setNodes(nodes.toArray(new Node[0]));
         harness.log.clear();
     }
 
@@ -61,9 +61,9 @@
         for (int i = 0; i < volumes; i++) {
             broker.submit(
                     new Demand(0, 0, i, i, 1, i % NODES, 1, false, false, 1_000_000), "ask", client, exchange -> {});
-            harness.run(STEP_US);
+            harness.advance(STEP_US);
         }
-        harness.run(5_000_000);
+        harness.advance(5_000_000);
         assertEquals(0, broker.openRequests());
     }
 
--- a/src/test/java/petrelstand/core/RequestCountsTest.java
+++ b/src/test/java/petrelstand/core/RequestCountsTest.java
@@ -13,13 +13,13 @@
 import petrelstand.core.RequestCounts.RequestResult;
 import petrelstand.decision.Scheduling.NodeState;
 import petrelstand.decision.Scheduling.Outcome;
-import petrelstand.testing.Harness;
+import petrelstand.testing.BrokerFixture;
 
 /** Compares the broker's request counts with those that simulated clients and nodes make. */
 class RequestCountsTest {
     /** Clients and nodes that count results and attempts. */
     private static final class CountingPeers implements NodeTransport {
-        private final Harness harness = new Harness();
+        private final BrokerFixture harness = new BrokerFixture();
         private final Random random;
         private final List<Attempt> active = new ArrayList<>();
         private final List<Exchange> waiting = new ArrayList<>();
@@ -32,9 +32,9 @@
                 results.add(new EnumMap<>(RequestResult.class));
             }
             harness.broker(this);
-            harness.list(
-                    Harness.node("s-00000001", 0, NodeState.READY, 0),
-                    Harness.node("s-00000002", 1, NodeState.READY, 0));
+            harness.setNodes(
+                    BrokerFixture.node("s-00000001", 0, NodeState.READY, 0),
+                    BrokerFixture.node("s-00000002", 1, NodeState.READY, 0));
         }
 
         private void countResult(int classIndex, RequestResult result) {
@@ -134,7 +134,7 @@
                         attempt.end(end, "answer", Map.of());
                     }
                 }
-                default -> harness.run(random.nextInt(300_000));
+                default -> harness.advance(random.nextInt(300_000));
             }
         }
     }
@@ -148,11 +148,11 @@
         CountingPeers.Client client = peers.new Client(0);
         broker.submit(
                 new Demand(0, 0, 1, 1, 1, 0, 1, false, false, 1_400_000), "ask", client, e -> client.exchange = e);
-        peers.harness.run(1_000_000);
+        peers.harness.advance(1_000_000);
         assertEquals(1, broker.avoidedNodeCount());
-        peers.harness.list(
-                Harness.node("s-00000001", 0, NodeState.READY, 0),
-                Harness.node("s-00000002", 1, NodeState.DRAINING, 0));
+        peers.harness.setNodes(
+                BrokerFixture.node("s-00000001", 0, NodeState.READY, 0),
+                BrokerFixture.node("s-00000002", 1, NodeState.DRAINING, 0));
         assertEquals(2, broker.avoidedNodeCount());
         peers.active.get(0).end(Outcome.SERVED, "answer", Map.of());
         assertEquals(1, broker.avoidedNodeCount());
@@ -166,7 +166,7 @@
             peers.step();
             assertEquals(peers.waiting.size(), peers.harness.broker.openRequests());
         }
-        peers.harness.run(10_000_000);
+        peers.harness.advance(10_000_000);
         RequestCounts counts = peers.harness.broker.requestCounts();
         for (int classIndex = 0; classIndex < 3; classIndex++) {
             String name = peers.harness.settings.classes().get(classIndex).name();
--- a/src/test/java/petrelstand/decision/RetuneTest.java
+++ b/src/test/java/petrelstand/decision/RetuneTest.java
@@ -10,14 +10,14 @@
 import petrelstand.decision.Host.Ask;
 import petrelstand.decision.Scheduling.Outcome;
 import petrelstand.decision.Scheduling.Settings;
-import petrelstand.testing.Harness;
+import petrelstand.testing.BrokerFixture;
 
 /** Other settings while the module has requests open. */
 class RetuneTest {
-    private static final Settings FORMER = SettingsReader.ofText(Harness.SETTINGS);
+    private static final Settings FORMER = SettingsReader.ofText(BrokerFixture.SETTINGS);
 
     private static Settings with(String before, String after) {
-        return SettingsReader.ofText(Harness.SETTINGS.replace(before, after));
+        return SettingsReader.ofText(BrokerFixture.SETTINGS.replace(before, after));
     }
 
     private static long open(Host host) {
@@ -88,7 +88,7 @@
     }
 
     private static int sentToCold(double part) {
-        String cold = Harness.SETTINGS + "extra.cold_bears=12\nrules.cold_from=0.3\nrules.warm_up_ms=15000\n"
+        String cold = BrokerFixture.SETTINGS + "extra.cold_bears=12\nrules.cold_from=0.3\nrules.warm_up_ms=15000\n"
                 + "rules.fall_ms=1500\nrules.overload_factor=2\n";
         Host host = new Host(10_000, SettingsReader.ofText(cold));
         host.policy.setBudgetShare(host.now, part);
--- a/src/test/java/petrelstand/decision/StreamTest.java
+++ b/src/test/java/petrelstand/decision/StreamTest.java
@@ -7,13 +7,13 @@
 import petrelstand.config.SettingsReader;
 import petrelstand.decision.Host.Ask;
 import petrelstand.decision.Scheduling.Outcome;
-import petrelstand.testing.Harness;
+import petrelstand.testing.BrokerFixture;
 
 /** A body on its way to a node for seconds, as its client sends it. */
 class StreamTest {
     @Test
     void aSlowBodyNeitherMakesItsNodeSilentNorFillsItsWindow() {
-        Host host = new Host(10_000, SettingsReader.ofText(Harness.SETTINGS));
+        Host host = new Host(10_000, SettingsReader.ofText(BrokerFixture.SETTINGS));
         host.list(node(1, 0));
         long slow = host.request(new Ask());
         Host.Sent body = host.last();
