--- a/src/test/java/petrelstand/discovery/NodeListWatcherTest.java
+++ b/src/test/java/petrelstand/discovery/NodeListWatcherTest.java
@@ -11,14 +11,14 @@
 import org.junit.jupiter.api.Test;
 import petrelstand.config.NodeList;
 import petrelstand.net.MemoryEndPoint;
-import petrelstand.testing.Harness;
-import petrelstand.testing.HeldEnd;
+import petrelstand.testing.BrokerFixture;
+import petrelstand.testing.HeldInputEndPoint;
 
 /** Tests the watcher against a simulated discovery agent and a simulated clock. */
 class NodeListWatcherTest {
     private static final String NEW_ADDRESS = "127.0.0.3:8600";
 
-    private final Harness harness = new Harness();
+    private final BrokerFixture harness = new BrokerFixture();
     private final List<NodeList> received = new ArrayList<>();
 
     private NodeListWatcher startWatcher(long version) {
@@ -26,7 +26,7 @@
                 harness::dial,
                 () -> harness.nowUs,
                 harness.timers,
-                Harness.ADDRESS,
+                BrokerFixture.ADDRESS,
                 "agent",
                 List.of("a"),
                 version,
@@ -46,19 +46,19 @@
     @Test
     void versionZeroIsSentAsTheIndex() {
         startWatcher(0);
-        assertTrue(harness.up().takeReceived().startsWith("GET /v1/endpoints?index=0&wait=1 HTTP/1.1"));
+        assertTrue(harness.connectLast().takeReceived().startsWith("GET /v1/endpoints?index=0&wait=1 HTTP/1.1"));
     }
 
     @Test
     void unknownVersionRequestsTheWholeList() {
         startWatcher(-1);
-        assertTrue(harness.up().takeReceived().startsWith("GET /v1/endpoints HTTP/1.1"));
+        assertTrue(harness.connectLast().takeReceived().startsWith("GET /v1/endpoints HTTP/1.1"));
     }
 
     @Test
     void nextCallIsSentRightAfterAnAnswer() {
         startWatcher(41);
-        MemoryEndPoint agent = harness.up();
+        MemoryEndPoint agent = harness.connectLast();
         agent.takeReceived();
         agent.send(listAnswer(43, false));
         assertTrue(agent.takeReceived().startsWith("GET /v1/endpoints?index=43&wait=200"));
@@ -66,8 +66,8 @@
     }
 
     /** Answers the calls with a short wait without changes; returns the agent with a call of the long wait pending. */
-    private HeldEnd answerShortWaitCalls() {
-        HeldEnd agent = harness.up();
+    private HeldInputEndPoint answerShortWaitCalls() {
+        HeldInputEndPoint agent = harness.connectLast();
         for (int i = 0; i < NodeListWatcher.SHORT_WAIT_CALLS; i++) {
             assertTrue(agent.takeReceived().contains(i == 0 ? "&wait=1 " : "&wait=200 "));
             agent.send(listAnswer(41, false));
@@ -80,12 +80,12 @@
     void silentAgentIsCalledOnNewConnectionWithin200Ms() {
         startWatcher(41);
         MemoryEndPoint silent = answerShortWaitCalls();
-        harness.run(2_599_999);
+        harness.advance(2_599_999);
         assertTrue(silent.isOpen());
-        harness.run(200_000);
+        harness.advance(200_000);
         assertFalse(silent.isOpen());
         assertTrue(
-                harness.up().takeReceived().startsWith("GET /v1/endpoints?index=41&wait=1"),
+                harness.connectLast().takeReceived().startsWith("GET /v1/endpoints?index=41&wait=1"),
                 "the 200 ms wait is reduced by the time to connect");
     }
 
@@ -106,21 +106,21 @@
          * Returns the connection if it stays usable, otherwise null.
          */
         MemoryEndPoint failCall(NodeListWatcherTest test, MemoryEndPoint kept) {
-            Harness harness = test.harness;
+            BrokerFixture harness = test.harness;
             if (kept == null && this == CONNECTION_REFUSED) {
-                harness.dialed.remove(0).connector().connectFailed(new IOException("refused"));
+                harness.pendingConnections.remove(0).connector().connectFailed(new IOException("refused"));
                 return null;
             }
             if (kept == null && this == CONNECT_HANGS) {
-                harness.dialed.remove(0);
+                harness.pendingConnections.remove(0);
                 return null;
             }
             if (kept == null && this == CONNECTED_LATE_WITHOUT_ANSWER) {
-                harness.run(NodeListWatcher.TIMEOUT_SLACK_US - 20_000);
-                harness.up();
+                harness.advance(NodeListWatcher.TIMEOUT_SLACK_US - 20_000);
+                harness.connectLast();
                 return null;
             }
-            MemoryEndPoint end = kept == null ? harness.up() : kept;
+            MemoryEndPoint end = kept == null ? harness.connectLast() : kept;
             switch (this) {
                 case RESET -> end.sendEof();
                 case STATUS_503 -> end.send("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
@@ -130,7 +130,7 @@
                     end.send("HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n");
                     for (int i = 0; i < 260 && end.isOpen(); i++) {
                         end.send(" ");
-                        harness.run(10_000);
+                        harness.advance(10_000);
                     }
                 }
                 default -> {}
@@ -164,7 +164,7 @@
         MemoryEndPoint kept = answerShortWaitCalls();
         for (int i = 0; i < failedBefore; i++) {
             kept = CallFailure.RESET.failCall(this, kept);
-            harness.run(NodeListWatcher.RETRY_DELAY_US);
+            harness.advance(NodeListWatcher.RETRY_DELAY_US);
         }
         long startedUs = harness.nowUs;
         for (CallFailure failure : List.of(first, second)) {
@@ -173,10 +173,10 @@
                 kept.takeReceived();
             }
             for (int i = 0; i < 400 && !hasNextCall(kept); i++) {
-                harness.run(10_000);
+                harness.advance(10_000);
             }
         }
-        MemoryEndPoint agent = kept == null ? harness.up() : kept;
+        MemoryEndPoint agent = kept == null ? harness.connectLast() : kept;
         assertTrue(received.stream().allMatch(list -> list.version() == 41));
         agent.send(listAnswer(42, false));
         assertEquals(42, received.get(received.size() - 1).version());
@@ -184,7 +184,9 @@
     }
 
     private boolean hasNextCall(MemoryEndPoint kept) {
-        return kept == null ? !harness.dialed.isEmpty() : kept.takeReceived().contains("GET ");
+        return kept == null
+                ? !harness.pendingConnections.isEmpty()
+                : kept.takeReceived().contains("GET ");
     }
 
     /**
@@ -208,23 +210,23 @@
         startWatcher(41);
         MemoryEndPoint agent = answerShortWaitCalls();
         while (harness.nowUs + 1000 * NodeListWatcher.LONG_WAIT_MS <= startedUs + atUs) {
-            harness.run(1000 * NodeListWatcher.LONG_WAIT_MS);
+            harness.advance(1000 * NodeListWatcher.LONG_WAIT_MS);
             agent.send(listAnswer(41, false));
             assertTrue(agent.takeReceived().contains("&wait=2000 "));
         }
-        harness.run(startedUs + atUs - harness.nowUs);
+        harness.advance(startedUs + atUs - harness.nowUs);
         long silentFromUs = harness.nowUs;
-        for (int i = 0; i < 400 && harness.dialed.isEmpty(); i++) {
-            harness.run(10_000);
+        for (int i = 0; i < 400 && harness.pendingConnections.isEmpty(); i++) {
+            harness.advance(10_000);
         }
         MemoryEndPoint kept = second.failCall(this, null);
         if (kept != null) {
             kept.takeReceived();
         }
         for (int i = 0; i < 400 && !hasNextCall(kept); i++) {
-            harness.run(10_000);
+            harness.advance(10_000);
         }
-        MemoryEndPoint next = kept == null ? harness.up() : kept;
+        MemoryEndPoint next = kept == null ? harness.connectLast() : kept;
         next.send(listAnswer(42, false));
         assertEquals(42, received.get(received.size() - 1).version());
         return harness.nowUs - silentFromUs;
@@ -245,7 +247,7 @@
                     + "\n";
             NodeListWatcherTest test = new NodeListWatcherTest();
             test.startWatcher(41);
-            HeldEnd agent = test.answerShortWaitCalls();
+            HeldInputEndPoint agent = test.answerShortWaitCalls();
             String answer = "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
             for (char c : answer.toCharArray()) {
                 agent.send(String.valueOf(c));
@@ -258,9 +260,9 @@
     @Test
     void answerThatArrivedDuringALoopStallIsDelivered() {
         startWatcher(41);
-        HeldEnd agent = answerShortWaitCalls();
+        HeldInputEndPoint agent = answerShortWaitCalls();
         harness.nowUs += 5_000_000;
-        agent.putUnread(listAnswer(42, false));
+        agent.addInputSilently(listAnswer(42, false));
         harness.timers.runDue(harness.nowUs);
         assertEquals(42, received.get(received.size() - 1).version());
         assertTrue(agent.isOpen());
@@ -277,7 +279,7 @@
                 },
                 () -> harness.nowUs,
                 harness.timers,
-                Harness.ADDRESS,
+                BrokerFixture.ADDRESS,
                 "agent",
                 List.of("a"),
                 41,
@@ -285,7 +287,7 @@
                 harness.counters,
                 harness.log::add);
         watcher.start();
-        harness.run(2_000_000);
+        harness.advance(2_000_000);
         watcher.changeAddress(NEW_ADDRESS);
         assertEquals(4, channels.size());
         assertEquals(1, channels.stream().filter(SocketChannel::isOpen).count());
@@ -295,38 +297,41 @@
     @Test
     void refusedConnectionIsRetriedWithin200Ms() {
         startWatcher(41);
-        harness.dialed.remove(0).connector().connectFailed(new IOException("refused"));
-        harness.run(199_999);
-        assertEquals(1, harness.dialed.size());
+        harness.pendingConnections.remove(0).connector().connectFailed(new IOException("refused"));
+        harness.advance(199_999);
+        assertEquals(1, harness.pendingConnections.size());
     }
 
     @Test
     void malformedListIsIgnoredAndRequestedAgain() {
         startWatcher(41);
-        MemoryEndPoint agent = harness.up();
+        MemoryEndPoint agent = harness.connectLast();
         agent.send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]");
         agent.takeReceived();
-        harness.run(150_000);
+        harness.advance(150_000);
         assertTrue(agent.takeReceived().startsWith("GET /v1/endpoints?index=41"));
         assertEquals(List.of(), received);
         agent.send("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
-        harness.run(150_000);
+        harness.advance(150_000);
         assertTrue(agent.takeReceived().startsWith("GET /v1/endpoints?index=41"));
     }
 
     private void assertOneCallAtNewAddress() {
         assertEquals(
                 "/" + NEW_ADDRESS,
-                harness.dialed.get(harness.dialed.size() - 1).address().toString());
-        assertTrue(harness.up().takeReceived().startsWith("GET /v1/endpoints?index=41&wait=200"));
-        harness.run(700_000);
-        assertEquals(0, harness.dialed.size(), "one call at a time");
+                harness.pendingConnections
+                        .get(harness.pendingConnections.size() - 1)
+                        .address()
+                        .toString());
+        assertTrue(harness.connectLast().takeReceived().startsWith("GET /v1/endpoints?index=41&wait=200"));
+        harness.advance(700_000);
+        assertEquals(0, harness.pendingConnections.size(), "one call at a time");
     }
 
     @Test
     void changedAddressIsCalledAtOnceFromTheSameVersion() {
         NodeListWatcher watcher = startWatcher(41);
-        MemoryEndPoint old = harness.up();
+        MemoryEndPoint old = harness.connectLast();
         watcher.changeAddress(NEW_ADDRESS);
         assertFalse(old.isOpen());
         assertOneCallAtNewAddress();
@@ -335,7 +340,7 @@
     @Test
     void addressChangeCancelsAPendingRetry() {
         NodeListWatcher watcher = startWatcher(41);
-        harness.dialed.remove(0).connector().connectFailed(new IOException("refused"));
+        harness.pendingConnections.remove(0).connector().connectFailed(new IOException("refused"));
         watcher.changeAddress(NEW_ADDRESS);
         assertOneCallAtNewAddress();
     }
@@ -343,7 +348,7 @@
     @Test
     void addressChangeAbandonsAConnectionAttempt() {
         NodeListWatcher watcher = startWatcher(41);
-        Harness.Dialed old = harness.dialed.remove(0);
+        BrokerFixture.PendingConnection old = harness.pendingConnections.remove(0);
         watcher.changeAddress(NEW_ADDRESS);
         assertFalse(MemoryEndPoint.open(old.connector()::connected).isOpen());
         assertOneCallAtNewAddress();
@@ -353,16 +358,16 @@
     @Test
     void unreadAnswerIsDeliveredBeforeAddressChange() {
         NodeListWatcher watcher = startWatcher(41);
-        HeldEnd old = answerShortWaitCalls();
+        HeldInputEndPoint old = answerShortWaitCalls();
         received.clear();
-        old.putUnread(listAnswer(42, false));
+        old.addInputSilently(listAnswer(42, false));
         watcher.changeAddress(NEW_ADDRESS);
         assertEquals(List.of(42L), received.stream().map(NodeList::version).toList());
         assertFalse(old.isOpen());
         assertEquals("", old.takeReceived());
-        assertEquals(1, harness.dialed.size());
-        harness.run(50_000);
-        MemoryEndPoint agent = harness.up();
+        assertEquals(1, harness.pendingConnections.size());
+        harness.advance(50_000);
+        MemoryEndPoint agent = harness.connectLast();
         assertTrue(agent.takeReceived().startsWith("GET /v1/endpoints?index=42&wait=150 "));
         agent.send(listAnswer(43, false));
         assertEquals(List.of(42L, 43L), received.stream().map(NodeList::version).toList());
@@ -377,8 +382,8 @@
                 "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{")) {
             NodeListWatcherTest test = new NodeListWatcherTest();
             NodeListWatcher watcher = test.startWatcher(41);
-            HeldEnd old = test.answerShortWaitCalls();
-            old.putUnread(badAnswer);
+            HeldInputEndPoint old = test.answerShortWaitCalls();
+            old.addInputSilently(badAnswer);
             watcher.changeAddress(NEW_ADDRESS);
             assertFalse(old.isOpen());
             test.assertOneCallAtNewAddress();
@@ -389,23 +394,23 @@
     @Test
     void addressChangeInAnOutageStartsWithAShortWait() {
         NodeListWatcher watcher = startWatcher(41);
-        HeldEnd kept = answerShortWaitCalls();
+        HeldInputEndPoint kept = answerShortWaitCalls();
         for (int i = 0; i < 5; i++) {
             CallFailure.RESET.failCall(this, i == 0 ? kept : null);
-            harness.run(NodeListWatcher.RETRY_DELAY_US);
+            harness.advance(NodeListWatcher.RETRY_DELAY_US);
         }
-        harness.dialed.clear();
+        harness.pendingConnections.clear();
         watcher.changeAddress(NEW_ADDRESS);
-        assertTrue(harness.up().takeReceived().contains("&wait=200 "));
+        assertTrue(harness.connectLast().takeReceived().contains("&wait=200 "));
     }
 
     @Test
     void changeToTheSameAddressKeepsTheCall() {
         NodeListWatcher watcher = startWatcher(41);
-        MemoryEndPoint agent = harness.up();
-        watcher.changeAddress(Harness.ADDRESS);
+        MemoryEndPoint agent = harness.connectLast();
+        watcher.changeAddress(BrokerFixture.ADDRESS);
         assertTrue(agent.isOpen());
-        assertEquals(0, harness.dialed.size());
+        assertEquals(0, harness.pendingConnections.size());
     }
 
     @Test
@@ -413,9 +418,9 @@
         NodeListWatcher watcher = startWatcher(41);
         watcher.changeAddress("127.0.0.4:8600");
         watcher.changeAddress(NEW_ADDRESS);
-        assertEquals(3, harness.dialed.size());
-        MemoryEndPoint.open(harness.dialed.remove(0).connector()::connected);
-        MemoryEndPoint.open(harness.dialed.remove(0).connector()::connected);
+        assertEquals(3, harness.pendingConnections.size());
+        MemoryEndPoint.open(harness.pendingConnections.remove(0).connector()::connected);
+        MemoryEndPoint.open(harness.pendingConnections.remove(0).connector()::connected);
         assertOneCallAtNewAddress();
     }
 }
--- a/src/test/java/petrelstand/fleet/FleetWireTest.java
+++ b/src/test/java/petrelstand/fleet/FleetWireTest.java
@@ -29,7 +29,7 @@
 import petrelstand.members.MemberState;
 import petrelstand.members.Message;
 import petrelstand.members.Message.Envelope;
-import petrelstand.testing.Harness;
+import petrelstand.testing.BrokerFixture;
 
 /** What comes by the fleet's datagrams: only whole messages with the fleet's mark are taken, the rest is counted. */
 class FleetWireTest {
@@ -177,7 +177,7 @@
         try {
             OperatorConfig.load(
                     new IniFile(folder.resolve("p.ini"), "[fleet]\n" + section),
-                    new Harness().settings,
+                    new BrokerFixture().settings,
                     Files::readString);
             return "";
         } catch (IllegalArgumentException e) {
--- a/src/test/java/petrelstand/http/BudgetsTest.java
+++ b/src/test/java/petrelstand/http/BudgetsTest.java
@@ -9,7 +9,7 @@
 import petrelstand.lifecycle.Lifecycle;
 import petrelstand.lifecycle.MemoryLimits;
 import petrelstand.net.MemoryEndPoint;
-import petrelstand.testing.Harness;
+import petrelstand.testing.BrokerFixture;
 
 /** Bodies of each kind within their bound, and all kinds together within theirs. */
 class BudgetsTest {
@@ -37,7 +37,7 @@
     /** A body belongs to its request until nothing of that is out any more, and counts as long. */
     @Test
     void bodiesOfRequestsInWorkAreBoundedAndGiveTheirRoomBack() {
-        Harness world = new Harness();
+        BrokerFixture world = new BrokerFixture();
         BodyBudgets small = new BodyBudgets(
                 new ByteBudget(1 << 20), new ByteBudget(100_000), new ByteBudget(1 << 20), new ByteBudget(1 << 20));
         NodeConnectionPool pool = new NodeConnectionPool(
@@ -52,10 +52,10 @@
         Lifecycle life = new Lifecycle(Lifecycle.Delays.of(5_000_000));
         life.startServing(world.nowUs);
         HttpFront front = new HttpFront(world.broker(pool), world.timers, 10, life, small);
-        world.list(Harness.node("s-00000001", 3, NodeState.READY, 0));
+        world.setNodes(BrokerFixture.node("s-00000001", 3, NodeState.READY, 0));
         MemoryEndPoint first = MemoryEndPoint.open(front::accept);
         first.send(write("w1"));
-        MemoryEndPoint node = world.up();
+        MemoryEndPoint node = world.connectLast();
         MemoryEndPoint second = MemoryEndPoint.open(front::accept);
         second.send(write("w2"));
         assertTrue(second.takeReceived().startsWith("HTTP/1.1 503"));
--- a/src/test/java/petrelstand/http/FrontSearchTest.java
+++ b/src/test/java/petrelstand/http/FrontSearchTest.java
@@ -18,8 +18,8 @@
 import petrelstand.decision.Scheduling.NodeListKind;
 import petrelstand.decision.Scheduling.NodeState;
 import petrelstand.lifecycle.Lifecycle;
-import petrelstand.testing.Harness;
-import petrelstand.testing.HeldEnd;
+import petrelstand.testing.BrokerFixture;
+import petrelstand.testing.HeldInputEndPoint;
 
 /**
  * Front, core, module and pool together, under orders of everything that can cross on their connections: requests
@@ -71,7 +71,7 @@
     private static final class World {
         /** A client as the world plays it. */
         private final class Client {
-            private final HeldEnd end = HeldEnd.open(front::accept);
+            private final HeldInputEndPoint end = HeldInputEndPoint.open(front::accept);
             private final Set<String> asked = new HashSet<>();
             private String rest = "";
             private int bodyLeft;
@@ -101,26 +101,26 @@
             }
         }
 
-        private final Harness world;
+        private final BrokerFixture world;
         private final NodeConnectionPool pool;
         private final Lifecycle life = new Lifecycle(Lifecycle.Delays.of(5_000_000));
         private final HttpFront front;
         private final List<Client> clients = new ArrayList<>();
         private final Map<String, Client> clientOf = new HashMap<>();
         /** Ends at the node, with the id that each has out, if any. */
-        private final Map<HeldEnd, String> nodes = new HashMap<>();
+        private final Map<HeldInputEndPoint, String> nodes = new HashMap<>();
 
-        private final List<HeldEnd> order = new ArrayList<>();
+        private final List<HeldInputEndPoint> order = new ArrayList<>();
         private boolean listed = true;
         private int next;
 
         World(boolean cancels) {
-            world = new Harness(Harness.SETTINGS.replace("caps.cancel=true", "caps.cancel=" + cancels));
+            world = new BrokerFixture(BrokerFixture.SETTINGS.replace("caps.cancel=true", "caps.cancel=" + cancels));
             pool = new NodeConnectionPool(
                     world::dial, () -> world.nowUs, world.timers, world.counters, world.settings, "backend.local", 6);
             front = new HttpFront(world.broker(pool), world.timers, 5, life);
             life.startServing(world.nowUs);
-            world.list(Harness.node("s-00000001", 3, NodeState.READY, 0));
+            world.setNodes(BrokerFixture.node("s-00000001", 3, NodeState.READY, 0));
             clients.add(new Client());
         }
 
@@ -136,7 +136,7 @@
                 }
             }
             look();
-            world.run(80_000_000);
+            world.advance(80_000_000);
             look();
             assertEquals(0, world.broker.openRequests(), "open requests");
             assertEquals(0, front.openIds(), "ids");
@@ -155,7 +155,7 @@
 
         /** What the node's ends got since the last look, and whether it was right to send it. */
         private void look() {
-            for (HeldEnd end : order) {
+            for (HeldInputEndPoint end : order) {
                 Matcher id = ID.matcher(end.takeReceived());
                 if (!end.isOpen()) {
                     nodes.put(end, "");
@@ -171,8 +171,8 @@
             }
         }
 
-        private HeldEnd busy(int pick) {
-            List<HeldEnd> busy = order.stream()
+        private HeldInputEndPoint busy(int pick) {
+            List<HeldInputEndPoint> busy = order.stream()
                     .filter(end -> end.isOpen() && !nodes.get(end).isEmpty())
                     .toList();
             return busy.isEmpty() ? null : busy.get(pick % busy.size());
@@ -180,7 +180,8 @@
 
         private void list(NodeState state, double upSinceMs) {
             listed = state == NodeState.READY;
-            world.broker.updateNodes(NodeListKind.CHANGES, List.of(Harness.node("s-00000001", 3, state, upSinceMs)));
+            world.broker.updateNodes(
+                    NodeListKind.CHANGES, List.of(BrokerFixture.node("s-00000001", 3, state, upSinceMs)));
         }
 
         private void act(Act act, int pick) {
@@ -195,7 +196,7 @@
                 }
                 case READ_UNREAD -> {
                     if (whole && !client.over && client.end.isOpen()) {
-                        client.end.putUnread(client.ask(txn, "GET", "tile-read", 0));
+                        client.end.addInputSilently(client.ask(txn, "GET", "tile-read", 0));
                     }
                 }
                 case TWO -> {
@@ -239,15 +240,18 @@
                     }
                 }
                 case UP -> {
-                    if (!world.dialed.isEmpty()) {
-                        HeldEnd end = world.up();
+                    if (!world.pendingConnections.isEmpty()) {
+                        HeldInputEndPoint end = world.connectLast();
                         nodes.put(end, "");
                         order.add(end);
                     }
                 }
                 case REFUSE_DIAL -> {
-                    if (!world.dialed.isEmpty()) {
-                        world.dialed.remove(0).connector().connectFailed(new java.io.IOException("refused"));
+                    if (!world.pendingConnections.isEmpty()) {
+                        world.pendingConnections
+                                .remove(0)
+                                .connector()
+                                .connectFailed(new java.io.IOException("refused"));
                     }
                 }
                 case SERVE -> answer(pick, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx", true);
@@ -258,7 +262,7 @@
                 case HALF_ANSWER -> answer(pick, "HTTP/1.1 200 OK\r\nContent-Length: 90000\r\n\r\nx", false);
                 case NODE_ENDS -> {
                     if (!order.isEmpty()) {
-                        HeldEnd end = order.get(pick % order.size());
+                        HeldInputEndPoint end = order.get(pick % order.size());
                         if (end.isOpen()) {
                             end.sendEof();
                             nodes.put(end, "");
@@ -274,9 +278,9 @@
                 case REMOVE -> list(NodeState.GONE, 0);
                 case RESTART -> list(NodeState.READY, 1 + pick);
                 case LIST -> list(NodeState.READY, 0);
-                case SHORT_TIME -> world.run(40_000);
-                case LONG_TIME -> world.run(700_000);
-                case LATE_TURN -> world.late(3_000_000);
+                case SHORT_TIME -> world.advance(40_000);
+                case LONG_TIME -> world.advance(700_000);
+                case LATE_TURN -> world.jumpAndRunDue(3_000_000);
                 case TERMINATE -> life.terminate(world.nowUs);
                 case CLOSE_IDLE -> front.closeIdle(1 + pick % 3);
                 case NEW_CLIENT -> clients.add(new Client());
@@ -288,7 +292,7 @@
          * The node answers; what it has out then is taken note of first, so that what follows at once is judged too.
          */
         private void answer(int pick, String text, boolean whole) {
-            HeldEnd end = busy(pick);
+            HeldInputEndPoint end = busy(pick);
             if (end != null) {
                 if (whole) {
                     nodes.put(end, "");
--- a/src/test/java/petrelstand/http/FrontTest.java
+++ b/src/test/java/petrelstand/http/FrontTest.java
@@ -19,24 +19,24 @@
 import petrelstand.decision.Scheduling.NodeState;
 import petrelstand.lifecycle.Lifecycle;
 import petrelstand.net.MemoryEndPoint;
-import petrelstand.testing.Harness;
-import petrelstand.testing.HeldEnd;
+import petrelstand.testing.BrokerFixture;
+import petrelstand.testing.HeldInputEndPoint;
 
 /** The platform's front and the pool towards the nodes, on connections in memory. */
 class FrontTest {
-    private final Harness world = new Harness();
+    private final BrokerFixture world = new BrokerFixture();
     private final NodeConnectionPool pool = new NodeConnectionPool(
             world::dial, () -> world.nowUs, world.timers, world.counters, world.settings, "backend.local", 40);
     private final Lifecycle life = new Lifecycle(Lifecycle.Delays.of(5_000_000));
     private final HttpFront front = new HttpFront(world.broker(pool), world.timers, 50, life);
-    private final HeldEnd client = HeldEnd.open(front::accept);
+    private final HeldInputEndPoint client = HeldInputEndPoint.open(front::accept);
 
     {
         life.startServing(world.nowUs);
     }
 
     private void listOne() {
-        world.list(Harness.node("s-00000001", 3, NodeState.READY, 0));
+        world.setNodes(BrokerFixture.node("s-00000001", 3, NodeState.READY, 0));
     }
 
     private static String read(int number, String more) {
@@ -70,7 +70,7 @@
     void aRequestPassesUnchangedAndSoDoesTheAnswersBody() {
         listOne();
         client.send(write("depth=17"));
-        MemoryEndPoint node = world.up();
+        MemoryEndPoint node = world.connectLast();
         String sent = node.takeReceived();
         assertTrue(sent.startsWith("PUT /survey-write/00000003b4d60021/7f3a9c21e0b4d655 HTTP/1.1\r\n"));
         assertTrue(sent.contains("X-Txn: w1\r\n") && sent.contains("Idempotency-Key: k-77\r\n"));
@@ -85,14 +85,14 @@
      */
     @Test
     void whatAnAnswerTellsOfItsVolumeReachesTheModule() {
-        Harness four = new Harness(Harness.SETTINGS.replace("balancers=1", "balancers=4"));
+        BrokerFixture four = new BrokerFixture(BrokerFixture.SETTINGS.replace("balancers=1", "balancers=4"));
         NodeConnectionPool its = new NodeConnectionPool(
                 four::dial, () -> four.nowUs, four.timers, four.counters, four.settings, "backend.local", 40);
         HttpFront front = new HttpFront(four.broker(its), four.timers, 50, life);
-        four.list(Harness.node("s-00000001", 3, NodeState.READY, 0));
-        HeldEnd end = HeldEnd.open(front::accept);
+        four.setNodes(BrokerFixture.node("s-00000001", 3, NodeState.READY, 0));
+        HeldInputEndPoint end = HeldInputEndPoint.open(front::accept);
         end.send(read(1, "").replace("hosts=1", "hosts=4"));
-        MemoryEndPoint node = four.up();
+        MemoryEndPoint node = four.connectLast();
         double before = partOfUse(four);
         node.send("HTTP/1.1 200 OK\r\nX-Iops-Used: 6400\r\nX-Rho: 12\r\nContent-Length: 0\r\n\r\n");
         double told = partOfUse(four);
@@ -105,7 +105,7 @@
         assertEquals(5, statuses(end.takeReceived()).size());
     }
 
-    private static double partOfUse(Harness world) {
+    private static double partOfUse(BrokerFixture world) {
         return world.broker.learnedState().volumes().get(0).localFraction();
     }
 
@@ -113,7 +113,7 @@
     void theQueryPassesAsItWasWritten() {
         listOne();
         client.send(read(1, ""));
-        assertTrue(world.up()
+        assertTrue(world.connectLast()
                 .takeReceived()
                 .startsWith("GET /tile-read/00000003b4d60021/7f3a9c21e0b4d655?v=%41&n=1 HTTP/1.1"));
     }
@@ -125,14 +125,14 @@
         for (char c : both.toCharArray()) {
             client.send(String.valueOf(c));
         }
-        MemoryEndPoint node = world.up();
+        MemoryEndPoint node = world.connectLast();
         assertTrue(node.takeReceived().contains("X-Txn: t1\r\n"));
         node.send(ok("one"));
         assertTrue(node.takeReceived().contains("X-Txn: t2\r\n"));
         node.send(ok("two"));
         String answers = client.takeReceived();
         assertTrue(answers.indexOf("one") > 0 && answers.indexOf("two") > answers.indexOf("one"));
-        assertEquals(0, world.dialed.size());
+        assertEquals(0, world.pendingConnections.size());
     }
 
     /**
@@ -142,16 +142,16 @@
     void theTimeOfARequestSentAheadCountsFromItsOwnLastByte() {
         listOne();
         client.send(read(1, "") + read(2, ""));
-        MemoryEndPoint node = world.up();
+        MemoryEndPoint node = world.connectLast();
         node.takeReceived();
-        world.run(600_000);
+        world.advance(600_000);
         client.send(read(3, "").substring(0, 100));
-        world.run(300_000);
+        world.advance(300_000);
         client.send(read(3, "").substring(100) + read(4, ""));
-        world.run(100_000);
+        world.advance(100_000);
         node.send(ok("one"));
         assertTrue(node.takeReceived().contains("X-Remaining-Ms: 400\r\n"), "the second came a second ago");
-        world.run(100_000);
+        world.advance(100_000);
         node.send(ok("two"));
         assertTrue(node.takeReceived().contains("X-Remaining-Ms: 1200\r\n"), "the third came whole 200 ms ago");
         node.send(ok("three"));
@@ -166,9 +166,9 @@
     void aRequestSentAheadWhoseTimeIsUpIsAnsweredAtOnceAndNotSentOn() {
         listOne();
         client.send(read(1, "") + read(2, "") + read(3, ""));
-        MemoryEndPoint node = world.up();
+        MemoryEndPoint node = world.connectLast();
         node.takeReceived();
-        world.run(1_402_000);
+        world.advance(1_402_000);
         assertEquals(3, statuses(client.takeReceived()).size());
         assertEquals(1, world.counters.get("sent"));
         assertEquals(0, world.broker.openRequests());
@@ -187,10 +187,10 @@
         for (String request : List.of(write("depth=17"), chunked)) {
             for (int cut = 1; cut < request.length(); cut++) {
                 client.send(request.substring(0, cut));
-                world.run(1_000_000);
+                world.advance(1_000_000);
                 assertEquals("", node == null ? "" : node.takeReceived(), "cut at " + cut);
                 client.send(request.substring(cut));
-                node = world.dialed.isEmpty() ? node : world.up();
+                node = world.pendingConnections.isEmpty() ? node : world.connectLast();
                 String sent = node.takeReceived();
                 assertTrue(
                         sent.contains("X-Remaining-Ms: 2000\r\n") && sent.endsWith("\r\n\r\ndepth=17"),
@@ -206,20 +206,21 @@
      */
     @Test
     void aFurtherAttemptTellsItsNodeWhatIsLeftToTheClient() {
-        world.list(
-                Harness.node("s-00000001", 3, NodeState.READY, 0), Harness.node("s-00000002", 3, NodeState.READY, 0));
+        world.setNodes(
+                BrokerFixture.node("s-00000001", 3, NodeState.READY, 0),
+                BrokerFixture.node("s-00000002", 3, NodeState.READY, 0));
         client.send(read(1, ""));
-        MemoryEndPoint first = world.up();
+        MemoryEndPoint first = world.connectLast();
         assertTrue(first.takeReceived().contains("X-Remaining-Ms: 1400\r\n"));
-        world.run(100_000);
+        world.advance(100_000);
         first.send("HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
-        for (int i = 0; i < 600 && world.dialed.isEmpty(); i++) {
-            world.run(1_000);
+        for (int i = 0; i < 600 && world.pendingConnections.isEmpty(); i++) {
+            world.advance(1_000);
         }
-        world.run(200_000);
+        world.advance(200_000);
         long begunUs = world.nowUs;
-        Matcher told =
-                Pattern.compile("X-Remaining-Ms: (\\d+)\r\n").matcher(world.up().takeReceived());
+        Matcher told = Pattern.compile("X-Remaining-Ms: (\\d+)\r\n")
+                .matcher(world.connectLast().takeReceived());
         assertTrue(told.find());
         long leftMs = (1_000_000_000L + 1_400_000 - begunUs) / 1000;
         assertTrue(leftMs <= 1_100 && Long.parseLong(told.group(1)) <= leftMs, told.group(1) + " of " + leftMs);
@@ -229,27 +230,29 @@
     @Test
     void aReloadAndADrainInOneTurnLeaveTheNodeAlone() {
         for (boolean drainFirst : new boolean[] {true, false}) {
-            Harness other = new Harness();
+            BrokerFixture other = new BrokerFixture();
             NodeConnectionPool its = new NodeConnectionPool(
                     other::dial, () -> other.nowUs, other.timers, other.counters, other.settings, "backend.local", 40);
             HttpFront front = new HttpFront(other.broker(its), other.timers, 50, life);
-            other.list(Harness.node("s-00000001", 3, NodeState.READY, 0));
-            HeldEnd end = HeldEnd.open(front::accept);
+            other.setNodes(BrokerFixture.node("s-00000001", 3, NodeState.READY, 0));
+            HeldInputEndPoint end = HeldInputEndPoint.open(front::accept);
             end.send(read(1, ""));
-            Harness.Dialed before = other.dialed.remove(0);
-            List<Node> drains = List.of(Harness.node("s-00000001", 3, NodeState.DRAINING, 0));
+            BrokerFixture.PendingConnection before = other.pendingConnections.remove(0);
+            List<Node> drains = List.of(BrokerFixture.node("s-00000001", 3, NodeState.DRAINING, 0));
             if (drainFirst) {
                 other.broker.updateNodes(NodeListKind.CHANGES, drains);
             }
             other.broker.updateSettings(
-                    new Harness(Harness.SETTINGS.replace("caps.most_tries=3", "caps.most_tries=2")).settings);
+                    new BrokerFixture(BrokerFixture.SETTINGS.replace("caps.most_tries=3", "caps.most_tries=2"))
+                            .settings);
             if (!drainFirst) {
                 other.broker.updateNodes(NodeListKind.CHANGES, drains);
             }
-            assertEquals("", HeldEnd.open(before.connector()::connected).takeReceived());
+            assertEquals(
+                    "", HeldInputEndPoint.open(before.connector()::connected).takeReceived());
             end.send(read(2, ""));
-            other.run(2_000_000);
-            assertEquals(0, other.dialed.size());
+            other.advance(2_000_000);
+            assertEquals(0, other.pendingConnections.size());
             assertEquals(0, other.broker.requestCounts().attempts());
             assertEquals(2, statuses(end.takeReceived()).size());
         }
@@ -262,20 +265,20 @@
     void anIdleConnectionThatEndsReadsWhatCrossesItsEndAndSendsNothingOn() {
         listOne();
         client.send(read(1, ""));
-        MemoryEndPoint node = world.up();
+        MemoryEndPoint node = world.connectLast();
         node.send(ok("one"));
         client.takeReceived();
         life.terminate(world.nowUs);
-        world.run(600_000);
+        world.advance(600_000);
         front.closeIdle(9);
         assertTrue(client.isOutputShutdown() && client.isOpen());
         assertEquals(0, front.connectionsDelayingExit(), "the end of the process does not wait for it");
         client.send(read(2, ""));
-        world.run(400_000);
+        world.advance(400_000);
         client.send(read(3, ""));
-        world.run(499_000);
+        world.advance(499_000);
         assertTrue(client.isOpen(), "bytes came, so it listens on");
-        world.run(502_000);
+        world.advance(502_000);
         assertFalse(client.isOpen());
         assertEquals("", client.takeReceived());
         assertEquals(1, world.counters.get("sent"));
@@ -285,12 +288,12 @@
     void aRequestThatArrivedUnreadByTheEndOfAnIdleConnectionIsStillTaken() {
         listOne();
         client.send(read(1, ""));
-        MemoryEndPoint node = world.up();
+        MemoryEndPoint node = world.connectLast();
         node.send(ok("one"));
         client.takeReceived();
-        client.putUnread(read(2, ""));
+        client.addInputSilently(read(2, ""));
         life.terminate(world.nowUs);
-        world.run(600_000);
+        world.advance(600_000);
         front.closeIdle(9);
         assertFalse(client.isOutputShutdown());
         node.send(ok("two"));
@@ -302,18 +305,18 @@
     @Test
     void whatCameWhileTheLoopStoodStillIsReadBeforeTheTimeIsUp() {
         listOne();
-        client.putUnread(read(1, ""));
-        world.late(3_000_000);
+        client.addInputSilently(read(1, ""));
+        world.jumpAndRunDue(3_000_000);
         assertEquals(1, world.broker.openRequests());
-        HeldEnd half = HeldEnd.open(front::accept);
+        HeldInputEndPoint half = HeldInputEndPoint.open(front::accept);
         half.send(read(2, "").substring(0, 80));
-        half.putUnread(read(2, "").substring(80));
-        world.late(3_000_000);
+        half.addInputSilently(read(2, "").substring(80));
+        world.jumpAndRunDue(3_000_000);
         assertEquals(2, world.counters.get("taken.tile-read"));
-        HeldEnd slow = HeldEnd.open(front::accept);
+        HeldInputEndPoint slow = HeldInputEndPoint.open(front::accept);
         slow.send(read(3, "").substring(0, 80));
-        slow.putUnread("X");
-        world.late(3_000_000);
+        slow.addInputSilently("X");
+        world.jumpAndRunDue(3_000_000);
         assertEquals(List.of("408"), statuses(slow.takeReceived()), "half a request is half a request");
     }
 
@@ -325,7 +328,7 @@
             long gone = world.counters.get("client_gone");
             MemoryEndPoint end = MemoryEndPoint.open(front::accept);
             end.send(read(bytes, ""));
-            world.dialed.clear();
+            world.pendingConnections.clear();
             for (int sent = 0; sent < bytes; sent += 5_000) {
                 end.send("x".repeat(5_000));
             }
@@ -362,7 +365,7 @@
     void requestsSentAheadAreAnsweredInTurnUpToTheBoundAndEndTheConnectionBeyondIt() {
         listOne();
         client.send(read(1, ""));
-        MemoryEndPoint node = world.up();
+        MemoryEndPoint node = world.connectLast();
         int ahead = 0;
         StringBuilder more = new StringBuilder();
         while (more.length() < 60_000) {
@@ -390,15 +393,16 @@
     /** Guards against an attempt that begins when nobody waits for it, where settings forbid to cancel one. */
     @Test
     void whatNobodyWaitsForIsNotBegunOnAConnectionThatComesUpLate() {
-        Harness other = new Harness(Harness.SETTINGS.replace("caps.cancel=true", "caps.cancel=false"));
+        BrokerFixture other =
+                new BrokerFixture(BrokerFixture.SETTINGS.replace("caps.cancel=true", "caps.cancel=false"));
         NodeConnectionPool its = new NodeConnectionPool(
                 other::dial, () -> other.nowUs, other.timers, other.counters, other.settings, "backend.local", 40);
         HttpFront front = new HttpFront(other.broker(its), other.timers, 50, life);
-        other.list(Harness.node("s-00000001", 3, NodeState.READY, 0));
+        other.setNodes(BrokerFixture.node("s-00000001", 3, NodeState.READY, 0));
         MemoryEndPoint gone = MemoryEndPoint.open(front::accept);
         gone.send(read(1, ""));
         gone.sendEof();
-        MemoryEndPoint node = other.up();
+        MemoryEndPoint node = other.connectLast();
         assertEquals("", node.takeReceived());
         assertTrue(node.isOpen(), "it is there for the next");
         MemoryEndPoint next = MemoryEndPoint.open(front::accept);
@@ -409,20 +413,20 @@
     /** Guards against a connect time-out over the drain's grace: settings may have any. */
     @Test
     void nothingBeginsAtANodeThatWasToldToDrainOrGoneWhileItsConnectionCameUp() {
-        Node listed = Harness.node("s-00000001", 3, NodeState.READY, 0);
+        Node listed = BrokerFixture.node("s-00000001", 3, NodeState.READY, 0);
         for (Node change : List.of(
-                Harness.node("s-00000001", 3, NodeState.DRAINING, 0),
+                BrokerFixture.node("s-00000001", 3, NodeState.DRAINING, 0),
                 listed.asGone(),
-                Harness.node("s-00000001", 3, NodeState.READY, world.nowUs / 1000.0))) {
-            Harness other = new Harness();
+                BrokerFixture.node("s-00000001", 3, NodeState.READY, world.nowUs / 1000.0))) {
+            BrokerFixture other = new BrokerFixture();
             NodeConnectionPool its = new NodeConnectionPool(
                     other::dial, () -> other.nowUs, other.timers, other.counters, other.settings, "backend.local", 40);
             HttpFront front = new HttpFront(other.broker(its), other.timers, 50, life);
-            other.list(listed);
+            other.setNodes(listed);
             MemoryEndPoint end = MemoryEndPoint.open(front::accept);
             end.send(read(1, ""));
             other.broker.updateNodes(NodeListKind.CHANGES, List.of(change));
-            assertEquals("", other.up().takeReceived(), change.toString());
+            assertEquals("", other.connectLast().takeReceived(), change.toString());
             assertEquals(1, other.counters.get("outcome.not_connected"));
         }
     }
@@ -491,7 +495,7 @@
     void anIdThatAnOpenRequestCarriesIsAnErrorUntilThatOneIsOver() {
         listOne();
         client.send(read(1, ""));
-        MemoryEndPoint node = world.up();
+        MemoryEndPoint node = world.connectLast();
         MemoryEndPoint other = MemoryEndPoint.open(front::accept);
         other.send(read(1, ""));
         assertEquals(List.of("409"), statuses(other.takeReceived()));
@@ -512,24 +516,24 @@
         long until = world.nowUs + HttpFront.LINGER_MOST_US;
         while (world.nowUs < until - HttpFront.LINGER_US) {
             client.sendBytes(part);
-            world.run(HttpFront.LINGER_US / 2);
+            world.advance(HttpFront.LINGER_US / 2);
             assertTrue(client.isOpen(), "closed while it sends, so that a reset may lose the error");
         }
         client.sendBytes(part);
-        world.run(HttpFront.LINGER_US);
+        world.advance(HttpFront.LINGER_US);
         assertFalse(client.isOpen(), "a client that sends without end is let go");
     }
 
     @Test
     void aSilentClientIsClosedAndHalfARequestIsToldWithin3Seconds() {
-        HeldEnd half = HeldEnd.open(front::accept);
+        HeldInputEndPoint half = HeldInputEndPoint.open(front::accept);
         half.send(read(1, "").substring(0, 60));
-        world.run(2_400_000);
+        world.advance(2_400_000);
         assertTrue(client.isOpen() && half.isOpen());
-        world.run(600_000);
+        world.advance(600_000);
         assertFalse(client.isOpen());
         assertEquals(List.of("408"), statuses(half.takeReceived()));
-        world.run(HttpFront.LINGER_US);
+        world.advance(HttpFront.LINGER_US);
         assertFalse(half.isOpen());
         assertEquals(0, front.connectionCount());
     }
@@ -537,7 +541,7 @@
     @Test
     void aKeptConnectionMayStayIdleForLong() {
         client.send(read(1, ""));
-        world.run(60_000_000);
+        world.advance(60_000_000);
         assertTrue(client.isOpen());
     }
 
@@ -547,7 +551,7 @@
         for (int i = 0; i < 49; i++) {
             MemoryEndPoint.open(front::accept);
         }
-        world.run(HttpFront.SILENT_US);
+        world.advance(HttpFront.SILENT_US);
         for (int i = 0; i < 40; i++) {
             MemoryEndPoint.open(front::accept);
         }
@@ -590,13 +594,13 @@
             FrontTest fresh = new FrontTest();
             fresh.listOne();
             fresh.client.send(read(1, ""));
-            MemoryEndPoint node = fresh.world.up();
+            MemoryEndPoint node = fresh.world.connectLast();
             node.takeReceived();
             node.send(answer);
             assertEquals(1, fresh.world.counters.get("outcome.error"), answer);
             assertFalse(node.isOpen(), answer);
             assertEquals(List.of(), statuses(fresh.client.takeReceived()), answer);
-            assertEquals(fresh.world.dialed.size(), fresh.pool.connectionCount(), answer);
+            assertEquals(fresh.world.pendingConnections.size(), fresh.pool.connectionCount(), answer);
         }
     }
 
@@ -616,7 +620,7 @@
             FrontTest fresh = new FrontTest();
             fresh.listOne();
             fresh.client.send(read(1, ""));
-            MemoryEndPoint node = fresh.world.up();
+            MemoryEndPoint node = fresh.world.connectLast();
             node.send(answer);
             String served = fresh.client.takeReceived();
             assertTrue(served.startsWith("HTTP/1.1 200") && served.endsWith("\r\n\r\ngood"), answer);
@@ -630,12 +634,12 @@
     void whatFollowsAnAnswerLaterIsNoAnswerToTheNextRequest() {
         listOne();
         client.send(read(1, ""));
-        MemoryEndPoint node = world.up();
+        MemoryEndPoint node = world.connectLast();
         node.send(ok("one"));
         node.addInput(org.eclipse.jetty.util.BufferUtil.toBuffer(ok("one")));
         client.send(read(2, ""));
         assertFalse(node.isOpen());
-        world.up().send(ok("two"));
+        world.connectLast().send(ok("two"));
         assertTrue(client.takeReceived().endsWith("two"));
     }
 
@@ -643,14 +647,14 @@
     void anAnswerThatBeginsAndStopsEndsAsAnErrorAndOneThatGoesOnIsAwaited() {
         listOne();
         client.send(read(1, ""));
-        MemoryEndPoint node = world.up();
+        MemoryEndPoint node = world.connectLast();
         node.send("HTTP/1.1 200 OK\r\nContent-Length: 50000\r\n\r\n");
         for (int i = 0; i < 5; i++) {
-            world.run(NodeConnectionPool.STALL_US - 1000);
+            world.advance(NodeConnectionPool.STALL_US - 1000);
             node.send("part");
         }
         assertTrue(node.isOpen());
-        world.run(2 * NodeConnectionPool.STALL_US);
+        world.advance(2 * NodeConnectionPool.STALL_US);
         assertEquals(1, world.counters.get("outcome.error"));
         assertFalse(node.isOpen());
     }
@@ -659,7 +663,7 @@
     void aRequestThatItsNodeKnowsToBeOverIsRefusedWithoutAnotherAttempt() {
         listOne();
         client.send(read(1, ""));
-        world.up().send("HTTP/1.1 504 Over\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
+        world.connectLast().send("HTTP/1.1 504 Over\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
         assertEquals(List.of("503"), statuses(client.takeReceived()));
         assertEquals(1, world.counters.get("sent"));
     }
@@ -671,7 +675,7 @@
     void anAnswerThatEndsWithItsConnectionIsWholeWhereItsNodeSaysSo() {
         listOne();
         client.send(read(1, ""));
-        MemoryEndPoint node = world.up();
+        MemoryEndPoint node = world.connectLast();
         node.send("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nto the ");
         assertEquals("", client.takeReceived());
         node.send("end");
@@ -679,9 +683,9 @@
         assertTrue(client.takeReceived().endsWith("Content-Length: 10\r\n\r\nto the end"));
         assertFalse(node.isOpen());
         client.send(read(2, ""));
-        world.up().send("HTTP/1.1 200 OK\r\n\r\nto the ");
+        world.connectLast().send("HTTP/1.1 200 OK\r\n\r\nto the ");
         assertEquals(1, world.counters.get("outcome.error"));
-        MemoryEndPoint large = world.up();
+        MemoryEndPoint large = world.connectLast();
         large.send("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + "z".repeat(70_000));
         assertTrue(client.takeReceived().contains("Transfer-Encoding: chunked\r\n"));
         large.sendEof();
@@ -693,24 +697,24 @@
     void aLargeAnswerThatStopsOrBreaksLeavesItsClientAConnectionThatBreaks() {
         listOne();
         client.send(read(1, ""));
-        MemoryEndPoint node = world.up();
+        MemoryEndPoint node = world.connectLast();
         node.send("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\npart");
         assertEquals("", client.takeReceived());
-        world.run(NodeConnectionPool.GATHER_US);
+        world.advance(NodeConnectionPool.GATHER_US);
         assertTrue(client.takeReceived().endsWith("Content-Length: 100000\r\n\r\npart"));
         for (int i = 0; i < 3; i++) {
-            world.run(NodeConnectionPool.PIECE_STALL_US - 1);
+            world.advance(NodeConnectionPool.PIECE_STALL_US - 1);
             node.send("part");
             assertEquals("part", client.takeReceived());
         }
-        world.run(2 * NodeConnectionPool.PIECE_STALL_US);
+        world.advance(2 * NodeConnectionPool.PIECE_STALL_US);
         assertFalse(node.isOpen());
         assertFalse(client.isOpen());
         assertEquals(1, world.broker.requestCounts().count("tile-read", RequestResult.FAILED));
         assertEquals(0, front.answeringCount());
         MemoryEndPoint second = MemoryEndPoint.open(front::accept);
         second.send(read(2, ""));
-        MemoryEndPoint other = world.up();
+        MemoryEndPoint other = world.connectLast();
         other.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n18000\r\n" + "z".repeat(0x18000) + "\r\n");
         assertTrue(second.takeReceived().length() > 0x18000);
         other.sendEof();
@@ -725,10 +729,10 @@
         listOne();
         String large = "0123456789abcdef".repeat(25_000);
         client.send(read(1, ""));
-        world.up().send(ok(large));
+        world.connectLast().send(ok(large));
         assertTrue(client.takeReceived().endsWith("\r\n\r\n" + large));
         client.send(read(2, ""));
-        MemoryEndPoint node = world.dialed.isEmpty() ? null : world.up();
+        MemoryEndPoint node = world.pendingConnections.isEmpty() ? null : world.connectLast();
         assertEquals(null, node, "the connection is kept");
     }
 
@@ -757,19 +761,19 @@
         for (int i = 0; i < 16; i++) {
             client.send("1000\r\n" + "z".repeat(4096) + "\r\n");
         }
-        assertEquals(0, world.dialed.size());
+        assertEquals(0, world.pendingConnections.size());
         client.send("1000\r\n" + "z".repeat(4096) + "\r\n");
-        MemoryEndPoint node = world.up();
+        MemoryEndPoint node = world.connectLast();
         assertTrue(node.takeReceived().contains("Transfer-Encoding: chunked\r\n"));
         // Its time begins with its last byte: more than its class has may pass before.
         for (int i = 0; i < 4; i++) {
-            world.run(1_000_000);
+            world.advance(1_000_000);
             client.send("8000\r\n" + "y".repeat(0x8000) + "\r\n");
             assertTrue(node.takeReceived().contains("y".repeat(0x1000)));
         }
         client.send("0\r\n\r\n");
         assertTrue(node.takeReceived().endsWith("0\r\n\r\n"));
-        world.run(1_900_000);
+        world.advance(1_900_000);
         node.send(ok("stored"));
         assertTrue(client.takeReceived().endsWith("stored"));
         assertEquals(1, world.broker.requestCounts().attempts());
@@ -783,12 +787,12 @@
         listOne();
         client.send(write("").replace("Content-Length: 0", "Content-Length: 200000") + "z".repeat(20_000));
         client.send("z".repeat(180_000));
-        world.run(240_000);
-        MemoryEndPoint node = world.up();
+        world.advance(240_000);
+        MemoryEndPoint node = world.connectLast();
         assertTrue(node.takeReceived().endsWith("z"));
-        world.run(1_759_999);
+        world.advance(1_759_999);
         assertEquals("", client.takeReceived());
-        world.run(1);
+        world.advance(1);
         assertEquals(List.of("504"), statuses(client.takeReceived()));
     }
 
@@ -797,16 +801,16 @@
         listOne();
         String large = write("").replace("Content-Length: 0", "Content-Length: 200000") + "z".repeat(20_000);
         client.send(large);
-        MemoryEndPoint node = world.up();
-        world.run(HttpFront.REQUEST_US);
+        MemoryEndPoint node = world.connectLast();
+        world.advance(HttpFront.REQUEST_US);
         assertEquals(List.of("408"), statuses(client.takeReceived()));
         assertFalse(node.isOpen());
-        HeldEnd slow = HeldEnd.open(front::accept);
+        HeldInputEndPoint slow = HeldInputEndPoint.open(front::accept);
         slow.send(
                 write("").replace("Content-Length: 0", "Content-Length: 60000").replace("w1", "w2"));
         for (int i = 0; i < 100 && slow.takeReceived().isEmpty(); i++) {
             slow.send("x".repeat(400));
-            world.run(100_000);
+            world.advance(100_000);
         }
         assertEquals(0, world.broker.requestCounts().attempts());
         assertEquals(0, world.broker.openRequests());
@@ -817,11 +821,11 @@
     void aLargeBodyThatIsTurnedAwayBeforeItIsWholeIsRefusedAndItsRestDropped() {
         listOne();
         client.send(write("").replace("Content-Length: 0", "Content-Length: 200000") + "z".repeat(50_000));
-        world.up().send("HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
+        world.connectLast().send("HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
         assertEquals(List.of("503"), statuses(client.takeReceived()));
         for (int i = 0; i < 20; i++) {
             client.sendBytes(new byte[4_000]);
-            world.run(HttpFront.LINGER_US - 1);
+            world.advance(HttpFront.LINGER_US - 1);
         }
         assertTrue(client.isOpen());
         assertEquals("", client.takeReceived());
@@ -839,7 +843,7 @@
     void aClientThatClosesGivesUpItsAttempt() {
         listOne();
         client.send(read(1, ""));
-        MemoryEndPoint node = world.up();
+        MemoryEndPoint node = world.connectLast();
         client.sendEof();
         assertFalse(node.isOpen());
         assertEquals(0, world.broker.openRequests());
@@ -851,7 +855,7 @@
     void aNodeThatBreaksBeforeItsAnswerIsAReset() {
         listOne();
         client.send(read(1, ""));
-        MemoryEndPoint node = world.up();
+        MemoryEndPoint node = world.connectLast();
         node.send("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
         node.sendEof();
         assertEquals(1, world.counters.get("outcome.reset"));
@@ -872,7 +876,7 @@
             FrontTest fresh = new FrontTest();
             fresh.listOne();
             fresh.client.send(read(1, ""));
-            fresh.world.up().send(one[1]);
+            fresh.world.connectLast().send(one[1]);
             assertEquals(1, fresh.world.counters.get("outcome." + one[0]), one[1]);
         }
     }
@@ -881,19 +885,19 @@
     void aConnectionThatNeverComesUpIsNotConnectedAfterTheSettingsTime() {
         listOne();
         client.send(read(1, ""));
-        world.run(249_999);
+        world.advance(249_999);
         assertEquals(0, world.counters.get("outcome.not_connected"));
-        world.run(1);
+        world.advance(1);
         assertEquals(1, world.counters.get("outcome.not_connected"));
-        assertEquals(world.dialed.size() - 1, pool.connectionCount());
+        assertEquals(world.pendingConnections.size() - 1, pool.connectionCount());
     }
 
     @Test
     void aConnectionThatComesUpTooLateIsClosed() {
         listOne();
         client.send(read(1, ""));
-        Harness.Dialed first = world.dialed.remove(0);
-        world.run(2_000_000);
+        BrokerFixture.PendingConnection first = world.pendingConnections.remove(0);
+        world.advance(2_000_000);
         assertFalse(MemoryEndPoint.open(first.connector()::connected).isOpen());
         assertEquals(0, pool.connectionCount());
     }
@@ -902,8 +906,8 @@
     void aTimedOutAttemptClosesItsConnectionAndItsAnswerIsDropped() {
         listOne();
         client.send(read(1, ""));
-        MemoryEndPoint node = world.up();
-        world.run(1_500_000);
+        MemoryEndPoint node = world.connectLast();
+        world.advance(1_500_000);
         assertFalse(node.isOpen());
         assertEquals(1, statuses(client.takeReceived()).size());
         assertEquals(1, world.counters.get("outcome.timed_out"));
@@ -913,27 +917,27 @@
     void aConnectionIsNotUsedAgainCloseToTheIdleLimit() {
         listOne();
         client.send(read(1, ""));
-        MemoryEndPoint node = world.up();
+        MemoryEndPoint node = world.connectLast();
         node.send(ok("x"));
-        world.run(11_000_000);
+        world.advance(11_000_000);
         client.send(read(2, ""));
-        assertEquals(0, world.dialed.size());
+        assertEquals(0, world.pendingConnections.size());
         node.send(ok("x"));
-        world.run(13_000_001);
+        world.advance(13_000_001);
         assertFalse(node.isOpen());
         client.send(read(3, ""));
-        assertEquals(1, world.dialed.size());
+        assertEquals(1, world.pendingConnections.size());
     }
 
     @Test
     void aNodeThatClosesAnIdleConnectionCostsNoRequest() {
         listOne();
         client.send(read(1, ""));
-        MemoryEndPoint node = world.up();
+        MemoryEndPoint node = world.connectLast();
         node.send(ok("x"));
         node.sendEof();
         client.send(read(2, ""));
-        world.up().send(ok("y"));
+        world.connectLast().send(ok("y"));
         assertEquals(List.of("200", "200"), statuses(client.takeReceived()));
     }
 
@@ -941,9 +945,9 @@
     void aRestartedNodesOldConnectionsAreNotUsed() {
         listOne();
         client.send(read(1, ""));
-        MemoryEndPoint node = world.up();
+        MemoryEndPoint node = world.connectLast();
         node.send(ok("x"));
-        world.list(Harness.node("s-00000001", 3, NodeState.READY, 900_000));
+        world.setNodes(BrokerFixture.node("s-00000001", 3, NodeState.READY, 900_000));
         assertFalse(node.isOpen());
     }
 
@@ -951,34 +955,35 @@
     void aNodeThatMovedIsReachedAtItsNewAddress() {
         listOne();
         client.send(read(1, ""));
-        MemoryEndPoint old = world.up();
+        MemoryEndPoint old = world.connectLast();
         old.send(ok("x"));
-        Node listed = Harness.node("s-00000001", 3, NodeState.READY, 0);
-        world.list(new Node(listed.name(), "127.0.0.2:9002", listed.entry()));
+        Node listed = BrokerFixture.node("s-00000001", 3, NodeState.READY, 0);
+        world.setNodes(new Node(listed.name(), "127.0.0.2:9002", listed.entry()));
         assertFalse(old.isOpen());
         client.send(read(2, ""));
-        assertEquals("/127.0.0.2:9002", world.dialed.get(0).address().toString());
+        assertEquals(
+                "/127.0.0.2:9002", world.pendingConnections.get(0).address().toString());
     }
 
     @Test
     void aRemovedNodeAndOneThatAWholeListLeavesOutGetNothing() {
         listOne();
-        world.broker.updateNodes(NodeListKind.CHANGES, List.of(Harness.node("s-00000001", 3, NodeState.GONE, 0)));
+        world.broker.updateNodes(NodeListKind.CHANGES, List.of(BrokerFixture.node("s-00000001", 3, NodeState.GONE, 0)));
         client.send(read(1, ""));
         listOne();
-        world.list(Harness.node("s-00000002", 4, NodeState.READY, 0));
+        world.setNodes(BrokerFixture.node("s-00000002", 4, NodeState.READY, 0));
         client.send(read(2, ""));
-        assertEquals(List.of(), world.dialed);
+        assertEquals(List.of(), world.pendingConnections);
         assertEquals(List.of("503", "503"), statuses(client.takeReceived()));
     }
 
     @Test
     void aKnownListThatWasStaleGivesWayToTheWholeOne() {
-        world.broker.updateNodes(NodeListKind.CACHED, List.of(Harness.node("s-00000009", 3, NodeState.READY, 0)));
+        world.broker.updateNodes(NodeListKind.CACHED, List.of(BrokerFixture.node("s-00000009", 3, NodeState.READY, 0)));
         listOne();
         client.send(read(1, ""));
-        assertEquals(1, world.dialed.size());
-        world.up().send(ok("x"));
+        assertEquals(1, world.pendingConnections.size());
+        world.connectLast().send(ok("x"));
         assertEquals(List.of("200"), statuses(client.takeReceived()));
     }
 
@@ -987,14 +992,14 @@
         listOne();
         client.send(read(1, ""));
         MemoryEndPoint idle = MemoryEndPoint.open(front::accept);
-        MemoryEndPoint node = world.up();
+        MemoryEndPoint node = world.connectLast();
         life.terminate(world.nowUs);
         idle.send("GET /ready HTTP/1.1\r\nHost: b\r\n\r\n");
         assertEquals(List.of("503"), statuses(idle.takeReceived()));
         MemoryEndPoint between = MemoryEndPoint.open(front::accept);
         front.closeIdle(9);
         assertTrue(between.isOpen());
-        world.run(600_000);
+        world.advance(600_000);
         front.closeIdle(9);
         assertTrue(between.isOutputShutdown());
         between.send(read(7, ""));
@@ -1036,13 +1041,13 @@
     @Test
     void aProbeBringsTheLoadReportOrItsTimeOut() {
         List<String> ends = new ArrayList<>();
-        Node node = Harness.node("s-00000001", 3, NodeState.READY, 0);
+        Node node = BrokerFixture.node("s-00000001", 3, NodeState.READY, 0);
         pool.probe(node, 250_000, (outcome, load) -> ends.add(outcome + " " + load));
-        MemoryEndPoint end = world.up();
+        MemoryEndPoint end = world.connectLast();
         assertTrue(end.takeReceived().startsWith("GET /status/load HTTP/1.1\r\n"));
         end.send(ok("TEXT util=0.61, queue=2"));
         pool.probe(node, 250_000, (outcome, load) -> ends.add(outcome + " " + load));
-        world.run(250_000);
+        world.advance(250_000);
         assertEquals(List.of("SERVED {util=0.61, queue=2.0}", "TIMED_OUT {}"), ends);
         assertFalse(end.isOpen());
         assertEquals(0, pool.connectionCount());
@@ -1096,8 +1101,8 @@
                     unsent.delete(0, length);
                 }
                 case 5, 6, 7, 9, 10, 11, 12 -> {
-                    while (!test.world.dialed.isEmpty()) {
-                        nodes.add(test.world.up());
+                    while (!test.world.pendingConnections.isEmpty()) {
+                        nodes.add(test.world.connectLast());
                     }
                     nodes.forEach(node -> answer(node, step));
                 }
@@ -1115,9 +1120,9 @@
         // Half a request is told that it did not come whole.
         int whole = open ? asked - (unsent.length() + length - 1) / length + (unsent.length() % length > 0 ? 1 : 0) : 0;
         for (int i = 0; i < asked && asked < 10; i++) {
-            test.world.run(1_500_000);
+            test.world.advance(1_500_000);
         }
-        test.world.run(asked < 10 ? HttpFront.REQUEST_US : 0);
+        test.world.advance(asked < 10 ? HttpFront.REQUEST_US : 0);
         got.append(test.client.takeReceived());
         assertEquals(0, test.world.broker.openRequests());
         if (open && asked < 10) {
--- a/src/test/java/petrelstand/http/IdleConnectionMemoryTest.java
+++ b/src/test/java/petrelstand/http/IdleConnectionMemoryTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.api.Test;
 import petrelstand.lifecycle.Lifecycle;
 import petrelstand.net.MemoryEndPoint;
-import petrelstand.testing.Harness;
-import petrelstand.testing.HeldEnd;
+import petrelstand.testing.BrokerFixture;
+import petrelstand.testing.HeldInputEndPoint;
 
 /** What a connection that has spoken and now rests keeps on the heap, on either side, its end point included. */
 class IdleConnectionMemoryTest {
@@ -25,7 +25,7 @@
     /** A head that is near the bound: what a parser grew for it must not stay either. */
     private static final String LONG_FIELD = "X-Long: " + "x".repeat(7000) + "\r\n";
 
-    private final Harness world = new Harness();
+    private final BrokerFixture world = new BrokerFixture();
     private final NodeConnectionPool pool = new NodeConnectionPool(
             world::dial, () -> world.nowUs, world.timers, world.counters, world.settings, "backend.local", CONNECTIONS);
     private final Lifecycle life = new Lifecycle(Lifecycle.Delays.of(5_000_000));
@@ -122,7 +122,7 @@
     @Test
     void aNodesRestingConnectionThatWasSentBytesIsNotUsedAgain() {
         List<UpstreamConnection> connections = new ArrayList<>();
-        HeldEnd node = HeldEnd.open(end -> {
+        HeldInputEndPoint node = HeldInputEndPoint.open(end -> {
             connections.add(new UpstreamConnection(
                     end, NodeConnectionPool.MOST_ANSWER, new ByteBudget(1 << 20), (c, free) -> {}));
             return connections.get(0);
@@ -132,7 +132,7 @@
         node.send("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
         assertEquals("done", answered[0]);
         assertTrue(connections.get(0).quiet());
-        node.putUnread("H");
+        node.addInputSilently("H");
         assertFalse(connections.get(0).quiet());
         assertFalse(node.isOpen());
     }
--- a/src/test/java/petrelstand/http/RehearsalTest.java
+++ b/src/test/java/petrelstand/http/RehearsalTest.java
@@ -3,11 +3,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import org.junit.jupiter.api.Test;
-import petrelstand.testing.Harness;
+import petrelstand.testing.BrokerFixture;
 
 class RehearsalTest {
     @Test
     void theRehearsalServesWhatItPlays() {
-        assertEquals(60, JvmWarmUp.run(new Harness().settings, 60));
+        assertEquals(60, JvmWarmUp.run(new BrokerFixture().settings, 60));
     }
 }
--- a/src/test/java/petrelstand/operation/OperatorDoorTest.java
+++ b/src/test/java/petrelstand/operation/OperatorDoorTest.java
@@ -11,11 +11,11 @@
 import petrelstand.net.MemoryEndPoint;
 import petrelstand.operation.OperatorDoor.Answer;
 import petrelstand.operation.OperatorDoor.Call;
-import petrelstand.testing.Harness;
+import petrelstand.testing.BrokerFixture;
 
 /** The operators' address on connections in memory. */
 class OperatorDoorTest {
-    private final Harness world = new Harness();
+    private final BrokerFixture world = new BrokerFixture();
     private final List<String> done = new ArrayList<>();
     private final OperatorDoor door = new OperatorDoor(
             world.timers,
@@ -56,7 +56,7 @@
         assertTrue(call("POST /api/evacuate HTTP/1.1\r\nHost: o\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n")
                 .contains(" 200 "));
         assertEquals(List.of("evacuate", "evacuate"), done);
-        world.run(OperatorDoor.LINGER_US);
+        world.advance(OperatorDoor.LINGER_US);
         assertEquals(0, door.connections());
     }
 
@@ -66,7 +66,7 @@
         for (char c : "POST /api/evacuate HTTP/1.1\r\nHost: o\r\nContent-Length: 3\r\n\r\nabc".toCharArray()) {
             assertEquals("", end.takeReceived());
             end.send(String.valueOf(c));
-            world.run(50_000);
+            world.advance(50_000);
         }
         assertTrue(end.takeReceived().startsWith("HTTP/1.1 200"));
     }
@@ -95,9 +95,9 @@
         assertTrue(call("GET /api/ready HTTP/1.1\r\nHost: o\r\n\r\n").startsWith("HTTP/1.1 200"));
         assertFalse(silent.get(0).isOpen());
         MemoryEndPoint last = silent.get(silent.size() - 1);
-        world.run(4_000_000);
+        world.advance(4_000_000);
         assertTrue(last.isOpen());
-        world.run(OperatorDoor.CALL_US + OperatorDoor.LINGER_US);
+        world.advance(OperatorDoor.CALL_US + OperatorDoor.LINGER_US);
         assertTrue(last.takeReceived().startsWith("HTTP/1.1 408"));
         assertEquals(0, door.connections());
     }
--- a/src/test/java/petrelstand/retuning/SettingsTransitionTest.java
+++ b/src/test/java/petrelstand/retuning/SettingsTransitionTest.java
@@ -16,14 +16,14 @@
 import petrelstand.decision.Scheduling.RequestClass;
 import petrelstand.decision.Scheduling.Settings;
 import petrelstand.retuning.SettingsTransition.Step;
-import petrelstand.testing.Harness;
+import petrelstand.testing.BrokerFixture;
 
 /** Tests which settings hold in each step after a reload. */
 class SettingsTransitionTest {
-    private static final Settings PREVIOUS = SettingsReader.ofText(Harness.SETTINGS);
+    private static final Settings PREVIOUS = SettingsReader.ofText(BrokerFixture.SETTINGS);
 
     private static Settings read(String... changes) {
-        String text = Harness.SETTINGS;
+        String text = BrokerFixture.SETTINGS;
         for (int i = 0; i < changes.length; i += 2) {
             assertTrue(text.contains(changes[i]), changes[i]);
             text = text.replace(changes[i], changes[i + 1]);
--- a/src/test/java/petrelstand/rsync/SessionModelTest.java
+++ b/src/test/java/petrelstand/rsync/SessionModelTest.java
@@ -13,13 +13,13 @@
 import org.junit.jupiter.api.Test;
 import petrelstand.config.RsyncConfig;
 import petrelstand.net.MemoryEndPoint;
+import petrelstand.testing.BrokerFixture;
 import petrelstand.testing.Configs;
-import petrelstand.testing.Harness;
 
 /** Sessions on connections in memory, against a model: two scripts, each sent in pieces, each perhaps cut. */
 class SessionModelTest {
     private static final String TAKEN = "taken.bulk-export";
-    private final Harness world = new Harness();
+    private final BrokerFixture world = new BrokerFixture();
     private final RsyncConfig config = Configs.load(
                     Configs.operator(2000), Configs.xds(Map.of(8731, "HEALTHY")), world.settings)
             .rsync();
@@ -38,7 +38,7 @@
 
     SessionModelTest() {
         config.nodes().forEach(listed -> assertTrue(listed.isPrivate()));
-        world.list(config.nodes().toArray(petrelstand.core.Node[]::new));
+        world.setNodes(config.nodes().toArray(petrelstand.core.Node[]::new));
         client = MemoryEndPoint.open(front::accept);
     }
 
@@ -53,8 +53,8 @@
     }
 
     private void nodeSends(int size) {
-        if (node == null && !world.dialed.isEmpty()) {
-            node = world.up();
+        if (node == null && !world.pendingConnections.isEmpty()) {
+            node = world.connectLast();
             dials++;
         }
         if (node != null) {
@@ -96,7 +96,7 @@
                         cut = true;
                     }
                 }
-                case 2 -> test.world.run(150_000);
+                case 2 -> test.world.advance(150_000);
                 default -> {
                     if (step % 2 == 0 && !cut) {
                         test.clientSends(size);
@@ -107,7 +107,7 @@
             }
             test.collect();
         }
-        test.world.run(12_000_000);
+        test.world.advance(12_000_000);
         test.collect();
         assertEquals(0, test.world.broker.openRequests());
         assertEquals(0, test.front.sessions());
@@ -142,8 +142,8 @@
     @Test
     void aDaemonThatAcceptsAndSaysNothingIsNotConnected() {
         clientSends(22);
-        world.up();
-        world.run(1_000_000);
+        world.connectLast();
+        world.advance(1_000_000);
         assertEquals(1, count("outcome.not_connected"));
     }
 
@@ -155,7 +155,7 @@
         node.sendEof();
         node = null;
         nodeScript = "@RSYNCD: 31.0\n@RSYNCD: OK\n" + text(Golden.pullDown());
-        world.run(400_000);
+        world.advance(400_000);
         for (int i = 0; i < 40; i++) {
             clientSends(50);
             nodeSends(50);
@@ -169,7 +169,7 @@
         clientSends(22 + Golden.ARGUMENTS.length());
         nodeSends(26);
         for (int i = 0; i < 60; i++) {
-            world.run(100_000);
+            world.advance(100_000);
             nodeSends(1);
         }
         assertEquals(1, count("answered.cut"));
--- a/src/test/java/petrelstand/state/TrustTest.java
+++ b/src/test/java/petrelstand/state/TrustTest.java
@@ -18,7 +18,7 @@
 import petrelstand.decision.Scheduling.LearnedState;
 import petrelstand.decision.Scheduling.LearnedVolume;
 import petrelstand.decision.Scheduling.Settings;
-import petrelstand.testing.Harness;
+import petrelstand.testing.BrokerFixture;
 
 /** What old knowledge is worth: never more than stated, whatever the file says. */
 class TrustTest {
@@ -41,9 +41,10 @@
         NOW,
         NOW + 1
     };
-    private final Settings settings = SettingsReader.ofText(Harness.SETTINGS.replace("balancers=1", "balancers=4"));
+    private final Settings settings =
+            SettingsReader.ofText(BrokerFixture.SETTINGS.replace("balancers=1", "balancers=4"));
     private final Settings limited = SettingsReader.ofText(
-            Harness.SETTINGS.replace("balancers=1", "balancers=4") + "plans.0.limit=60\nplans.0.burst=40\n");
+            BrokerFixture.SETTINGS.replace("balancers=1", "balancers=4") + "plans.0.limit=60\nplans.0.burst=40\n");
     private final Trust trust = new Trust("n1", settings);
 
     private Snapshot snapshot(double ageMs, boolean clean, LearnedState learned) {
@@ -148,7 +149,7 @@
 
     @Test
     void whatAColdNodeWasSentIsKeptWholeWhateverItsAge() {
-        Settings cold = SettingsReader.ofText(Harness.SETTINGS + "rules.cold_from=0.26\nrules.warm_up_ms=18000\n"
+        Settings cold = SettingsReader.ofText(BrokerFixture.SETTINGS + "rules.cold_from=0.26\nrules.warm_up_ms=18000\n"
                 + "rules.fall_ms=1500\nrules.overload_factor=2\nextra.cold_bears=20\n");
         LearnedNode sent = new LearnedNode(1, NOW - 3000, 0, 0, 3, 50, 17, 0);
         Trust.Verdict verdict = new Trust("n1", cold)
--- a/src/test/java/petrelstand/store/StateKeeperTest.java
+++ b/src/test/java/petrelstand/store/StateKeeperTest.java
@@ -20,15 +20,15 @@
 import petrelstand.decision.Scheduling.NodeState;
 import petrelstand.decision.Scheduling.Outcome;
 import petrelstand.state.WritePlan;
-import petrelstand.testing.Harness;
-import petrelstand.testing.SilentClient;
+import petrelstand.testing.BrokerFixture;
+import petrelstand.testing.StubClientHandler;
 
 /** The keeper between a broker in virtual time and a folder that fails: service goes on, and one line tells. */
 class StateKeeperTest {
     private static final long EVERY_US = 2_000_000;
     private final SimFolder disk = new SimFolder();
     private final LinkedBlockingQueue<Runnable> loop = new LinkedBlockingQueue<>();
-    private final Harness world = new Harness();
+    private final BrokerFixture world = new BrokerFixture();
     private StateKeeper.Opening opening = () -> disk;
 
     private final class Server implements NodeTransport {
@@ -67,7 +67,7 @@
 
     /** Lets time pass, and waits for the write that it began, in which nothing else happens. */
     private void write() throws Exception {
-        world.run(EVERY_US);
+        world.advance(EVERY_US);
         took();
     }
 
@@ -82,9 +82,9 @@
             broker.submit(
                     new Demand(0, 0, 5, 9, 2, 3, 1, false, false, 1_500_000),
                     "ask",
-                    new SilentClient(),
+                    new StubClientHandler(),
                     exchange -> {});
-            world.run(10_000);
+            world.advance(10_000);
         }
     }
 
@@ -98,7 +98,7 @@
         first.open();
         Broker broker = broker();
         first.start(broker);
-        world.list(Harness.node("s-00000001", 3, NodeState.READY, 0));
+        world.setNodes(BrokerFixture.node("s-00000001", 3, NodeState.READY, 0));
         serve(broker, 100);
         LearnedNode before = broker.learnedState().nodes().get(0);
         assertTrue(before.latencyMs() < 40, before.toString());
@@ -108,12 +108,12 @@
         while (!ended[0]) {
             took();
         }
-        world.run(1_000_000);
+        world.advance(1_000_000);
         StateKeeper second = keeper();
         second.open();
         Broker next = broker();
         second.start(next);
-        world.list(Harness.node("s-00000001", 3, NodeState.READY, 0));
+        world.setNodes(BrokerFixture.node("s-00000001", 3, NodeState.READY, 0));
         LearnedNode after = next.learnedState().nodes().get(0);
         assertEquals(before.latencyMs(), after.latencyMs(), 5);
         assertTrue(after.window() > 3, after.toString());
@@ -132,16 +132,16 @@
         first.open();
         Broker broker = broker();
         first.start(broker);
-        world.list(Harness.node("s-00000001", 3, NodeState.READY, 0));
+        world.setNodes(BrokerFixture.node("s-00000001", 3, NodeState.READY, 0));
         serve(broker, 20);
         write();
         StateKeeper second = keeper();
         second.open();
         Broker next = broker();
         second.start(next);
-        world.list(
-                Harness.node("s-00000001", 3, NodeState.READY, world.nowUs / 1000.0),
-                Harness.node("s-00000002", 4, NodeState.READY, 0));
+        world.setNodes(
+                BrokerFixture.node("s-00000001", 3, NodeState.READY, world.nowUs / 1000.0),
+                BrokerFixture.node("s-00000002", 4, NodeState.READY, 0));
         for (LearnedNode node : next.learnedState().nodes()) {
             assertEquals(0, node.measuredSlots());
             assertEquals(100, node.latencyMs());
@@ -154,22 +154,22 @@
         keeper.open();
         Broker broker = broker();
         keeper.start(broker);
-        world.list(Harness.node("s-00000001", 3, NodeState.READY, 0));
+        world.setNodes(BrokerFixture.node("s-00000001", 3, NodeState.READY, 0));
         disk.before = step -> {
             if (step.equals("create")) {
                 throw new UncheckedIOException(new IOException("No space left on device"));
             }
         };
         write();
-        world.run(EVERY_US);
+        world.advance(EVERY_US);
         took();
         serve(broker, 5);
-        world.run(100_000);
+        world.advance(100_000);
         assertEquals(5, world.counters.get("answered.served"));
         assertEquals(1, lines("No space left on device"), world.log.toString());
         assertEquals(2, world.counters.get("state.failed"));
         disk.before = step -> {};
-        world.run(60_000_000);
+        world.advance(60_000_000);
         took();
         assertEquals(1, lines("state: written again"));
         assertEquals(1, world.counters.get("state.written"));
@@ -189,7 +189,7 @@
         write();
         assertEquals(1, lines("state: not written: NoSuchFileException /state"));
         opening = there;
-        world.run(10_000_000);
+        world.advance(10_000_000);
         took();
         assertEquals(1, lines("state: written again"), world.log.toString());
     }
@@ -201,7 +201,7 @@
         keeper.open();
         Broker broker = broker();
         keeper.start(broker);
-        world.list(Harness.node("s-00000001", 3, NodeState.READY, 0));
+        world.setNodes(BrokerFixture.node("s-00000001", 3, NodeState.READY, 0));
         disk.before = step -> {
             try {
                 hangs.await();
@@ -209,18 +209,18 @@
                 Thread.currentThread().interrupt();
             }
         };
-        world.run(EVERY_US + WritePlan.HUNG_US + 1_000);
+        world.advance(EVERY_US + WritePlan.HUNG_US + 1_000);
         assertEquals(1, lines("a write has not ended in 2 s"), world.log.toString());
         serve(broker, 5);
-        world.run(10_000_000);
+        world.advance(10_000_000);
         assertEquals(5, world.counters.get("answered.served"));
         assertEquals(1, lines("a write has not ended"));
         // The end does not wait for it longer than stated.
         boolean[] ended = new boolean[1];
         keeper.last(() -> ended[0] = true);
-        world.run(StateKeeper.LAST_WRITE_US - 1);
+        world.advance(StateKeeper.LAST_WRITE_US - 1);
         assertTrue(!ended[0]);
-        world.run(1);
+        world.advance(1);
         assertTrue(ended[0]);
         assertEquals(1, lines("the last snapshot was not written in 400 ms"));
         hangs.countDown();
@@ -234,7 +234,7 @@
         StateKeeper keeper = keeper();
         keeper.open();
         keeper.start(broker());
-        world.run(10 * EVERY_US);
+        world.advance(10 * EVERY_US);
         assertEquals(List.of("state: another gateway has the folder; this one keeps nothing"), world.log);
         assertEquals(0, disk.steps());
         boolean[] ended = new boolean[1];
--- a/src/test/java/petrelstand/testing/Harness.java
+++ b/src/test/java/petrelstand/testing/BrokerFixture.java
@@ -17,7 +17,7 @@
 import petrelstand.net.EventLoop;
 
 /** What the tests share: a clock moved by hand, a broker on it, and connections that live in memory. */
-public final class Harness {
+public final class BrokerFixture {
     public static final String SETTINGS = """
             balancers=1
             index=0
@@ -69,25 +69,25 @@
     public final Timers timers = new Timers();
     public final Counters counters = new Counters();
     public final List<String> log = new ArrayList<>();
-    public final List<Dialed> dialed = new ArrayList<>();
+    public final List<PendingConnection> pendingConnections = new ArrayList<>();
     public long nowUs = 1_000_000_000L;
     public Broker broker;
 
-    public Harness() {
+    public BrokerFixture() {
         this(SETTINGS);
     }
 
     /** Under other settings. */
-    public Harness(String text) {
+    public BrokerFixture(String text) {
         settings = SettingsReader.ofText(text);
     }
 
     /** A connection out that the test lets come up or fail. */
-    public record Dialed(InetSocketAddress address, EventLoop.Connector connector) {}
+    public record PendingConnection(InetSocketAddress address, EventLoop.Connector connector) {}
 
     /** Moves the clock and runs the timers on the way, each at its time. */
-    public void run(long us) {
-        long until = nowUs + us;
+    public void advance(long durationUs) {
+        long until = nowUs + durationUs;
         while (timers.nextDueUs() <= until) {
             nowUs = Math.max(nowUs, timers.nextDueUs());
             timers.runDue(nowUs);
@@ -96,18 +96,18 @@
     }
 
     /** A turn of the loop that comes late: the clock jumps, and all that is due runs at once. */
-    public void late(long us) {
-        nowUs += us;
+    public void jumpAndRunDue(long jumpUs) {
+        nowUs += jumpUs;
         timers.runDue(nowUs);
     }
 
-    public Broker broker(NodeTransport server) {
-        broker = new Broker(settings, 7, () -> nowUs, timers, server, counters, log::add);
+    public Broker broker(NodeTransport transport) {
+        broker = new Broker(settings, 7, () -> nowUs, timers, transport, counters, log::add);
         return broker;
     }
 
     public SocketChannel dial(InetSocketAddress address, EventLoop.Connector connector) {
-        dialed.add(new Dialed(address, connector));
+        pendingConnections.add(new PendingConnection(address, connector));
         return null;
     }
 
@@ -115,12 +115,13 @@
         return new Node(name, ADDRESS, new NodeEntry(Node.numberOf(name), 0, shard, state, 1, upSinceMs));
     }
 
-    public void list(Node... nodes) {
+    public void setNodes(Node... nodes) {
         broker.updateNodes(NodeListKind.FULL, List.of(nodes));
     }
 
     /** Brings the last dialed connection up and gives its end in memory. */
-    public HeldEnd up() {
-        return HeldEnd.open(dialed.remove(dialed.size() - 1).connector()::connected);
+    public HeldInputEndPoint connectLast() {
+        return HeldInputEndPoint.open(
+                pendingConnections.remove(pendingConnections.size() - 1).connector()::connected);
     }
 }
--- a/src/test/java/petrelstand/testing/Configs.java
+++ b/src/test/java/petrelstand/testing/Configs.java
@@ -19,7 +19,7 @@
                 + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":1024},"
                 + "\"known\":{\"version\":1,\"full\":true,\"servers\":[{\"id\":\"s-00000001\",\"addr\":\"127.0.0.1:"
                 + nodePort + "\",\"zone\":\"a\",\"kind\":\"k\",\"cell\":3,\"state\":\"up\",\"weight\":1.0,"
-                + "\"started_ms\":0}]},\"settings\":" + json(nested()) + "}";
+                + "\"started_ms\":0}]},\"settings\":" + json(settingsTree()) + "}";
     }
 
     /** The operator's file with one module, "charts", of the cluster in xds.json. */
@@ -58,9 +58,9 @@
         return OperatorConfig.load(new IniFile(Path.of("petrelstand.ini"), ini), settings, file -> xds);
     }
 
-    private static Map<String, Object> nested() {
+    private static Map<String, Object> settingsTree() {
         Map<String, Object> root = new TreeMap<>();
-        for (String line : Harness.SETTINGS.split("\n")) {
+        for (String line : BrokerFixture.SETTINGS.split("\n")) {
             int split = line.indexOf('=');
             put(root, line.substring(0, split).split("\\."), 0, line.substring(split + 1));
         }
--- a/src/test/java/petrelstand/testing/ServedGateway.java
+++ b/src/test/java/petrelstand/testing/GatewayProcesses.java
@@ -23,24 +23,25 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.zip.CRC32;
-import petrelstand.testing.StandIns.Client;
+import petrelstand.testing.LoopbackPeers.Client;
 
 /**
  * Real processes of one gateway, before one storage node that this process plays; they share a folder and an address.
  */
-public final class ServedGateway implements Closeable {
+public final class GatewayProcesses implements Closeable {
     private final Path folder;
     private final HttpServer node;
-    private final StandIns.Server discovery = StandIns.silent();
-    private final int port = free();
-    private final List<Process> started = new ArrayList<>();
+    private final LoopbackPeers.Server discovery = LoopbackPeers.silentServer();
+    private final int port = freePort();
+    private final List<Process> processes = new ArrayList<>();
     private JsonObject config;
 
     /** A process as it was started: its operators' port, and its lines as they come. */
-    public record Run(Process process, int operator, BlockingQueue<String> lines, List<String> seen) {
+    public record GatewayProcess(
+            Process process, int operatorPort, BlockingQueue<String> lines, List<String> linesRead) {
         /** Waits for a line that holds a text; all that came up to it stays in {@code seen}. */
         public String await(String part) throws InterruptedException {
-            for (String old : seen) {
+            for (String old : linesRead) {
                 if (old.contains(part)) {
                     return old;
                 }
@@ -48,10 +49,10 @@
             long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
             while (true) {
                 String line = lines.poll(until - System.nanoTime(), TimeUnit.NANOSECONDS);
-                if (line == null || line.equals(END)) {
-                    throw new AssertionError("no line with '" + part + "': " + seen);
+                if (line == null || line.equals(END_OF_OUTPUT)) {
+                    throw new AssertionError("no line with '" + part + "': " + linesRead);
                 }
-                seen.add(line);
+                linesRead.add(line);
                 if (line.contains(part)) {
                     return line;
                 }
@@ -59,16 +60,16 @@
         }
 
         /** An operator's call: status and text. */
-        public String call(String method, String path) throws IOException {
-            try (Client client = new Client(operator)) {
+        public String callOperator(String method, String path) throws IOException {
+            try (Client client = new Client(operatorPort)) {
                 client.send(method + " " + path + " HTTP/1.1\r\nHost: o\r\n\r\n");
-                return client.answer();
+                return client.readAnswer();
             }
         }
 
         /** A figure's value; -1 where there is none. */
-        public long figure(String name) throws IOException {
-            for (String line : call("GET", "/api/telemetry").split("\n")) {
+        public long telemetry(String name) throws IOException {
+            for (String line : callOperator("GET", "/api/telemetry").split("\n")) {
                 int at = line.indexOf("relay." + name + ":");
                 if (at >= 0) {
                     return Long.parseLong(line.substring(line.indexOf(':') + 1, line.indexOf('|')));
@@ -84,9 +85,9 @@
         }
     }
 
-    private static final String END = "(the process ended)";
+    private static final String END_OF_OUTPUT = "(the process ended)";
 
-    public ServedGateway(Path folder, long serviceMs) throws IOException {
+    public GatewayProcesses(Path folder, long serviceMs) throws IOException {
         this.folder = folder;
         node = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 200);
         node.setExecutor(Executors.newCachedThreadPool(task -> {
@@ -110,8 +111,8 @@
         config(config.deepCopy());
     }
 
-    private static int free() throws IOException {
-        try (StandIns.Server free = StandIns.silent()) {
+    private static int freePort() throws IOException {
+        try (LoopbackPeers.Server free = LoopbackPeers.silentServer()) {
             return free.port();
         }
     }
@@ -162,21 +163,21 @@
     /** Writes another file; text that is no JSON goes as it is. */
     public void config(JsonObject changed) throws IOException {
         config = changed;
-        text(changed.toString());
+        writeConfigText(changed.toString());
     }
 
-    public void text(String text) throws IOException {
+    public void writeConfigText(String text) throws IOException {
         Files.writeString(folder.resolve("config.json"), text);
     }
 
     /** Starts a process of the gateway, which shares folder and address with those before. */
-    public Run start(String... options) throws IOException {
+    public GatewayProcess start(String... options) throws IOException {
         return start(List.of("petrelstand.Main", "serve"), options);
     }
 
     /** Starts a process with another main class, and its arguments. */
-    public Run start(List<String> main, String... options) throws IOException {
-        int operator = free();
+    public GatewayProcess start(List<String> main, String... options) throws IOException {
+        int operator = freePort();
         List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-Xmx64m",
@@ -195,7 +196,7 @@
                         "TMPDIR",
                         folder.toString()));
         Process process = builder.start();
-        started.add(process);
+        processes.add(process);
         BlockingQueue<String> lines = new LinkedBlockingQueue<>();
         Thread reader = new Thread(
                 () -> {
@@ -205,12 +206,12 @@
                     } catch (IOException | java.io.UncheckedIOException e) {
                         // It was killed.
                     }
-                    lines.add(END);
+                    lines.add(END_OF_OUTPUT);
                 },
                 "lines");
         reader.setDaemon(true);
         reader.start();
-        return new Run(process, operator, lines, new ArrayList<>());
+        return new GatewayProcess(process, operator, lines, new ArrayList<>());
     }
 
     /** A request's head, up to its length. */
@@ -224,12 +225,12 @@
     /** A read on a connection: status and body. */
     public static String read(Client client, String kind, String txn) throws IOException {
         client.send(request("GET", kind, "", txn) + "\r\n");
-        return client.answer();
+        return client.readAnswer();
     }
 
     @Override
     public void close() throws IOException {
-        started.forEach(Process::destroyForcibly);
+        processes.forEach(Process::destroyForcibly);
         node.stop(0);
         discovery.close();
     }
--- a/src/test/java/petrelstand/testing/HeldEnd.java
+++ b/src/test/java/petrelstand/testing/HeldInputEndPoint.java
@@ -11,25 +11,25 @@
  * An end in memory on which bytes can lie that its connection has not been told of: the order of two events is the
  * test's.
  */
-public final class HeldEnd extends MemoryEndPoint {
-    private boolean holds;
+public final class HeldInputEndPoint extends MemoryEndPoint {
+    private boolean holdsCallbacks;
 
-    private HeldEnd() {}
+    private HeldInputEndPoint() {}
 
-    public static HeldEnd open(Function<EndPoint, Connection> maker) {
-        return MemoryEndPoint.open(new HeldEnd(), maker);
+    public static HeldInputEndPoint open(Function<EndPoint, Connection> maker) {
+        return MemoryEndPoint.open(new HeldInputEndPoint(), maker);
     }
 
     /** The other side sends, and this one is not told before it looks. */
-    public void putUnread(String text) {
-        holds = true;
+    public void addInputSilently(String text) {
+        holdsCallbacks = true;
         addInputAndExecute(ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)));
-        holds = false;
+        holdsCallbacks = false;
     }
 
     @Override
     protected void execute(Runnable task) {
-        if (!holds) {
+        if (!holdsCallbacks) {
             super.execute(task);
         }
     }
--- a/src/test/java/petrelstand/testing/StandIns.java
+++ b/src/test/java/petrelstand/testing/LoopbackPeers.java
@@ -16,12 +16,12 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /** Stand-ins on loopback: storage nodes, an rsync daemon and clients, with blocking sockets and a thread each. */
-public final class StandIns {
-    private StandIns() {}
+public final class LoopbackPeers {
+    private LoopbackPeers() {}
 
     /** Plays one connection of a server. */
-    public interface Play {
-        void on(Socket socket, InputStream in, OutputStream out) throws IOException, InterruptedException;
+    public interface ConnectionHandler {
+        void handle(Socket socket, InputStream in, OutputStream out) throws IOException, InterruptedException;
     }
 
     /** A server on a free loopback port. */
@@ -30,16 +30,16 @@
         private final ServerSocket listener;
         private final List<Socket> open = new CopyOnWriteArrayList<>();
 
-        public Server(Play play) throws IOException {
+        public Server(ConnectionHandler play) throws IOException {
             listener = new ServerSocket(0, 200, InetAddress.getByName("127.0.0.1"));
-            thread(() -> {
+            startThread(() -> {
                 while (true) {
                     Socket socket = listener.accept();
                     open.add(socket);
                     connections.incrementAndGet();
-                    thread(() -> {
+                    startThread(() -> {
                         try (socket) {
-                            play.on(socket, socket.getInputStream(), socket.getOutputStream());
+                            play.handle(socket, socket.getInputStream(), socket.getOutputStream());
                         }
                     });
                 }
@@ -59,11 +59,11 @@
         }
     }
 
-    private interface Task {
+    private interface SocketTask {
         void run() throws IOException, InterruptedException;
     }
 
-    private static void thread(Task task) {
+    private static void startThread(SocketTask task) {
         Thread thread = new Thread(() -> {
             try {
                 task.run();
@@ -78,10 +78,10 @@
     /** A storage node that takes a while for each request and answers with the request's id. */
     public static Server storageNode(long serviceMs) throws IOException {
         return new Server((socket, in, out) -> {
-            for (String head = head(in); !head.isEmpty(); head = head(in)) {
-                in.readNBytes(length(head));
+            for (String head = readHead(in); !head.isEmpty(); head = readHead(in)) {
+                in.readNBytes(contentLength(head));
                 Thread.sleep(serviceMs);
-                String body = "node:" + field(head, "X-Txn");
+                String body = "node:" + headerField(head, "X-Txn");
                 out.write(("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
                         .getBytes(StandardCharsets.US_ASCII));
             }
@@ -89,38 +89,38 @@
     }
 
     /** A server that accepts and says nothing. */
-    public static Server silent() throws IOException {
+    public static Server silentServer() throws IOException {
         return new Server((socket, in, out) -> in.readAllBytes());
     }
 
     /** What an rsync daemon does once it has the arguments. */
-    public interface Transfer {
-        void on(String arguments, InputStream in, OutputStream out) throws IOException, InterruptedException;
+    public interface TransferHandler {
+        void handle(String arguments, InputStream in, OutputStream out) throws IOException, InterruptedException;
     }
 
     /** An rsync daemon: greeting, module, OK, arguments, then the transfer. */
-    public static Server rsyncDaemon(Transfer transfer) throws IOException {
+    public static Server rsyncDaemon(TransferHandler transfer) throws IOException {
         return new Server((socket, in, out) -> {
             write(out, "@RSYNCD: 31.0 sha512 md5 md4\n");
-            if (!line(in).startsWith("@RSYNCD: 29")) {
+            if (!readLine(in).startsWith("@RSYNCD: 29")) {
                 write(out, "@ERROR: version\n");
                 return;
             }
-            if (!line(in).equals("charts")) {
+            if (!readLine(in).equals("charts")) {
                 write(out, "@ERROR: Unknown module\n");
                 return;
             }
             write(out, "welcome to the stand-in\n@RSYNCD: OK\n");
             StringBuilder arguments = new StringBuilder();
-            for (String line = line(in); !line.isEmpty(); line = line(in)) {
+            for (String line = readLine(in); !line.isEmpty(); line = readLine(in)) {
                 arguments.append(line).append('\n');
             }
-            transfer.on(arguments.toString(), in, out);
+            transfer.handle(arguments.toString(), in, out);
         });
     }
 
     /** A daemon that sends without an end, and counts what the other side has taken. */
-    public static Server endlessDaemon(byte[] start, AtomicLong taken) throws IOException {
+    public static Server endlessDaemon(byte[] start, AtomicLong sentBytes) throws IOException {
         return rsyncDaemon((arguments, in, out) -> {
             out.write(start);
             byte[] frame = new byte[4 + 32 * 1024];
@@ -128,7 +128,7 @@
             frame[3] = 7;
             while (true) {
                 out.write(frame);
-                taken.addAndGet(frame.length);
+                sentBytes.addAndGet(frame.length);
             }
         });
     }
@@ -148,7 +148,7 @@
         }
 
         /** A client whose receive buffer is small, so that it stalls its server soon. */
-        public static Client small(int port) throws IOException {
+        public static Client withSmallReceiveBuffer(int port) throws IOException {
             Client client = new Client(port);
             client.socket.setReceiveBufferSize(4096);
             return client;
@@ -164,10 +164,10 @@
         }
 
         /** Greets as a current client does and names a module; the lines that came back, until one decides. */
-        public String ask(String module) throws IOException {
+        public String requestModule(String module) throws IOException {
             send("@RSYNCD: 31.0 sha512 md5 md4\n" + module + "\n");
             StringBuilder lines = new StringBuilder();
-            for (String line = line(in); !line.isEmpty(); line = line(in)) {
+            for (String line = readLine(in); !line.isEmpty(); line = readLine(in)) {
                 lines.append(line).append('\n');
                 if (line.equals("@RSYNCD: OK") || line.startsWith("@ERROR") || line.equals("@RSYNCD: EXIT")) {
                     break;
@@ -177,18 +177,19 @@
         }
 
         /** Sends a request of the platform's protocol and gives its status and body. */
-        public String http(String requestClass, String txn) throws IOException {
+        public String get(String requestClass, String txn) throws IOException {
             send("GET /" + requestClass + "/00000000000000a1/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: b\r\nX-Txn: " + txn
                     + "\r\nX-Qos-Policy: basic\r\nX-Remaining-Ms: 30000\r\n"
                     + "X-Placement: units=1,shard=3,hosts=1\r\n\r\n");
-            return answer();
+            return readAnswer();
         }
 
-        public String answer() throws IOException {
-            String head = head(in);
+        public String readAnswer() throws IOException {
+            String head = readHead(in);
             return head.isEmpty()
                     ? "closed"
-                    : head.substring(9, 12) + " " + new String(in.readNBytes(length(head)), StandardCharsets.UTF_8);
+                    : head.substring(9, 12) + " "
+                            + new String(in.readNBytes(contentLength(head)), StandardCharsets.UTF_8);
         }
 
         @Override
@@ -202,7 +203,7 @@
     }
 
     /** A line without its end; empty at the end of the input too. */
-    public static String line(InputStream in) throws IOException {
+    public static String readLine(InputStream in) throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream();
         for (int b = in.read(); b >= 0 && b != '\n'; b = in.read()) {
             line.write(b);
@@ -211,7 +212,7 @@
     }
 
     /** A message's head; empty where the input ends. */
-    private static String head(InputStream in) throws IOException {
+    private static String readHead(InputStream in) throws IOException {
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
             int b = in.read();
@@ -223,12 +224,12 @@
         return head.toString();
     }
 
-    private static int length(String head) {
-        String length = field(head, "Content-Length");
+    private static int contentLength(String head) {
+        String length = headerField(head, "Content-Length");
         return length.isEmpty() ? 0 : Integer.parseInt(length);
     }
 
-    public static String field(String head, String name) {
+    public static String headerField(String head, String name) {
         for (String line : head.split("\r\n")) {
             if (line.regionMatches(true, 0, name + ":", 0, name.length() + 1)) {
                 return line.substring(name.length() + 1).strip();
--- a/src/test/java/petrelstand/testing/Peers.java
+++ b/src/test/java/petrelstand/testing/ScriptedPeers.java
@@ -13,49 +13,49 @@
  * The other sides of a gateway, on loopback sockets that the test itself reads and writes: each byte, each end and each
  * reset goes when the test says so, so that an order is forced and never waited for by a sleep.
  */
-public final class Peers {
-    private static final int PATIENCE_MS = 20_000;
+public final class ScriptedPeers {
+    private static final int TIMEOUT_MS = 20_000;
 
-    private Peers() {}
+    private ScriptedPeers() {}
 
     /** A listener whose connections the test takes one by one. */
-    public static final class Door implements Closeable {
-        private final ServerSocket listener;
+    public static final class Listener implements Closeable {
+        private final ServerSocket socket;
 
-        public Door() throws IOException {
+        public Listener() throws IOException {
             this(200);
         }
 
         /** With room for so many connections that nobody has taken. */
-        public Door(int backlog) throws IOException {
-            listener = new ServerSocket(0, backlog, InetAddress.getByName("127.0.0.1"));
-            listener.setSoTimeout(PATIENCE_MS);
+        public Listener(int backlog) throws IOException {
+            socket = new ServerSocket(0, backlog, InetAddress.getByName("127.0.0.1"));
+            socket.setSoTimeout(TIMEOUT_MS);
         }
 
         public int port() {
-            return listener.getLocalPort();
+            return socket.getLocalPort();
         }
 
-        public Peer take() throws IOException {
-            return new Peer(listener.accept());
+        public Peer accept() throws IOException {
+            return new Peer(socket.accept());
         }
 
         /** Whether a connection comes within a time: for what must not come, and only after what must has come. */
-        public boolean isKnockedAt(int withinMs) throws IOException {
-            listener.setSoTimeout(withinMs);
+        public boolean acceptsWithin(int withinMs) throws IOException {
+            socket.setSoTimeout(withinMs);
             try {
-                listener.accept().close();
+                socket.accept().close();
                 return true;
             } catch (SocketTimeoutException e) {
                 return false;
             } finally {
-                listener.setSoTimeout(PATIENCE_MS);
+                socket.setSoTimeout(TIMEOUT_MS);
             }
         }
 
         @Override
         public void close() throws IOException {
-            listener.close();
+            socket.close();
         }
     }
 
@@ -66,11 +66,11 @@
         Peer(Socket socket) throws IOException {
             this.socket = socket;
             socket.setTcpNoDelay(true);
-            socket.setSoTimeout(PATIENCE_MS);
+            socket.setSoTimeout(TIMEOUT_MS);
         }
 
         /** A client of the gateway at a port. */
-        public static Peer to(int port) throws IOException {
+        public static Peer connect(int port) throws IOException {
             return new Peer(new Socket(InetAddress.getByName("127.0.0.1"), port));
         }
 
@@ -80,9 +80,9 @@
         }
 
         /** Reads a message's head and, by its length, its body; what came where the connection ended first. */
-        public String message() throws IOException {
-            String head = upTo("\r\n\r\n");
-            String length = StandIns.field(head, "Content-Length");
+        public String readMessage() throws IOException {
+            String head = readUntil("\r\n\r\n");
+            String length = LoopbackPeers.headerField(head, "Content-Length");
             return head
                     + new String(
                             socket.getInputStream().readNBytes(length.isEmpty() ? 0 : Integer.parseInt(length)),
@@ -90,9 +90,9 @@
         }
 
         /** Reads to the end of a text; what came where the connection ended first. */
-        public String upTo(String end) throws IOException {
+        public String readUntil(String terminator) throws IOException {
             ByteArrayOutputStream read = new ByteArrayOutputStream();
-            while (!read.toString(StandardCharsets.ISO_8859_1).endsWith(end)) {
+            while (!read.toString(StandardCharsets.ISO_8859_1).endsWith(terminator)) {
                 int b = socket.getInputStream().read();
                 if (b < 0) {
                     break;
@@ -103,14 +103,14 @@
         }
 
         /** All that comes up to the end that the other side sends; a reset is an exception. */
-        public String rest() throws IOException {
+        public String readAll() throws IOException {
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
         }
 
         /** Waits for the other side's end: true for an end, false for a reset. */
-        public boolean endsInOrder() {
+        public boolean endsWithoutReset() {
             try {
-                rest();
+                readAll();
                 return true;
             } catch (IOException e) {
                 return false;
@@ -118,7 +118,7 @@
         }
 
         /** Ends its sending; it may still read. */
-        public Peer end() throws IOException {
+        public Peer shutdownOutput() throws IOException {
             socket.shutdownOutput();
             return this;
         }
@@ -136,7 +136,7 @@
     }
 
     /** The head of a request that a client sends, without the empty line that ends it. */
-    public static String head(String method, String requestClass, String txn, int remainingMs) {
+    public static String requestHead(String method, String requestClass, String txn, int remainingMs) {
         return method + " /" + requestClass + "/00000000000000a1/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: b\r\nX-Txn: " + txn
                 + "\r\nX-Qos-Policy: basic\r\nX-Remaining-Ms: " + remainingMs + "\r\n"
                 + "X-Placement: units=1,shard=3,hosts=1\r\n"
@@ -144,12 +144,12 @@
     }
 
     /** A read as a client sends it. */
-    public static String read(String requestClass, String txn, int remainingMs) {
-        return head("GET", requestClass, txn, remainingMs) + "\r\n";
+    public static String readRequest(String requestClass, String txn, int remainingMs) {
+        return requestHead("GET", requestClass, txn, remainingMs) + "\r\n";
     }
 
     /** An answer with a length. */
-    public static String served(String body) {
+    public static String okResponse(String body) {
         return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 }
--- a/src/test/java/petrelstand/testing/SilentClient.java
+++ b/src/test/java/petrelstand/testing/StubClientHandler.java
@@ -4,7 +4,7 @@
 import petrelstand.core.ClientHandler;
 
 /** A client that takes every answer and does nothing with it. */
-public class SilentClient implements ClientHandler {
+public class StubClientHandler implements ClientHandler {
     @Override
     public boolean served(Object answer) {
         return true;
--- a/src/test/java/petrelstand/testing/InertNodes.java
+++ b/src/test/java/petrelstand/testing/StubNodeTransport.java
@@ -7,7 +7,7 @@
 import petrelstand.decision.Scheduling.Outcome;
 
 /** A server side that carries out nothing but probes; tests override what they play. */
-public abstract class InertNodes implements NodeTransport {
+public abstract class StubNodeTransport implements NodeTransport {
     @Override
     public void abandon(Attempt attempt) {}
 
