--- a/src/main/java/petrelstand/Descriptors.java
+++ b/src/main/java/petrelstand/Descriptors.java
@@ -3,28 +3,29 @@
 import petrelstand.http.HttpFront;
 
 /**
- * How a gateway shares out its descriptors: some kept back for the selector, the jars and the listeners, three fifths
- * of the rest for the platform's clients, two fifths for storage nodes, and the rsync front's own. Clients may have
- * requests on a third of all, so their part is never less.
+ * How many connections of clients and of storage nodes a gateway's file descriptors allow. Some descriptors are
+ * reserved for the selector, the jars, the listeners and rsync transfers; of the rest clients get three fifths and
+ * nodes two. The clients' part is never below a third of all descriptors.
+ *
+ * @param clients maximum number of client connections
+ * @param nodes maximum number of connections to storage nodes
  */
 record Descriptors(int clients, int nodes) {
     private static final int RESERVED = 64;
 
-    /**
-     * Kept back by each of two processes: for the jars, listeners and selector some 25, the rest for operators' calls.
-     */
+    /** Reserved by each of two processes: some 25 for jars, listeners and selector, the rest for operators' calls. */
     private static final int RESERVED_PER_PROCESS = 40;
 
     /**
-     * What each of two processes has of one gateway's. Clients' connections pass from one to the other and are at both
-     * for a while, those to nodes are fewer than a quarter in use: so four fifths are for clients.
+     * The limits of each of two processes during a hot restart. Clients get four fifths, since their connections exist
+     * at both processes for a while.
      */
     static Descriptors half(int sockets, int rsyncDescriptors) {
         int available = Math.max(sockets / 4, sockets / 2 - RESERVED_PER_PROCESS - rsyncDescriptors);
         return new Descriptors(available * 4 / 5 - HttpFront.MAX_CONNECTIONS_OVER_LIMIT, available / 5);
     }
 
-    /** The clients' part leaves room for those that are only told that there is none. */
+    /** The limits of a single process. Leaves room for clients that are only answered that the gateway is full. */
     static Descriptors of(int sockets, int rsyncDescriptors) {
         int available = Math.max(sockets / 2, sockets - RESERVED - rsyncDescriptors);
         return new Descriptors(available * 3 / 5 - HttpFront.MAX_CONNECTIONS_OVER_LIMIT, available * 2 / 5);
--- a/src/main/java/petrelstand/FleetPart.java
+++ b/src/main/java/petrelstand/FleetPart.java
@@ -13,7 +13,7 @@
 import petrelstand.http.HttpFront;
 import petrelstand.logging.JsonLog;
 
-/** The fleet's part of a gateway, put together; loaded only where the operator's file has {@code [fleet]}. */
+/** Runs the fleet membership in a gateway; loaded only if the operator's file has a section {@code [fleet]}. */
 final class FleetPart {
     private final FleetConfig config;
     private final FleetService service;
--- a/src/main/java/petrelstand/Gateway.java
+++ b/src/main/java/petrelstand/Gateway.java
@@ -37,40 +37,39 @@
 import petrelstand.rsync.RsyncNodes;
 import petrelstand.store.StateKeeper;
 
-/** One real gateway: the parts put together, started, drained and ended. */
+/**
+ * One serving gateway process: creates its components, connects them, and starts, drains and ends them in order. All
+ * but the start runs on the event loop's thread unless a method says otherwise.
+ */
 final class Gateway {
     private static final long END_CHECK_INTERVAL_US = 10_000;
     private static final long DRAIN_CHECK_INTERVAL_US = 50_000;
-    /** Of the connections that close in a spread way, the part at each check, and the least number. */
+    /** A gradual drain closes this fraction of the idle connections at each check, and at least the minimum below. */
     private static final int GRADUAL_CLOSE_DIVISOR = 16;
 
     private static final int MIN_GRADUAL_CLOSES = 2;
     /**
-     * Lingering connections are not waited for longer than this once all is answered. Counted from the last answer, not
-     * from the end of listening: the end of the process resets its connections, and an answer under way is lost with
-     * it.
+     * How long the process waits for lingering connections after the last answer. Its exit resets them, which would
+     * lose an answer that a client has not read yet.
      */
     private static final long MAX_FINAL_LINGER_US = 600_000;
-    /** For each transfer a client's and a node's, and a client's that is refused. */
+    /** A transfer's client connection and node connection, and one more client connection that is refused. */
     private static final int DESCRIPTORS_PER_TRANSFER = 3;
-    /**
-     * Requests played in memory before the start: enough to load the code, and no more. What comes while a gateway
-     * restarts is lost: on half a core 100 of them made a restart 2.5 s long, 25 of them 1.3 s.
-     */
+    /** Enough to load the classes; more would delay the start, during which clients are not served. */
     private static final int REQUESTS_PER_WARM_UP = 25;
 
     private static final int MAX_HOT_RESTART_WARM_UPS = 16;
     private static final long WARM_UP_PAUSE_NS = 50_000_000;
-    /** How long the start waits for the first list. */
+    /** How long the start waits for discovery's first node list. */
     private static final long FIRST_LIST_TIMEOUT_US = 800_000;
-    /** Of the 6 s that a process has from its start to its yes. */
+    /** Leaves enough of the 6 s in which a started process must be ready. */
     private static final long MAX_WARM_UP_NS = 1_800_000_000L;
 
     private final LoopClock clock = new LoopClock();
     private final Timers timers = new Timers();
     private final Counters counters = new Counters();
     private final Consumer<String> log;
-    /** As the file in use says. */
+    /** The configuration in use; replaced by a reload. */
     private volatile GatewayConfig config;
 
     private final EventLoop loop;
@@ -87,17 +86,20 @@
     private final List<ServerSocketChannel> listeners = new ArrayList<>();
     private final CompletableFuture<List<Integer>> ports = new CompletableFuture<>();
     private final Lifecycle lifecycle;
-    /** Null where no address for operators is given: nothing of it is loaded then. */
+    /** Null if the configuration has no operator address; its classes are not loaded then. */
     private final OperationPart operationPart;
 
     private final RetunePart retunePart;
     private Timers.Timer lifecycleTimer;
-    /** When all that was taken was answered, as of now; 0 while something is not. */
+    /** Since when every accepted request has been answered; 0 while one is open. */
     private long allAnsweredAtUs;
 
     /**
-     * A gateway as its file and, where there is one (else null), the operator's file say. Lines to be logged go to
-     * {@code log}, and the end is told, on the loop's thread.
+     * Creates a gateway that is not started yet.
+     *
+     * @param operator the operator's configuration, or null if there is none
+     * @param log receives log lines without the program's prefix
+     * @param onEnd runs on the loop's thread when the gateway has ended
      */
     Gateway(GatewayConfig config, OperatorConfig operator, Consumer<String> log, Runnable onEnd) {
         this.config = config;
@@ -204,13 +206,13 @@
                 Policy.MAX_VOLUMES);
     }
 
-    /** The pool, and beside it the nodes that speak the rsync protocol. */
+    /** Returns a transport that sends rsync transfers to rsync nodes and everything else to the pool. */
     private NodeTransport routeRsyncNodes(NodeConnectionPool pool) {
         double connectMs = config.settings().may().connectTimeoutMs();
         return new ByWire(pool, new RsyncNodes(loop::connect, clock::nowUs, timers, connectMs));
     }
 
-    /** Switches the accounts on; where they are off nothing of them is loaded. */
+    /** Enables the accounts. Their classes are loaded only if this is called. */
     private void enableAccounts(OperatorConfig.AccountsConfig accountsConfig) {
         AccountsPage page = AccountsPage.watch(broker, accountsConfig.nodeCores());
         accountsPage = page;
@@ -225,7 +227,7 @@
         }
     }
 
-    /** Starts; the ports listened on are the platform front's and, where it is on, the rsync front's. */
+    /** Starts the gateway; completes with the ports of the HTTP front and, if configured, of the rsync front. */
     CompletableFuture<List<Integer>> start() throws Exception {
         if (stateKeeper != null) {
             stateKeeper.open();
@@ -248,12 +250,15 @@
         return loop;
     }
 
-    /** From SIGTERM until the process ends whatever the loop does, µs; a reload may change it. From any thread. */
+    /**
+     * Returns how long after SIGTERM the process is ended even if the loop is stuck, in µs. A reload may change it.
+     * Safe to call from any thread.
+     */
     long forcedEndUs() {
         return lifecycle.forcedEndUs();
     }
 
-    /** Runs a task on the loop's thread. */
+    /** Runs a task on the loop's thread; safe to call from any thread. */
     void execute(Runnable task) {
         loop.execute(task);
     }
@@ -262,7 +267,7 @@
         return broker;
     }
 
-    /** The file in use, from any thread. */
+    /** Returns the configuration in use; safe to call from any thread. */
     GatewayConfig config() {
         return config;
     }
@@ -280,14 +285,13 @@
             operationPart.takeOver();
         }
         broker.updateNodes(NodeListKind.CACHED, addRsyncNodes(config.known().nodes()));
-        // All of this was one turn: its time is no silence of discovery's, so the next one begins to ask.
+        // Starts discovery in another iteration of the loop, so that the warm-up does not count as its silence.
         timers.schedule(clock.nowUs() + 1, this::startDiscovery);
     }
 
     /**
-     * Asks for the list as it is now, and opens with it: the one in the file may be as old as the process before, what
-     * the agent has counts as told from the first moment, and clients come at once. Without an answer it opens all the
-     * same.
+     * Asks discovery for the current node list and starts serving when it arrives, or after a timeout without it: the
+     * list in the configuration may be out of date.
      */
     private void startDiscovery() {
         nodeListWatcher.start();
@@ -295,9 +299,8 @@
     }
 
     /**
-     * Where operators replace a process, one that starts is beside another or the first, and either has time: it
-     * rehearses more, beside another with rests in which that one serves. Elsewhere what comes while it starts is lost,
-     * so little is rehearsed.
+     * Plays requests in memory so that the classes are loaded before the first client. With hot restarts there is time
+     * for more rounds; beside an old process that still serves, each is followed by a pause that leaves it the CPU.
      */
     private void warmUp() {
         int maxRounds = operationPart != null ? MAX_HOT_RESTART_WARM_UPS : 1;
@@ -305,7 +308,7 @@
         long startNs = System.nanoTime();
         long served = 0;
         int rounds = 0;
-        // On a machine that is too busy the yes is owed all the same.
+        // Limited in time, since the process must become ready on a busy machine too.
         while (rounds < maxRounds && System.nanoTime() - startNs < MAX_WARM_UP_NS) {
             served += JvmWarmUp.run(config.settings(), REQUESTS_PER_WARM_UP);
             rounds++;
@@ -314,7 +317,7 @@
         log.accept("rehearsed: " + served + " of " + rounds * REQUESTS_PER_WARM_UP + " requests in memory");
     }
 
-    /** Listens, and serves; only the first call does. */
+    /** Starts listening; calls after the first have no effect. */
     private void startServing() {
         if (lifecycle.phase() != Lifecycle.Phase.STARTING) {
             return;
@@ -371,8 +374,8 @@
     }
 
     /**
-     * SIGHUP: takes the new address of discovery from the gateway's file. The rest of it is fixed at the start, and its
-     * node list is older than the one in use. On the loop's thread.
+     * Applies a changed gateway configuration (SIGHUP): the settings and discovery's address. The other fields are
+     * fixed at the start, and its node list is older than the one in use. On the loop's thread.
      */
     void reload(GatewayConfig changed) {
         List<String> restartOnly = config.fixedChanges(changed);
@@ -399,13 +402,16 @@
         nodeListWatcher.changeAddress(changed.discovery());
     }
 
-    /** SIGHUP with a file that is wrong: all stays as it was. On the loop's thread. */
+    /** Records that a changed configuration was rejected; the former one stays in use. On the loop's thread. */
     void reloadFailed(String why) {
         counters.increment("reloads.failed");
         log.accept("reload: the former file stays in use: " + why);
     }
 
-    /** Takes the rsync front's modules and nodes of the operator's file as it is now. On the loop's thread. */
+    /**
+     * Applies a changed operator's configuration: the fleet, the rules, the rsync modules and nodes. On the loop's
+     * thread.
+     */
     void reload(OperatorConfig operatorConfig) {
         if (fleetPart != null && operatorConfig.fleet() != null) {
             fleetPart.reload(operatorConfig.fleet());
@@ -415,7 +421,7 @@
         }
         RsyncConfig changed = operatorConfig.rsync();
         if (rsyncConfig == null || changed == null) {
-            log.accept("the operator's file was read anew; only a restart switches a part on or off");
+            log.accept("the operator's file was reloaded; only a restart switches a section on or off");
             return;
         }
         List<Node> nodes = new ArrayList<>(changed.nodes());
@@ -426,11 +432,11 @@
         rsyncConfig = changed;
         rsyncFront.reload(rulesPart == null ? changed : rulesPart.applyRules(changed));
         log.accept(
-                "rsync: the operator's file was read anew, " + changed.modules().size() + " modules");
+                "rsync: the operator's file was reloaded, " + changed.modules().size() + " modules");
         broker.updateNodes(NodeListKind.CHANGES, nodes);
     }
 
-    /** Other rules are acted on: modules that they close take no new transfer, nodes that they remove no new work. */
+    /** Applies newly effective rules: closed modules accept no new transfer, removed nodes get no new attempt. */
     private void rulesChanged() {
         if (rsyncConfig != null) {
             RsyncConfig allowed = rulesPart.applyRules(rsyncConfig);
@@ -439,7 +445,7 @@
         }
     }
 
-    /** Discovery's list and the operator's nodes, which discovery does not know and must not end. */
+    /** Adds the operator's rsync nodes to a full list, since discovery does not know them and must not remove them. */
     private List<Node> addRsyncNodes(List<Node> discovered) {
         List<Node> nodes = new ArrayList<>(discovered);
         if (rsyncConfig != null) {
@@ -451,7 +457,10 @@
         return nodes;
     }
 
-    /** SIGTERM: takes what still comes for a while, answers all that was taken, and ends. On the loop's thread. */
+    /**
+     * Begins the shutdown (SIGTERM): accepts connections for a grace period, answers every accepted request, and ends.
+     * On the loop's thread.
+     */
     void drain() {
         if (!lifecycle.terminate(clock.nowUs())) {
             return;
@@ -474,7 +483,7 @@
                 done
                         ? "evacuate: " + broker.openRequests() + " requests open, " + httpFront.connectionCount()
                                 + " connections"
-                        : "evacuate: not before this process serves");
+                        : "evacuate: rejected, this process does not serve yet");
         applyLifecycle();
         return done;
     }
@@ -486,7 +495,7 @@
         return done;
     }
 
-    /** Does what the process's life asks at this turn's time, and comes again when that changes. */
+    /** Closes what the current lifecycle phase asks to be closed, and schedules itself for the next change. */
     private void applyLifecycle() {
         long nowUs = clock.nowUs();
         if (lifecycleTimer != null) {
@@ -526,7 +535,7 @@
         }
     }
 
-    /** Whether all that was taken is answered, and no connection is waited for any more. */
+    /** Returns whether all accepted requests are answered and no connection delays the exit any more. */
     private boolean isReadyToExit(long nowUs) {
         boolean answered = broker.openRequests() == 0 && httpFront.answeringCount() == 0 && !loop.hasPendingAccepts();
         allAnsweredAtUs = !answered ? 0 : allAnsweredAtUs == 0 ? nowUs : allAnsweredAtUs;
--- a/src/main/java/petrelstand/HotRestartPart.java
+++ b/src/main/java/petrelstand/HotRestartPart.java
@@ -26,25 +26,25 @@
 import petrelstand.store.StateFault;
 
 /**
- * Two processes of one gateway, of which the newer takes the older's place: each looks for the other by its mark, from
- * a thread of its own, and tells the loop what it found. What each may spend of the gateway's due is decided by
- * {@link ProcessShare}; the older hands on what it has learned, for as long as the newer does not yet listen.
+ * Hot restart: two processes of one gateway run side by side while the newer one replaces the older. Each scans for the
+ * other's mark file on a thread of its own and reports changes to the loop. {@link ProcessShare} decides which part of
+ * the gateway's allowance each may use; until the newer process listens, the older one writes snapshots of its learned
+ * state for it.
  *
- * <p>The thread owns the marks and the file; the loop's thread owns the share and what is told here, and takes each
- * snapshot.
+ * <p>The scanning thread owns the marks and the handover file; the loop's thread owns the share and takes the
+ * snapshots.
  */
 final class HotRestartPart {
-    /** How often a process looks for another, and hands on what it knows while that one starts. */
     static final long SCAN_INTERVAL_MS = 100;
-    /** Looks between two snapshots handed on: a look costs a glance at a folder, a snapshot some ms. */
+    /** A scan lists a folder, while a snapshot holds up the loop for some ms. */
     private static final int SCANS_PER_SNAPSHOT = 3;
     /**
-     * So long after it began to listen a process runs once what handing on takes. Where that first ran while another
-     * process started, which takes most of the core, it held up the loop for 460 ms (67 ms of CPU).
+     * When the code of the handover is run once after the process has begun to listen; loading it while another process
+     * starts would hold up the loop.
      */
     private static final long WARM_UP_DELAY_MS = 2_000;
 
-    /** Told on the loop's thread that another process has come, listens, or is gone. */
+    /** Notified on the loop's thread when another process starts, listens or is gone. */
     interface OtherProcessListener {
         void otherProcessChanged(Other what);
     }
@@ -56,21 +56,21 @@
     private final OtherProcessListener listener;
     private final Consumer<String> log;
     private final Thread thread = new Thread(this::run, "hot-restart");
-    /** Of the thread alone, but for the start. */
+    /** Used only by the scanning thread once it runs. */
     private Marks marks;
 
     private Other lastSeen = Other.NONE;
-    /** Of the loop's thread, but for the start. */
+    /** Used only by the loop's thread once it runs. */
     private final ProcessShare processShare = new ProcessShare();
 
     private Broker broker;
     private volatile long settingsFingerprint;
-    /** Set by the loop, taken by the thread. */
+    /** Set by the loop, taken by the scanning thread. */
     private final AtomicReference<Snapshot> pendingSnapshot = new AtomicReference<>();
 
     private volatile boolean closed;
 
-    /** Looks in a folder; the clock is read from any thread, in µs; what is told, and logged, is on the loop. */
+    /** Scans a folder that the processes share; the clock, in µs, must be safe to read from any thread. */
     HotRestartPart(
             GatewayConfig config,
             Path folder,
@@ -87,7 +87,7 @@
         thread.setDaemon(true);
     }
 
-    /** Writes and reads a file as between two processes, so that the build's class-data archive has what that takes. */
+    /** Encodes and decodes a snapshot, so that the classes this takes are loaded. */
     static void rehearse(GatewayConfig config) throws StateFault {
         long nowMs = System.currentTimeMillis();
         LearnedState learned = new LearnedState(
@@ -102,8 +102,8 @@
     }
 
     /**
-     * Leaves this process's mark and looks for another's, before anything is opened. Without a folder there is no hot
-     * restart.
+     * Writes this process's mark and looks for another one, before the process listens. If the folder can't be used,
+     * hot restart is switched off, which is logged.
      */
     Other open() {
         try {
@@ -112,20 +112,18 @@
             lastSeen = look.other();
             processShare.recordMark(clock.getAsLong(), look.others());
         } catch (IOException | RuntimeException e) {
-            log.accept("no second process of this gateway can be known: " + e);
+            log.accept("off, since the marks of the processes can't be used: " + e);
             marks = null;
         }
         return lastSeen;
     }
 
-    /** The part of the gateway's due that is this process's own. */
+    /** Returns this process's share of the gateway's allowances. */
     ProcessShare processShare() {
         return processShare;
     }
 
-    /**
-     * What the other process has learned, weighed for this one; null where it has handed on nothing that can be used.
-     */
+    /** Returns the learned state that the other process has written, or null if there is none that can be used. */
     LearnedState readHandover() {
         try {
             Path file = marks == null ? null : marks.handover();
@@ -137,18 +135,18 @@
                     new Trust(config.name(), config.settings()).weigh(snapshot, System.currentTimeMillis());
             log.accept(
                     verdict.refused() != null
-                            ? "what the other process handed on is not used: " + verdict.refused()
+                            ? "the state of the other process is not used: " + verdict.refused()
                             : "took over " + verdict.learned().nodes().size() + " nodes and "
                                     + verdict.learned().volumes().size() + " volumes, " + (long) verdict.ageMs()
                                     + " ms old");
             return verdict.refused() == null ? verdict.learned() : null;
         } catch (IOException | StateFault | RuntimeException e) {
-            log.accept("what the other process handed on is not used: " + e.getMessage());
+            log.accept("the state of the other process is not used: " + e.getMessage());
             return null;
         }
     }
 
-    /** This process listens from here on; it tells the other one, and looks for a later one. On the loop's thread. */
+    /** Marks this process as listening and starts to scan for a later one. On the loop's thread. */
     void startScanning(Broker servingBroker) {
         broker = servingBroker;
         if (marks != null) {
@@ -156,12 +154,12 @@
         }
     }
 
-    /** Learned from now on under other settings. */
+    /** Uses the changed settings for later snapshots. */
     void retune(Settings changed) {
         settingsFingerprint = Snapshot.print(changed);
     }
 
-    /** The end: the mark goes with the process at the latest. */
+    /** Stops scanning and removes this process's mark. */
     void close() {
         closed = true;
         thread.interrupt();
@@ -181,8 +179,8 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (IOException | StateFault | RuntimeException e) {
-            // The mark stays: while this process lives, another has to know of it.
-            loop.execute(() -> log.accept("a second process is no longer looked for: " + e));
+            // The mark stays, since other processes must know of this one while it lives.
+            loop.execute(() -> log.accept("the scan for other processes failed and is not repeated: " + e));
         }
         if (closed) {
             closeMarks();
@@ -209,7 +207,7 @@
             settingsFingerprint = Snapshot.print(config.settings());
         }
         if (current == Other.STARTING && writesSnapshot) {
-            // The snapshot is the loop's to take; the file is this thread's to write.
+            // The loop takes the snapshot; this scan or a later one writes it.
             loop.execute(() -> pendingSnapshot.set(new Snapshot(
                     config.name(), settingsFingerprint, 1, System.currentTimeMillis(), false, broker.learnedState())));
             Snapshot snapshot = pendingSnapshot.getAndSet(null);
@@ -235,7 +233,7 @@
         try {
             marks.close();
         } catch (IOException e) {
-            // The system lets go of the mark with the process.
+            // The operating system releases the mark when the process exits.
         }
     }
 }
--- a/src/main/java/petrelstand/Main.java
+++ b/src/main/java/petrelstand/Main.java
@@ -24,8 +24,8 @@
 import petrelstand.sim.LinkException;
 
 /**
- * Command line of the jar: serves as a gateway, plays the simulator's wire, or rehearses for the build's class-data
- * archive.
+ * Entry point of the jar: serves as a gateway, runs instances for the simulator, or runs a short rehearsal that records
+ * the classes for the build's class-data archive. Other arguments go to the command line in {@code cli}.
  */
 public final class Main {
     private static final Consumer<String> TEXT_LOG = line -> System.out.println("petrelstand: " + line);
@@ -33,7 +33,7 @@
     private Main() {}
 
     public static void main(String[] args) {
-        // Of the two that the jars hold, the plain one, unless the operator asks for another; and no word on it.
+        // The class path holds two SLF4J providers; the JSON log replaces this one.
         System.setProperty("slf4j.provider", "org.slf4j.simple.SimpleServiceProvider");
         System.setProperty("slf4j.internal.verbosity", "WARN");
         if (args.length == 1 && args[0].equals("serve")) {
@@ -52,14 +52,14 @@
         }
     }
 
-    /** Serves as the platform says: by the file of RELAY_CONFIG and, where there is one, the operator's. */
+    /** Serves with the configuration that RELAY_CONFIG names and, if there is one, the operator's. */
     private static void serve() {
-        // SIGHUP ends a virtual machine that does not handle it, so it is handled from the first moment on; one
-        // that comes before the gateway serves waits for that.
+        // An unhandled SIGHUP ends the virtual machine, so the handler is installed first; a signal that arrives
+        // before the gateway serves takes effect when it does.
         CompletableFuture<Gateway> serving = new CompletableFuture<>();
         if (!Signals.handle("HUP", () -> serving.thenAccept(Main::reload))) {
-            System.err.println("petrelstand: SIGHUP is ignored by whoever started this process: only a restart takes"
-                    + " changed files");
+            System.err.println("petrelstand: this process was started with SIGHUP ignored: changed files take effect"
+                    + " only at a restart");
         }
         try {
             GatewayConfig config = GatewayConfig.load(System.getenv());
@@ -74,13 +74,13 @@
         }
     }
 
-    /** Ends without the shutdown hook, which would wait for a gateway that does not serve. */
+    /** Halts without running the shutdown hook, which would wait for a gateway that does not serve. */
     private static void startFailed(String reason) {
         System.err.println("petrelstand: " + reason);
         Runtime.getRuntime().halt(ExitStatus.START_FAILED);
     }
 
-    /** Serves until SIGTERM, and ends the process. */
+    /** Serves until SIGTERM, which ends the process; completes {@code serving} once clients are served. */
     static void serve(GatewayConfig config, OperatorConfig operator, CompletableFuture<Gateway> serving)
             throws Exception {
         Consumer<String> log = logFor(operator);
@@ -90,7 +90,7 @@
         });
         Terminator terminator = installTerminator(gateway);
         Future<?> ready = gateway.start();
-        // SIGTERM: the hook holds the process until the gateway has ended it. The loop takes tasks from here on.
+        // Registered once the loop accepts tasks. On SIGTERM the hook blocks until the gateway halts the process.
         Thread hook = new Thread(() -> terminate(gateway, terminator), "terminate");
         hook.setUncaughtExceptionHandler(terminator);
         Runtime.getRuntime().addShutdownHook(hook);
@@ -100,15 +100,12 @@
             operator.follow(
                     config.settings(),
                     changed -> gateway.execute(() -> gateway.reload(changed)),
-                    why -> log.accept("the former operator's file stays in use: " + why));
+                    why -> log.accept("the changed operator's file is rejected, the former one stays in use: " + why));
         }
         new CountDownLatch(1).await();
     }
 
-    /**
-     * Before the start: sees to it that the process ends where this thread or the loop's can't go on, and where the
-     * loop stands still.
-     */
+    /** Makes the process end if this thread or the loop's fails, or if the loop stalls; called before the start. */
     private static Terminator installTerminator(Gateway gateway) {
         Terminator terminator = new Terminator();
         Thread.currentThread().setUncaughtExceptionHandler(terminator);
@@ -118,8 +115,8 @@
     }
 
     /**
-     * SIGTERM or SIGINT: holds the process until the gateway has answered all and ended it, or until that is overdue. A
-     * signal that comes before the gateway serves waits for that, on the loop.
+     * Handles SIGTERM and SIGINT: starts the drain and blocks until the gateway halts the process, or halts it when
+     * that is overdue.
      */
     private static void terminate(Gateway gateway, Terminator terminator) {
         long startNs = System.nanoTime();
@@ -129,15 +126,15 @@
             try {
                 TimeUnit.MICROSECONDS.sleep(remainingUs);
             } catch (InterruptedException e) {
-                // Nobody means to interrupt it, and the process must not end sooner.
+                // An interrupt must not end the process early; the remaining time is computed again.
             }
-            // The drain may have followed a reload with longer deadlines.
+            // A reload before the drain may have lengthened the deadlines.
             remainingUs = gateway.forcedEndUs() - (System.nanoTime() - startNs) / 1000;
         }
         terminator.end(ExitStatus.SHUTDOWN_OVERDUE, "not ended by itself in time after SIGTERM");
     }
 
-    /** Where log lines go: text on standard output, or JSON where the operator asks for it. */
+    /** Returns the log in the configured form: text on standard output, or JSON. */
     private static Consumer<String> logFor(OperatorConfig operator) {
         if (operator != null && operator.jsonLog()) {
             return new JsonLog();
@@ -145,21 +142,18 @@
         return TEXT_LOG;
     }
 
-    /**
-     * The gateway's file is read and checked whole off the loop, one signal after another; the last one read is the
-     * last one taken.
-     */
+    /** Reads and checks the gateway's configuration off the loop, then applies it there; one signal at a time. */
     private static synchronized void reload(Gateway gateway) {
         try {
             GatewayConfig changed = GatewayConfig.reload(System.getenv(), gateway.config());
             gateway.execute(() -> gateway.reload(changed));
         } catch (RuntimeException | OutOfMemoryError e) {
-            // A file for which there is no room is one that can't be read.
+            // A file too large for the memory is rejected like one that can't be read.
             gateway.execute(() -> gateway.reloadFailed(e.getMessage()));
         }
     }
 
-    /** A start and an end on loopback, with one request: what it loads goes into the class-data archive. */
+    /** Starts and ends a gateway on loopback with one request, to load the classes for the class-data archive. */
     private static void rehearse() {
         try (InputStream file = Main.class.getResourceAsStream("/rehearsal.json")) {
             GatewayConfig config =
--- a/src/main/java/petrelstand/OperationPart.java
+++ b/src/main/java/petrelstand/OperationPart.java
@@ -24,10 +24,7 @@
 import petrelstand.operation.Telemetry;
 import petrelstand.store.Marks.Other;
 
-/**
- * What a gateway has for its operators, where its file gives an address for them: the calls and what each does, and the
- * change from one process to the next.
- */
+/** The operators' API and hot restarts of a gateway; created only if its configuration has an operator address. */
 final class OperationPart {
     private final int sockets;
     private final int rsyncDescriptors;
@@ -43,8 +40,12 @@
     private Other otherProcess = Other.NONE;
 
     /**
-     * Before a gateway's parts, of which its rsync transfers take descriptors too; evacuate and rejoin say whether they
-     * could be done.
+     * Creates the API; it does not listen yet.
+     *
+     * @param rsyncDescriptors descriptors reserved for rsync transfers
+     * @param threadSafeClock time in µs, safe to read from any thread
+     * @param evacuate starts a drain; false if the current phase does not allow it
+     * @param rejoin ends a drain; false if the current phase does not allow it
      */
     OperationPart(
             GatewayConfig config,
@@ -110,13 +111,13 @@
         };
     }
 
-    /** Looks for a process whose place this one takes; before the loop starts. */
+    /** Looks for a process that this one replaces; before the loop starts. */
     void findOtherProcess() {
         otherProcess = hotRestart.open();
         broker.setShareFunction(hotRestart.processShare()::share);
     }
 
-    /** Takes over what that process has learned, before the first list. */
+    /** Restores the learned state of the process that this one replaces, before the first node list. */
     void takeOver() {
         if (otherProcess != Other.NONE) {
             log.accept("hot restart: this process takes the place of another");
@@ -128,22 +129,21 @@
         }
     }
 
-    /** True where this process takes another's place. */
+    /** Returns whether this process replaces another one. */
     boolean replacesProcess() {
         return otherProcess != Other.NONE;
     }
 
-    /** Listens at the operators' address, to the end of the process, and looks for one that takes this one's place. */
+    /** Listens at the operators' address and starts to scan for a process that replaces this one. */
     void listen(EventLoop loop, String address) throws IOException {
         loop.listen(SocketAddresses.parse(address), operatorApi::accept);
         hotRestart.startScanning(broker);
     }
 
-    /** Told by the hot restart's thread, on the loop. */
     private void otherProcess(Other current) {
         log.accept("hot restart: "
                 + switch (current) {
-                    case NONE -> "the other process is gone; this one has all that is the gateway's";
+                    case NONE -> "the other process is gone; this one has the gateway's whole share";
                     case STARTING -> "another process of this gateway starts";
                     case LISTENING -> "another process of this gateway listens too";
                 });
@@ -152,8 +152,8 @@
     }
 
     /**
-     * While two processes are one gateway, each has half of its descriptors, once the newer listens: until then
-     * connections that the older closed would only come back to it.
+     * Sets the connection limits: half of the descriptors while another process listens too. While it only starts, the
+     * older process keeps its limits, since clients would reconnect to it.
      */
     private void limitConnections() {
         boolean bothListen = otherProcess == Other.LISTENING;
--- a/src/main/java/petrelstand/RetunePart.java
+++ b/src/main/java/petrelstand/RetunePart.java
@@ -13,7 +13,7 @@
 import petrelstand.retuning.SettingsTransition;
 import petrelstand.retuning.SettingsTransition.Step;
 
-/** Brings other settings into a running gateway's parts, one step after another. On the loop's thread. */
+/** Applies changed settings to the components of a running gateway, in steps over time. On the loop's thread. */
 final class RetunePart {
     private final Broker broker;
     private final HttpFront httpFront;
@@ -42,7 +42,7 @@
         this.log = log;
     }
 
-    /** Begins with another file's settings; steps of a former reload that are not yet due are never taken. */
+    /** Applies the first step towards changed settings and schedules the others; cancels those of an earlier reload. */
     void start(Settings changed) {
         List<Step> steps = SettingsTransition.steps(broker.settings(), changed, closedClasses, clock.getAsLong());
         if (nextStep != null) {
--- a/src/main/java/petrelstand/RulesPart.java
+++ b/src/main/java/petrelstand/RulesPart.java
@@ -47,23 +47,24 @@
 import petrelstand.store.StateFault;
 
 /**
- * The agreed rules' part of a gateway, put together: the holder on the loop, where decisions are made, and a voter,
- * where this gateway is one, on a thread of its own with its folder. Loaded only where the operator's file has
- * {@code [rules]}.
+ * Runs the agreed rules in a gateway: the lease holder on the event loop and, if this gateway votes, the voter with its
+ * folder on a thread of its own. Loaded only if the operator's file has a section {@code [rules]}.
  */
 final class RulesPart implements LeaseHolder.Actions, Voter.Callbacks, RaftNodeExecutor {
     private static final long TICK_INTERVAL_US = 50_000;
-    /** Parcels that wait for the loop or the voter; more are lost, as datagrams are. */
+    /** Messages that wait for the loop or the voter; further ones are dropped. */
     private static final int MAX_QUEUED_MESSAGES = 512;
 
     private static final int MAX_TRACKED_VOTERS = 64;
+    /** Sender of a request from the command line or from the operator's file. */
     private static final String ADMIN_SENDER = "asker";
+    /** Sender of such a request that was forwarded to the leader; it is not forwarded again. */
     private static final String FORWARDED_ADMIN_SENDER = "asker passed on";
 
-    /** A voter that starts waits so long for the others to say how far they have heard it. */
+    /** How long a starting voter waits for the folder generations that the other voters know. */
     private static final long GENERATION_TIMEOUT_US = 10_000_000;
 
-    /** Makes the holder; the usual one, but for tests that plant a defect. */
+    /** Creates the lease holder; tests replace it to plant a defect. */
     interface LeaseHolderFactory {
         LeaseHolder create(
                 long nowUs,
@@ -96,18 +97,16 @@
     private volatile Voter voter;
     private volatile RulesStatus.VoterStatus voterStatus;
     private boolean leaving;
-    /** How far each other voter's store was heard to be. */
+    /** The highest folder generation received from each other voter. */
     private final Map<String, Long> generations = new HashMap<>();
 
     private StaleFolderCheck staleFolderCheck;
-    /**
-     * The epoch that this gateway's folder has versions of, -1 for none, and whether a later one was heard to have
-     * begun.
-     */
+    /** The epoch of the versions in this gateway's folder; -1 if it has none. */
     private long votedEpoch = -1;
 
+    /** Whether a message of a later epoch has arrived. */
     private boolean superseded;
-    /** Ready to vote, and begins when a leader that was ordered to add it sends it something. */
+    /** Whether this gateway is ready to vote but waits for a Raft message from a leader that adds it. */
     private boolean awaitsAddition;
 
     private long generationNonce;
@@ -115,7 +114,7 @@
     private static LeaseHolderFactory holderFactory = (now, life, config, seed, loader, act) ->
             new LeaseHolder(now, life, config.voters(), config.promise(), seed, loader, act);
 
-    /** For tests, before a start: a holder with a planted defect. */
+    /** Replaces the lease holder's factory, before the start; for tests. */
     static void setHolderFactory(LeaseHolderFactory factory) {
         holderFactory = factory;
     }
@@ -150,7 +149,11 @@
         return RulesText.load("rules", text, planNames);
     }
 
-    /** Takes the folder; a voter without one, or with one that can't be trusted, does not vote, and says so. */
+    /**
+     * Opens the folder. With one that can't be read this gateway does not vote, which is logged.
+     *
+     * @throws IOException if this gateway is to vote and no folder is configured
+     */
     void open() throws IOException {
         voterThread = new ScheduledThreadPoolExecutor(1, task -> {
             Thread created = new Thread(task, "rules");
@@ -176,13 +179,13 @@
             log.accept("this gateway does not vote: " + config.folder() + ": " + e.getMessage());
             raftFiles = null;
         } catch (IOException e) {
-            log.accept((votingConfigured ? "this gateway does not vote: " : "nothing is kept: ") + config.folder()
-                    + ": " + e.getMessage());
+            log.accept((votingConfigured ? "this gateway does not vote: " : "the rules are not kept for a restart: ")
+                    + config.folder() + ": " + e.getMessage());
             raftFiles = null;
         }
     }
 
-    /** Begins to ask for leases, on the loop; a voter begins to vote. */
+    /** Starts requesting leases and, if this gateway votes, the check of its folder before it votes. On the loop. */
     void start(HttpFront front) {
         long startUs = nowUs.getAsLong();
         long instanceNonce = new java.security.SecureRandom().nextLong();
@@ -209,17 +212,19 @@
         tick();
     }
 
-    /** Asks the other voters how far they have heard this one, until it may vote or must not. */
+    /**
+     * Asks the other voters which generation of this gateway's folder they know, until it may vote or must not because
+     * the folder is an old copy.
+     */
     private void checkFolder() {
         switch (leaving || superseded ? StaleFolderCheck.Verdict.REFUSE : staleFolderCheck.verdict(nowUs.getAsLong())) {
             case VOTE -> {
                 if (staleFolderCheck.answerCount() < staleFolderCheck.requiredAnswers()) {
-                    log.accept("votes though only " + staleFolderCheck.answerCount() + " other voters answered in "
+                    log.accept("only " + staleFolderCheck.answerCount() + " other voters answered in "
                             + GENERATION_TIMEOUT_US / 1_000_000
-                            + " s: where its folder is an old copy, that is not known");
+                            + " s; this gateway votes without knowing whether its folder is an old copy");
                 }
-                // One that is none of the first voters and was not added yet would only call elections that it can't
-                // win.
+                // A gateway that is not an initial voter and was not added yet would call elections it can't win.
                 awaitsAddition = !config.voters().contains(fleet.name()) && raftFiles.restoredState() == null;
                 if (!awaitsAddition) {
                     execute(this::startVoter);
@@ -272,11 +277,11 @@
                 stateChanged();
             }
         } catch (RuntimeException e) {
-            log.accept("the voter's turn failed: " + e);
+            log.accept("the voter's tick failed, it goes on with the next one: " + e);
         }
     }
 
-    /** The voter's own clock: monotonic, and read by its own thread. */
+    /** The voter's clock; unlike the loop's, it may be read from any thread. */
     private long monotonicUs() {
         return System.nanoTime() / 1000;
     }
@@ -291,7 +296,7 @@
         }
     }
 
-    /** What an operator wrote into the file goes to whoever leads, as what comes from outside does. */
+    /** Sends proposals from the operator's file to the leader, like requests of the command line. */
     private final class FileProposalActions implements RulesFileProposer.Actions {
         @Override
         public void send(String leader, RulesMessage message) {
@@ -305,17 +310,17 @@
         }
     }
 
-    /** The operator's file, or one that it names, has changed: other rules in it are proposed, not acted on. */
+    /** Proposes changed rules of the operator's file; they take effect only once the voters have agreed. */
     void reload(RulesConfig changed) {
         if (changed == null || changed.text() == null || proposer == null) {
-            log.accept("only a restart switches a part on or off");
+            log.accept("the changed [rules] section is ignored: only a restart switches a section on or off");
         } else if (!changed.text().equals(proposedText)) {
             proposedText = changed.text();
             proposer.fileChanged(nowUs.getAsLong(), proposedText, System.currentTimeMillis());
         }
     }
 
-    /** SIGTERM: asks for no lease any more; a leader's successor is found by the others. */
+    /** Stops requesting leases; a voter that leads hands over its leadership (SIGTERM). */
     void leave() {
         leaving = true;
         execute(() -> {
@@ -326,9 +331,9 @@
         schedule(voterThread::shutdown, 2 * Voter.LEADERSHIP_TRANSFER_MS, TimeUnit.MILLISECONDS);
     }
 
-    // ---- What comes and goes ----
+    // ---- Messages ----
 
-    /** On the link's thread. */
+    /** Queues a received message for the loop; called on the thread that receives datagrams. */
     private void datagramReceived(byte[] content) {
         if (queuedMessages.incrementAndGet() > MAX_QUEUED_MESSAGES) {
             queuedMessages.decrementAndGet();
@@ -385,7 +390,7 @@
         }
     }
 
-    /** Who has voted in an epoch that the operator ended takes no further part: its majority is not the fleet's. */
+    /** Stops the voter when a message shows that an operator has begun a later epoch than its folder's. */
     private void noteEpoch(long epoch) {
         RulesStatus.VoterStatus status = voterStatus;
         if (status != null && status.registry().newest() > 0) {
@@ -404,7 +409,7 @@
         }
     }
 
-    /** The command line asks whom it knows; who does not lead passes it on to who does, once. */
+    /** Handles a request of an operator here if this gateway leads, or else forwards it to the leader, once. */
     private void handleAdminRequest(Envelope envelope) {
         RulesStatus.VoterStatus status = voterStatus;
         boolean isLeader = status != null && status.isLeader();
@@ -442,7 +447,7 @@
     }
 
     private void sendEnvelope(String recipient, long epoch, RaftMessage raftMessage, RulesMessage rulesMessage) {
-        // What is asked before it votes tells nothing of a store that may be an old copy.
+        // Before it votes, this gateway does not announce the generation of a folder that may be an old copy.
         long generation = raftFiles == null || voter == null ? 0 : raftFiles.generation();
         loop.execute(() -> {
             String address = recipient.startsWith("@") ? recipient.substring(1) : fleet.addressOf(recipient);
@@ -462,12 +467,12 @@
         });
     }
 
-    /** The epoch of what this gateway heard to be acted on; for the loop. */
+    /** The epoch of the newest version that the lease holder knows; on the loop. */
     private long holderEpoch() {
         return RuleRegistry.epoch(holder.knownVersions()[0]);
     }
 
-    /** On the voter's thread. */
+    /** The epoch of the voter; on its thread. */
     private long voterEpoch() {
         Voter current = voter;
         return current == null ? 0 : current.epoch();
@@ -499,7 +504,7 @@
         try {
             task.run();
         } catch (RuntimeException e) {
-            log.accept("the voter failed at something: " + e);
+            log.accept("a task of the voter failed and is dropped: " + e);
         }
     }
 
@@ -517,7 +522,7 @@
         try {
             voterThread.schedule(() -> runLoggingErrors(task), delay, unit);
         } catch (RejectedExecutionException e) {
-            // This gateway ends: nobody waits for it any more.
+            // The executor was shut down because the gateway ends.
         }
     }
 
@@ -528,7 +533,7 @@
         }
     }
 
-    // ---- What the holder says, on the loop ----
+    // ---- Callbacks of the lease holder, on the loop ----
 
     @Override
     public void effectiveRulesChanged(long changedAtUs, LeaseHolder.EffectiveRules effective, String reason) {
@@ -568,9 +573,9 @@
         log.accept(line);
     }
 
-    // ---- What the rest of the gateway asks ----
+    // ---- Effective rules ----
 
-    /** The rsync front's settings as far as the rules allow them now. */
+    /** Returns the rsync configuration without the modules that the effective rules close and the nodes they remove. */
     RsyncConfig applyRules(RsyncConfig configured) {
         if (holder == null) {
             return configured;
--- a/src/main/java/petrelstand/Signals.java
+++ b/src/main/java/petrelstand/Signals.java
@@ -3,15 +3,16 @@
 import java.lang.reflect.Proxy;
 
 /**
- * The one place that touches the JDK's own signal class, by reflection: javac warns of any other use, and warnings are
- * errors here. The JDK has no public way to handle a signal.
+ * Handles signals through the JDK's internal signal class, since there is no public one. By reflection, because javac
+ * warns of a direct use and warnings are errors here.
  */
 final class Signals {
     private Signals() {}
 
     /**
-     * Runs the action, on a thread of its own, each time the signal comes: "HUP" for SIGHUP. False where whoever
-     * started the process has it ignored, as {@code nohup} does: the JVM keeps that, and the action never runs.
+     * Runs the action, on a thread of its own, each time a signal arrives ("HUP" for SIGHUP). Returns false if the
+     * process was started with the signal ignored, as by {@code nohup}: the JVM keeps it ignored and the action never
+     * runs.
      */
     static boolean handle(String name, Runnable action) {
         try {
--- a/src/main/java/petrelstand/Terminator.java
+++ b/src/main/java/petrelstand/Terminator.java
@@ -8,14 +8,14 @@
 import petrelstand.lifecycle.ExitStatus;
 
 /**
- * Ends this process at once, with one line on standard error and a status of {@link ExitStatus}; the system closes its
- * sockets. All that this takes is allocated beforehand, since the cause may be that no memory is left. As the handler
- * of a thread's uncaught exceptions it marks a thread that the process can't do without.
+ * Halts this process with one line on standard error and a status of {@link ExitStatus}. Everything needed is allocated
+ * beforehand, since the cause may be a lack of memory. Set as the uncaught exception handler of each thread without
+ * which the process can't go on.
  */
 final class Terminator implements Thread.UncaughtExceptionHandler {
-    /** A longer line is cut. */
+    /** A longer line is truncated. */
     private static final int MAX_LINE_BYTES = 400;
-    /** How long a line may take: standard error may be a pipe that nobody reads. */
+    /** How long writing the line may take: standard error may be a pipe that nobody reads. */
     private static final long WRITE_TIMEOUT_NS = 50_000_000;
 
     private final byte[] line = new byte[MAX_LINE_BYTES + 1];
@@ -26,7 +26,7 @@
     private volatile Thread standbyThread;
 
     Terminator() {
-        // Used for the first time, these would load classes and make names.
+        // The first use of these loads classes and creates their names, which takes memory.
         append("a rehearsal: ");
         append(OutOfMemoryError.class.getName());
         append(StackOverflowError.class.getName());
@@ -35,10 +35,7 @@
         LockSupport.unpark(null);
     }
 
-    /**
-     * Names the thread that calls {@link #haltIfTerminating} whenever it wakes, and ends the process should the line
-     * not go out.
-     */
+    /** Sets the thread that calls {@link #haltIfTerminating} whenever it wakes, in case writing the line blocks. */
     void standbyThread(Thread thread) {
         standbyThread = thread;
     }
@@ -55,7 +52,7 @@
         end();
     }
 
-    /** Ends the process; does nothing where it is being ended already. */
+    /** Halts the process; has no effect if it is being halted already. */
     void end(int exitStatus, String reason) {
         if (begin(exitStatus)) {
             append(reason);
@@ -73,7 +70,7 @@
         return true;
     }
 
-    /** What was thrown and, where there may be memory for that, at which place. */
+    /** Appends the class, the message and, except for a VirtualMachineError, the first stack frame. */
     private void appendThrowable(Throwable thrown) {
         try {
             append(thrown.getClass().getName());
@@ -86,7 +83,7 @@
                 append(thrown.getStackTrace()[0].toString());
             }
         } catch (Error | RuntimeException e) {
-            append(" (no more is known)");
+            append(" (details are not available)");
         }
     }
 
@@ -97,12 +94,12 @@
         try {
             standardError.write(line, 0, length + 1);
         } catch (IOException | Error e) {
-            // Nobody hears it; the status says it.
+            // The exit status remains as the only sign.
         }
         Runtime.getRuntime().halt(status);
     }
 
-    /** Called by the standby thread: where the process is being ended, ends it when the line has had its time. */
+    /** If the process is being halted, waits for {@link #WRITE_TIMEOUT_NS} and halts it without the line. */
     void haltIfTerminating() {
         if (!terminating.get()) {
             return;
--- a/src/main/java/petrelstand/Watchdog.java
+++ b/src/main/java/petrelstand/Watchdog.java
@@ -6,8 +6,8 @@
 import petrelstand.net.EventLoop;
 
 /**
- * A thread that ends the process when its event loop stands still. It wakes once a period, and a loop that is idle
- * then.
+ * A thread that ends the process when the event loop has stalled. Once a period it counts the loop's iterations; it
+ * wakes a loop that may be idle, so that an idle loop is not taken for a stalled one.
  */
 final class Watchdog {
     private final EventLoop loop;
@@ -18,7 +18,7 @@
         this.terminator = terminator;
     }
 
-    /** Watches a loop that has been started, or will be. */
+    /** Starts the watchdog of a loop, which need not run yet. */
     static void start(EventLoop loop, Terminator terminator) {
         Thread thread = new Thread(new Watchdog(loop, terminator)::run, "watchdog");
         thread.setDaemon(true);
