--- a/src/test/java/petrelstand/CrossingsTest.java
+++ b/src/test/java/petrelstand/CrossingsTest.java
@@ -34,9 +34,9 @@
         start(closeAfterTest(new Listener()), replaced);
     }
 
-    private void start(Listener door, String... replaced) throws Exception {
-        node = door;
-        start(door.port(), replaced);
+    private void start(Listener listener, String... replaced) throws Exception {
+        node = listener;
+        start(listener.port(), replaced);
     }
 
     private void start(int nodePort, String... replaced) throws Exception {
@@ -60,38 +60,38 @@
         return closeAfterTest(Peer.connect(port));
     }
 
-    private Peer taken() throws IOException {
+    private Peer acceptAtNode() throws IOException {
         return closeAfterTest(node.accept());
     }
 
     /** The gateway's next connection to the node, once its request is read. */
-    private Peer asked() throws IOException {
-        Peer peer = taken();
+    private Peer acceptRequestAtNode() throws IOException {
+        Peer peer = acceptAtNode();
         peer.readMessage();
         return peer;
     }
 
-    private interface Act {
+    private interface TestAction {
         void run() throws Exception;
     }
 
     /** Does something while the gateway's loop stands still: what comes of it meets the loop in one turn. */
-    private void whileTheLoopStandsStill(Act act) throws Exception {
-        CountDownLatch stands = new CountDownLatch(1);
-        CountDownLatch goesOn = new CountDownLatch(1);
+    private void whileLoopIsBlocked(TestAction action) throws Exception {
+        CountDownLatch blocked = new CountDownLatch(1);
+        CountDownLatch released = new CountDownLatch(1);
         gateway.execute(() -> {
-            stands.countDown();
+            blocked.countDown();
             try {
-                assertTrue(goesOn.await(20, TimeUnit.SECONDS));
+                assertTrue(released.await(20, TimeUnit.SECONDS));
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         });
-        assertTrue(stands.await(20, TimeUnit.SECONDS));
+        assertTrue(blocked.await(20, TimeUnit.SECONDS));
         try {
-            act.run();
+            action.run();
         } finally {
-            goesOn.countDown();
+            released.countDown();
         }
     }
 
@@ -101,24 +101,24 @@
 
     // ---- Answers that end, and answers that are cut ----
 
-    private static final String UNFRAMED = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf a tile";
+    private static final String UNFRAMED_RESPONSE = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf a tile";
 
     @Test
-    void anAnswerWithoutALengthIsWholeWhereItsConnectionEnds() throws Exception {
+    void servesResponseDelimitedByConnectionClose() throws Exception {
         start();
         Peer client = client().write(ScriptedPeers.readRequest("tile-read", "t1", 30_000));
-        Peer first = asked();
-        first.write(UNFRAMED).shutdownOutput();
+        Peer first = acceptRequestAtNode();
+        first.write(UNFRAMED_RESPONSE).shutdownOutput();
         assertTrue(client.readMessage().endsWith("half a tile"));
     }
 
     @Test
-    void anAnswerWithoutALengthThatIsResetIsNotServedButTriedAgain() throws Exception {
+    void retriesUnframedResponseCutByReset() throws Exception {
         start();
         Peer client = client().write(ScriptedPeers.readRequest("tile-read", "t1", 30_000));
-        Peer first = asked();
-        whileTheLoopStandsStill(() -> first.write(UNFRAMED).reset());
-        Peer second = asked();
+        Peer first = acceptRequestAtNode();
+        whileLoopIsBlocked(() -> first.write(UNFRAMED_RESPONSE).reset());
+        Peer second = acceptRequestAtNode();
         second.write(ScriptedPeers.okResponse("whole"));
         String answer = client.readMessage();
         assertTrue(answer.startsWith("HTTP/1.1 200") && answer.endsWith("whole"), answer);
@@ -126,27 +126,26 @@
     }
 
     @Test
-    void aResetBehindAWholeAnswerTakesNothingFromIt() throws Exception {
+    void servesWholeResponseFollowedByReset() throws Exception {
         start();
         Peer client = client().write(ScriptedPeers.readRequest("tile-read", "t1", 30_000));
-        Peer first = asked();
-        whileTheLoopStandsStill(
-                () -> first.write(ScriptedPeers.okResponse("whole")).reset());
+        Peer first = acceptRequestAtNode();
+        whileLoopIsBlocked(() -> first.write(ScriptedPeers.okResponse("whole")).reset());
         assertTrue(client.readMessage().endsWith("whole"));
         awaitCounter("outcome.served", 1);
         assertEquals(0, counter("outcome.reset"));
     }
 
     @Test
-    void aResetBeforeAndWithinTheHeadIsAReset() throws Exception {
+    void countsResetBeforeAndWithinHeadAsReset() throws Exception {
         start();
         Peer client = client().write(ScriptedPeers.readRequest("tile-read", "t1", 30_000));
-        Peer first = asked();
+        Peer first = acceptRequestAtNode();
         first.reset();
-        Peer second = asked();
+        Peer second = acceptRequestAtNode();
         second.write("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nConte");
         second.reset();
-        Peer third = asked();
+        Peer third = acceptRequestAtNode();
         third.write("HTTP/1.1 103 Early Hints\r\n\r\n" + ScriptedPeers.okResponse("whole"));
         assertTrue(client.readMessage().endsWith("whole"));
         awaitCounter("outcome.reset", 2);
@@ -157,7 +156,7 @@
     /**
      * A gateway before a node whose backlog is full: what is dialed comes up when the test has taken what is before it.
      */
-    private void startBeforeAFullNode(String... replaced) throws Exception {
+    private void startWithFullNode(String... replaced) throws Exception {
         Listener full = closeAfterTest(new Listener(1));
         for (int i = 0; i < 2; i++) {
             closeAfterTest(Peer.connect(full.port()));
@@ -166,21 +165,21 @@
     }
 
     /** The gateway's connection, after those that stood before it. */
-    private Peer takenBehindTheFillers() throws IOException {
-        taken();
-        taken();
-        return taken();
+    private Peer acceptAfterFillers() throws IOException {
+        acceptAtNode();
+        acceptAtNode();
+        return acceptAtNode();
     }
 
     /** Guards against an attempt that begins after its client left, where settings forbid to cancel what is out. */
     @Test
-    void aConnectionThatComesUpAfterTheClientLeftCarriesOnlyTheNextRequest() throws Exception {
-        startBeforeAFullNode("\"cancel\":true", "\"cancel\":false");
+    void lateConnectionCarriesOnlyNextRequestAfterClientLeft() throws Exception {
+        startWithFullNode("\"cancel\":true", "\"cancel\":false");
         Peer client = client().write(ScriptedPeers.readRequest("tile-read", "t1", 30_000));
         awaitCounter("connections.nodes", 1);
         client.reset();
         awaitCounter("client_gone", 1);
-        Peer late = takenBehindTheFillers();
+        Peer late = acceptAfterFillers();
         awaitCounter("outcome.cancelled", 1);
         client().write(ScriptedPeers.readRequest("tile-read", "t2", 30_000));
         assertTrue(late.readMessage().contains("X-Txn: t2\r\n"));
@@ -189,8 +188,8 @@
 
     /** Guards against an end that lies behind more bytes than are read while a request waits. */
     @Test
-    void aClientThatSendsMuchAndGoesIsSeenToGo() throws Exception {
-        startBeforeAFullNode();
+    void detectsClientCloseBehindUnreadInput() throws Exception {
+        startWithFullNode();
         for (int bytes : new int[] {0, 6_000, 100_000}) {
             long gone = counter("client_gone");
             Peer client = client().write(ScriptedPeers.readRequest("tile-read", "t" + bytes, 30_000));
@@ -216,7 +215,7 @@
      * they started.
      */
     @Test
-    void aProcessThatStartsServesWhenItHasTheListAsItIsNow() throws Exception {
+    void servesOnlyAfterFirstDiscoveryResponse() throws Exception {
         node = closeAfterTest(new Listener());
         discovery = closeAfterTest(new Listener());
         gateway = new Gateway(
@@ -227,7 +226,7 @@
         CompletableFuture<List<Integer>> ports = gateway.start();
         Peer agent = closeAfterTest(discovery.accept());
         assertTrue(agent.readMessage().startsWith("GET /v1/endpoints?index=1&wait="));
-        whileTheLoopStandsStill(() -> {
+        whileLoopIsBlocked(() -> {
             assertTrue(!ports.isDone(), "it serves before its agent has answered");
             agent.write(ScriptedPeers.okResponse(
                     "{\"version\":2,\"full\":false,\"servers\":[{\"id\":\"s-00000001\",\"addr\":\"127.0.0.1:"
@@ -247,7 +246,7 @@
 
     /** Idle clients may come in any number, also in the moments in which discovery must be dialed anew. */
     @Test
-    void idleClientsLeaveDiscoveryAndTheNodesTheirDescriptors() throws Exception {
+    void idleClientsDoNotExhaustDescriptors() throws Exception {
         start(closeAfterTest(LoopbackPeers.storageNode(1)).port(), "\"sockets\":1024", "\"sockets\":128");
         int bound = Descriptors.of(128, 0).clients();
         Peer agent = closeAfterTest(discovery.accept());
@@ -269,8 +268,8 @@
         String answer = "";
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
         for (int i = 0; System.nanoTime() < until && !answer.startsWith("HTTP/1.1 200"); i++) {
-            try (Peer asks = Peer.connect(port)) {
-                answer = asks.write(ScriptedPeers.readRequest("tile-read", "t" + i, 30_000))
+            try (Peer prober = Peer.connect(port)) {
+                answer = prober.write(ScriptedPeers.readRequest("tile-read", "t" + i, 30_000))
                         .readMessage();
             } catch (IOException e) {
                 answer = "";
@@ -293,11 +292,11 @@
      * end of listening, so that this is the first thing it does, and the process would end with nothing to wait for.
      */
     @Test
-    void whatLiesInTheBacklogAtTheEndOfListeningIsTakenBeforeTheProcessEnds() throws Exception {
+    void answersBackloggedConnectionsBeforeExit() throws Exception {
         start(closeAfterTest(LoopbackPeers.storageNode(1)).port());
         List<Peer> clients = new ArrayList<>();
         gateway.execute(gateway::drain);
-        whileTheLoopStandsStill(() -> {
+        whileLoopIsBlocked(() -> {
             long listened = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(600);
             for (int i = 0; i < 50; i++) {
                 clients.add(client().write(ScriptedPeers.readRequest("tile-read", "t" + i, 30_000)));
--- a/src/test/java/petrelstand/EndingProcessTest.java
+++ b/src/test/java/petrelstand/EndingProcessTest.java
@@ -28,7 +28,7 @@
 @Timeout(120)
 class EndingProcessTest {
     /** In which a process ends that is told to at once. The program takes less; the rest is the machine. */
-    private static final long SOON_MS = 2_000;
+    private static final long EXIT_TIMEOUT_MS = 2_000;
 
     @TempDir
     Path folder;
@@ -45,7 +45,7 @@
         gateway.close();
     }
 
-    private GatewayProcess faulty(String fault) throws Exception {
+    private GatewayProcess startFaulty(String fault) throws Exception {
         GatewayProcess run = gateway.start(List.of("petrelstand.FaultyGateway", fault));
         run.await("fault: " + fault);
         return run;
@@ -56,10 +56,10 @@
     }
 
     /** Waits for the end; gives how long it took, ms. */
-    private static long ended(GatewayProcess run, int status, long withinMs) throws InterruptedException {
-        long begun = System.nanoTime();
+    private static long awaitExit(GatewayProcess run, int status, long withinMs) throws InterruptedException {
+        long startNs = System.nanoTime();
         assertTrue(run.process().waitFor(withinMs, TimeUnit.MILLISECONDS), "still there: " + run.linesRead());
-        long tookMs = (System.nanoTime() - begun) / 1_000_000;
+        long tookMs = (System.nanoTime() - startNs) / 1_000_000;
         assertEquals(status, run.process().exitValue());
         return tookMs;
     }
@@ -70,26 +70,26 @@
         "linkage, java.lang.NoClassDefFoundError: meant/by/the/Test at petrelstand",
         "memory, java.lang.OutOfMemoryError: Java heap space"
     })
-    void anErrorOnTheLoopEndsTheProcess(String fault, String told) throws Exception {
-        GatewayProcess run = faulty(fault);
+    void errorOnLoopEndsProcess(String fault, String error) throws Exception {
+        GatewayProcess run = startFaulty(fault);
         // Filling the heap takes collections of garbage; the line comes when the error does.
         String line = run.await("petrelstand: fatal: ");
-        long tookMs = ended(run, ExitStatus.FATAL_ERROR, SOON_MS);
+        long tookMs = awaitExit(run, ExitStatus.FATAL_ERROR, EXIT_TIMEOUT_MS);
         System.out.println("an error on the loop, " + fault + ": ended " + tookMs + " ms after its line");
         // Where memory is out, another thread's last words may stand before it.
         line = line.substring(line.indexOf("petrelstand: fatal: "));
-        assertTrue(line.startsWith("petrelstand: fatal: thread loop has ended by " + told), line);
+        assertTrue(line.startsWith("petrelstand: fatal: thread loop has ended by " + error), line);
         assertTrue(line.endsWith("; the process ends with status 70"), line);
         assertPortFree();
     }
 
     @Test
-    void aLoopThatStandsStillEndsTheProcess() throws Exception {
-        GatewayProcess run = faulty("stand");
-        long begun = System.nanoTime();
+    void stalledLoopEndsProcess() throws Exception {
+        GatewayProcess run = startFaulty("stand");
+        long startNs = System.nanoTime();
         String line = run.await("petrelstand: fatal: ");
-        assertTrue(System.nanoTime() - begun >= TimeUnit.SECONDS.toNanos(13));
-        ended(run, ExitStatus.LOOP_STALLED, SOON_MS);
+        assertTrue(System.nanoTime() - startNs >= TimeUnit.SECONDS.toNanos(13));
+        awaitExit(run, ExitStatus.LOOP_STALLED, EXIT_TIMEOUT_MS);
         assertTrue(
                 line.matches("petrelstand: fatal: the loop has not turned for 15 s; it is at .*sleep.*"
                         + "; the process ends with status 71"),
@@ -103,8 +103,8 @@
      */
     @ParameterizedTest
     @CsvSource({"TERM", "INT"})
-    void aSignalEndsAProcessWhoseLoopStandsStill(String signal) throws Exception {
-        GatewayProcess run = faulty("stand");
+    void signalEndsProcessWithStalledLoop(String signal) throws Exception {
+        GatewayProcess run = startFaulty("stand");
         run.signal(signal);
         if (signal.equals("INT") && ignoresInterrupt(run.process())) {
             assertFalse(
@@ -113,7 +113,7 @@
             run.signal("TERM");
         }
         // The longest deadline of the settings is 5 s; the process may be killed after 5.7 s.
-        long tookMs = ended(run, ExitStatus.SHUTDOWN_OVERDUE, 5_700 + SOON_MS);
+        long tookMs = awaitExit(run, ExitStatus.SHUTDOWN_OVERDUE, 5_700 + EXIT_TIMEOUT_MS);
         assertTrue(tookMs >= 5_000, tookMs + " ms");
         run.await("petrelstand: fatal: not ended by itself in time after SIGTERM; the process ends with status 72");
         assertPortFree();
@@ -130,7 +130,7 @@
     }
 
     @Test
-    void aProcessThatWasStoppedForLongGoesOnServing() throws Exception {
+    void processServesAfterLongStop() throws Exception {
         GatewayProcess run = gateway.start();
         run.await("ready: ");
         run.signal("STOP");
@@ -145,6 +145,6 @@
         assertTrue(run.process().isAlive());
         assertThrows(IOException.class, this::assertPortFree);
         run.signal("TERM");
-        ended(run, ExitStatus.ENDED, 20_000);
+        awaitExit(run, ExitStatus.ENDED, 20_000);
     }
 }
--- a/src/test/java/petrelstand/FaultyGateway.java
+++ b/src/test/java/petrelstand/FaultyGateway.java
@@ -23,15 +23,15 @@
 
     private static void fault(String name) {
         switch (name) {
-            case "memory" -> fill();
+            case "memory" -> exhaustHeap();
             case "stack" -> recurse(0);
             case "linkage" -> throw new NoClassDefFoundError("meant/by/the/Test");
-            case "stand" -> standStill();
+            case "stand" -> stall();
             default -> throw new IllegalArgumentException(name);
         }
     }
 
-    private static void fill() {
+    private static void exhaustHeap() {
         List<byte[]> kept = new ArrayList<>();
         for (int size = 1 << 20; ; size = Math.max(16, size / 2)) {
             try {
@@ -50,7 +50,7 @@
         return recurse(depth + 1) + depth;
     }
 
-    private static void standStill() {
+    private static void stall() {
         while (true) {
             try {
                 Thread.sleep(Long.MAX_VALUE);
--- a/src/test/java/petrelstand/KnownRedTest.java
+++ b/src/test/java/petrelstand/KnownRedTest.java
@@ -35,35 +35,35 @@
             List.of("p.q.ATest#one", "p.q.ATest#two", "p.q.BTest#three", "p.q.BTest#four");
 
     @TempDir
-    Path world;
+    Path project;
 
     @BeforeEach
-    void lay() throws IOException {
-        Files.createDirectories(world.resolve("deploy"));
-        Files.copy(Path.of("deploy/test"), world.resolve("deploy/test"));
-        Path maven =
-                Files.writeString(Files.createDirectories(world.resolve("bin")).resolve("mvn"), MAVEN);
+    void createProject() throws IOException {
+        Files.createDirectories(project.resolve("deploy"));
+        Files.copy(Path.of("deploy/test"), project.resolve("deploy/test"));
+        Path maven = Files.writeString(
+                Files.createDirectories(project.resolve("bin")).resolve("mvn"), MAVEN);
         assertTrue(maven.toFile().setExecutable(true));
-        Path sources = Files.createDirectories(world.resolve("src/test/java/p/q"));
+        Path sources = Files.createDirectories(project.resolve("src/test/java/p/q"));
         Files.writeString(sources.resolve("ATest.java"), "void one() {}\nvoid two() {}\n");
         Files.writeString(sources.resolve("BTest.java"), "void three() {}\nboolean four(int all) {}\n");
-        Files.writeString(world.resolve("failing"), "");
-        Files.writeString(world.resolve("unrun"), "");
+        Files.writeString(project.resolve("failing"), "");
+        Files.writeString(project.resolve("unrun"), "");
     }
 
     private record Result(int status, String text) {}
 
     /** Runs the script with these tests failing and these lines listed. */
     private Result run(List<String> failing, List<String> lines) throws IOException, InterruptedException {
-        Files.write(world.resolve("failing"), failing);
+        Files.write(project.resolve("failing"), failing);
         if (!lines.isEmpty()) {
-            Files.write(world.resolve("KNOWN-RED.txt"), lines);
+            Files.write(project.resolve("KNOWN-RED.txt"), lines);
         }
         ProcessBuilder builder = new ProcessBuilder("sh", "deploy/test")
-                .directory(world.toFile())
+                .directory(project.toFile())
                 .redirectErrorStream(true);
-        builder.environment().put("PATH", world.resolve("bin") + ":" + System.getenv("PATH"));
-        builder.environment().put("KNOWN_RED_WORLD", world.toString());
+        builder.environment().put("PATH", project.resolve("bin") + ":" + System.getenv("PATH"));
+        builder.environment().put("KNOWN_RED_WORLD", project.toString());
         Process process = builder.start();
         String text = new String(process.getInputStream().readAllBytes());
         return new Result(process.waitFor(), text);
@@ -74,20 +74,20 @@
     }
 
     @Test
-    void withoutAListAllTestsDecide() throws Exception {
+    void everyFailureCountsWithoutList() throws Exception {
         assertEquals(new Result(0, ""), run(List.of(), List.of()));
         assertEquals(1, run(TESTS.subList(0, 1), List.of()).status());
-        assertTrue(Files.readString(world.resolve("calls")).startsWith("-B verify\n"));
+        assertTrue(Files.readString(project.resolve("calls")).startsWith("-B verify\n"));
     }
 
     @Test
-    void aListedTestThatFailsIsPassedOverAndPrinted() throws Exception {
+    void listedFailureIsPrintedAndIgnored() throws Exception {
         Result result = run(TESTS.subList(0, 1), List.of("# a note", "", line(TESTS.get(0))));
         assertEquals(new Result(0, "KNOWN-RED: fails as listed, passed over: " + line(TESTS.get(0)) + "\n"), result);
     }
 
     @Test
-    void aListedTestThatPassesIsPrintedAsReadyToBeTakenOff() throws Exception {
+    void listedTestThatPassesIsPrinted() throws Exception {
         Result result = run(List.of(TESTS.get(3)), List.of(line(TESTS.get(1)), line(TESTS.get(3))));
         assertEquals(
                 new Result(
@@ -98,13 +98,13 @@
     }
 
     @Test
-    void anUnlistedFailureFails() throws Exception {
+    void unlistedFailureFails() throws Exception {
         assertEquals(1, run(TESTS.subList(0, 2), List.of(line(TESTS.get(0)))).status());
     }
 
     @Test
-    void whatIsNoGoodListFailsBeforeAnyTestRuns() throws Exception {
-        List<List<String>> wrong = List.of(
+    void invalidListFailsBeforeAnyTestRuns() throws Exception {
+        List<List<String>> invalidLists = List.of(
                 TESTS.stream().map(KnownRedTest::line).toList(),
                 List.of(line("p.q.ATest#five")),
                 List.of(line("p.q.CTest#one")),
@@ -113,7 +113,7 @@
                 List.of(TESTS.get(0)),
                 List.of(TESTS.get(0) + " | cause"),
                 List.of(TESTS.get(0) + " |  | issue 7"));
-        List<String> why = List.of(
+        List<String> reasons = List.of(
                 "more than three lines",
                 "there is no test 'p.q.ATest#five'",
                 "there is no test 'p.q.CTest#one'",
@@ -122,17 +122,18 @@
                 "needs its cause",
                 "needs its cause",
                 "needs its cause");
-        for (int i = 0; i < wrong.size(); i++) {
-            Result result = run(List.of(), wrong.get(i));
-            assertEquals(1, result.status(), wrong.get(i).toString());
-            assertTrue(result.text().startsWith("KNOWN-RED: ") && result.text().contains(why.get(i)), result.text());
+        for (int i = 0; i < invalidLists.size(); i++) {
+            Result result = run(List.of(), invalidLists.get(i));
+            assertEquals(1, result.status(), invalidLists.get(i).toString());
+            assertTrue(
+                    result.text().startsWith("KNOWN-RED: ") && result.text().contains(reasons.get(i)), result.text());
         }
-        assertTrue(Files.notExists(world.resolve("calls")));
+        assertTrue(Files.notExists(project.resolve("calls")));
     }
 
     @Test
-    void aListedTestThatDidNotRunFails() throws Exception {
-        Files.write(world.resolve("unrun"), TESTS.subList(0, 1));
+    void listedTestThatDidNotRunFails() throws Exception {
+        Files.write(project.resolve("unrun"), TESTS.subList(0, 1));
         Result result = run(List.of(), List.of(line(TESTS.get(0))));
         assertEquals(new Result(1, "KNOWN-RED: p.q.ATest#one did not run\n"), result);
     }
--- a/src/test/java/petrelstand/LayersTest.java
+++ b/src/test/java/petrelstand/LayersTest.java
@@ -20,7 +20,7 @@
                     + "org\\.eclipse|com\\.google|nanoTime|currentTimeMillis|System\\.(in|out|err)|new Thread|"
                     + "petrelstand\\.(http|net|rsync|config|discovery|sim|store|cli|logging|lab|fleet|consensus|cbor|operation)\\b");
 
-    private static List<String> found(String layer, Pattern forbidden) throws IOException {
+    private static List<String> linesMatching(String layer, Pattern forbidden) throws IOException {
         List<String> found = new ArrayList<>();
         try (Stream<Path> files = Files.walk(ROOT.resolve(layer))) {
             for (Path file : files.filter(f -> f.toString().endsWith(".java")).toList()) {
@@ -35,69 +35,72 @@
     }
 
     @Test
-    void decisionAndCoreAreFreeOfTheWorld() throws IOException {
-        assertEquals(List.of(), found("decision", FORBIDDEN));
-        assertEquals(List.of(), found("core", FORBIDDEN));
+    void decisionAndCoreUseNoIoOrClock() throws IOException {
+        assertEquals(List.of(), linesMatching("decision", FORBIDDEN));
+        assertEquals(List.of(), linesMatching("core", FORBIDDEN));
     }
 
     /** What old knowledge is worth is decided without a file, a clock or a wire; character sets are no I/O. */
     @Test
-    void stateIsFreeOfTheWorld() throws IOException {
+    void stateUsesNoIoOrClock() throws IOException {
         assertEquals(
                 List.of(),
-                found("state", FORBIDDEN).stream()
+                linesMatching("state", FORBIDDEN).stream()
                         .filter(line -> !line.contains("java.nio.charset"))
                         .toList());
-        assertEquals(List.of(), found("state", Pattern.compile("petrelstand\\.core")));
+        assertEquals(List.of(), linesMatching("state", Pattern.compile("petrelstand\\.core")));
     }
 
     /** Whom a wait is laid on is decided without a file, a clock or a wire. */
     @Test
-    void accountsAreFreeOfTheWorld() throws IOException {
-        assertEquals(List.of(), found("accounts", FORBIDDEN));
+    void accountsUseNoIoOrClock() throws IOException {
+        assertEquals(List.of(), linesMatching("accounts", FORBIDDEN));
     }
 
     /** Who is there is decided without a socket, a clock or a thread, and without anything else of the gateway. */
     @Test
-    void membersAreFreeOfTheWorld() throws IOException {
-        assertEquals(List.of(), found("members", FORBIDDEN));
-        assertEquals(List.of(), found("members", Pattern.compile("import petrelstand\\.(?!members)")));
+    void membersUseNoIoOrClockOrOtherPackage() throws IOException {
+        assertEquals(List.of(), linesMatching("members", FORBIDDEN));
+        assertEquals(List.of(), linesMatching("members", Pattern.compile("import petrelstand\\.(?!members)")));
     }
 
     /** When gateways may act on which rules is decided without a socket, a clock, a thread or the consensus library. */
     @Test
-    void agreementIsFreeOfTheWorld() throws IOException {
-        assertEquals(List.of(), found("agreement", FORBIDDEN));
-        assertEquals(List.of(), found("agreement", Pattern.compile("import petrelstand\\.(?!agreement)|microraft")));
+    void agreementUsesNoIoOrClockOrOtherPackage() throws IOException {
+        assertEquals(List.of(), linesMatching("agreement", FORBIDDEN));
+        assertEquals(
+                List.of(), linesMatching("agreement", Pattern.compile("import petrelstand\\.(?!agreement)|microraft")));
     }
 
     /**
      * What each part of a process's life means, and which settings hold when, is decided by times and settings alone.
      */
     @Test
-    void lifecycleAndRetuningAreFreeOfTheWorld() throws IOException {
+    void lifecycleAndRetuningUseNoIoOrClock() throws IOException {
         for (String layer : List.of("lifecycle", "retuning")) {
-            assertEquals(List.of(), found(layer, FORBIDDEN), layer);
+            assertEquals(List.of(), linesMatching(layer, FORBIDDEN), layer);
             assertEquals(
-                    List.of(), found(layer, Pattern.compile("import petrelstand\\.(?!decision|lifecycle)")), layer);
+                    List.of(),
+                    linesMatching(layer, Pattern.compile("import petrelstand\\.(?!decision|lifecycle)")),
+                    layer);
         }
     }
 
     /** Curves through measured costs are fitted from the points alone; the package's own name has the lab in it. */
     @Test
-    void fittingIsFreeOfTheWorld() throws IOException {
+    void fittingUsesNoIoOrOtherPackage() throws IOException {
         Pattern otherThanItself = Pattern.compile("import petrelstand\\.(?!lab\\.capacity\\.fit)");
-        assertEquals(List.of(), found("lab/capacity/fit", otherThanItself));
+        assertEquals(List.of(), linesMatching("lab/capacity/fit", otherThanItself));
         assertEquals(
                 List.of(),
-                found("lab/capacity/fit", FORBIDDEN).stream()
+                linesMatching("lab/capacity/fit", FORBIDDEN).stream()
                         .filter(line -> !line.contains("petrelstand.lab.capacity.fit"))
                         .toList());
     }
 
     /** Only the command line and the gateway's own wiring know the store, and nothing that serves knows the lab. */
     @Test
-    void theLaboratoryAndTheCommandLineAreKnownToNobodyThatServes() throws IOException {
+    void servingPackagesDoNotUseLabOrCommandLine() throws IOException {
         for (String layer : List.of(
                 "decision",
                 "core",
@@ -119,17 +122,17 @@
                 "lifecycle",
                 "retuning",
                 "operation")) {
-            assertEquals(List.of(), found(layer, Pattern.compile("petrelstand\\.(lab|cli)\\b|picocli")), layer);
+            assertEquals(List.of(), linesMatching(layer, Pattern.compile("petrelstand\\.(lab|cli)\\b|picocli")), layer);
         }
     }
 
     @Test
-    void decisionDoesNotKnowTheCore() throws IOException {
-        assertEquals(List.of(), found("decision", Pattern.compile("petrelstand\\.core")));
+    void decisionDoesNotUseCore() throws IOException {
+        assertEquals(List.of(), linesMatching("decision", Pattern.compile("petrelstand\\.core")));
     }
 
     @Test
-    void theScanFindsWhatItIsFor() throws IOException {
-        assertTrue(found("net", FORBIDDEN).size() > 3);
+    void scanFindsForbiddenLines() throws IOException {
+        assertTrue(linesMatching("net", FORBIDDEN).size() > 3);
     }
 }
--- a/src/test/java/petrelstand/LimitProcessTest.java
+++ b/src/test/java/petrelstand/LimitProcessTest.java
@@ -45,12 +45,12 @@
     Path folder;
 
     private GatewayProcesses gateway;
-    private final AtomicBoolean over = new AtomicBoolean();
+    private final AtomicBoolean stopped = new AtomicBoolean();
     private final List<Thread> clients = new ArrayList<>();
     /** When each served request was answered, ns, and its units. */
     private final ConcurrentSkipListMap<Long, Integer> served = new ConcurrentSkipListMap<>();
 
-    private final AtomicLong asked = new AtomicLong();
+    private final AtomicLong requestNumber = new AtomicLong();
 
     @BeforeEach
     void open() throws IOException {
@@ -68,30 +68,30 @@
 
     @AfterEach
     void close() throws IOException, InterruptedException {
-        over.set(true);
+        stopped.set(true);
         for (Thread client : clients) {
             client.join(20_000);
         }
         gateway.close();
     }
 
-    private GatewayProcess serving() throws Exception {
+    private GatewayProcess startServing() throws Exception {
         GatewayProcess run = gateway.start();
         run.await("ready: ");
         return run;
     }
 
-    private void askForMuchMore() {
+    private void startOverload() {
         for (int i = 0; i < CLIENTS; i++) {
-            clients.add(new Thread(this::askAgainAndAgain, "client-" + i));
+            clients.add(new Thread(this::sendUntilStopped, "client-" + i));
             clients.get(i).start();
         }
     }
 
     /** A connection for each request, so that the system deals them out to the processes that listen. */
-    private void askAgainAndAgain() {
-        while (!over.get()) {
-            long number = asked.incrementAndGet();
+    private void sendUntilStopped() {
+        while (!stopped.get()) {
+            long number = requestNumber.incrementAndGet();
             try (Client client = new Client(gateway.port())) {
                 if (GatewayProcesses.read(client, "tile-read", Long.toHexString(number))
                         .startsWith("200")) {
@@ -119,11 +119,11 @@
     }
 
     @Test
-    void twoProcessesOfAGatewayKeepOneLimit() throws Exception {
-        GatewayProcess old = serving();
+    void twoProcessesOfOneGatewayShareLimit() throws Exception {
+        GatewayProcess old = startServing();
         TimeUnit.MILLISECONDS.sleep((long) (1000 * BURST / RATE));
-        askForMuchMore();
-        GatewayProcess fresh = serving();
+        startOverload();
+        GatewayProcess fresh = startServing();
         old.await("another process of this gateway listens too");
         TimeUnit.MILLISECONDS.sleep(BOTH_SERVE_MS);
         old.signal("TERM");
@@ -138,13 +138,13 @@
 
     /** The old process holds a full store, is stopped while the new one comes, and goes on; then it is killed. */
     @Test
-    void aStoppedProcessThatGoesOnHasGivenUpItsHalf() throws Exception {
-        GatewayProcess old = serving();
+    void resumedProcessDoesNotExceedItsShare() throws Exception {
+        GatewayProcess old = startServing();
         TimeUnit.MILLISECONDS.sleep((long) (1000 * BURST / RATE));
         old.signal("STOP");
         GatewayProcess fresh = gateway.start();
         fresh.await("ready: ");
-        askForMuchMore();
+        startOverload();
         TimeUnit.MILLISECONDS.sleep(BOTH_SERVE_MS);
         old.signal("CONT");
         TimeUnit.MILLISECONDS.sleep(BOTH_SERVE_MS);
@@ -155,8 +155,8 @@
 
     /** Bodies that began over time end in one moment, with all that the limit allows right behind them. */
     @Test
-    void slowBodiesThatEndTogetherAreNoBurstBesideTheFullStore() throws Exception {
-        GatewayProcess run = serving();
+    void slowBodiesEndingTogetherStayWithinLimit() throws Exception {
+        GatewayProcess run = startServing();
         TimeUnit.MILLISECONDS.sleep((long) (1000 * BURST / RATE));
         List<Client> slow = new ArrayList<>();
         for (int i = 0; i < SLOW_BODIES; i++) {
@@ -167,7 +167,7 @@
             slow.add(client);
         }
         TimeUnit.MILLISECONDS.sleep(1_500);
-        askForMuchMore();
+        startOverload();
         for (Client client : slow) {
             client.send("z");
         }
--- a/src/test/java/petrelstand/LintTest.java
+++ b/src/test/java/petrelstand/LintTest.java
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void aFileLaidOutInAnotherWayFails() throws Exception {
+    void unformattedFileFails() throws Exception {
         Result result = check("spotless:check", """
                 package p;
 
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void aFileThatBreaksTheListFailsWithEachItem() throws Exception {
+    void checkstyleReportsEachViolation() throws Exception {
         Result result = check("checkstyle:check", """
                 package p;
 
--- a/src/test/java/petrelstand/LoopbackTest.java
+++ b/src/test/java/petrelstand/LoopbackTest.java
@@ -62,7 +62,7 @@
         rsyncPort = ports.get(1);
     }
 
-    private void startWith(Server daemon) throws Exception {
+    private void startWithDaemon(Server daemon) throws Exception {
         start(closeAfterTest(LoopbackPeers.storageNode(1)), 10_000, Map.of(daemon.port(), "HEALTHY"));
     }
 
@@ -79,7 +79,7 @@
         });
     }
 
-    private Client asked(String module, String expected) throws IOException {
+    private Client openModule(String module, String expected) throws IOException {
         Client client = closeAfterTest(new Client(rsyncPort));
         assertEquals("@RSYNCD: 29.0\n" + expected, client.requestModule(module));
         return client;
@@ -88,9 +88,9 @@
     // ---- rsync ----
 
     @Test
-    void aPullPassesUnchangedAndEndsWhole() throws Exception {
-        startWith(closeAfterTest(goldenDaemon()));
-        Client client = asked("charts", "@RSYNCD: OK\n");
+    void pullIsRelayedUnchanged() throws Exception {
+        startWithDaemon(closeAfterTest(goldenDaemon()));
+        Client client = openModule("charts", "@RSYNCD: OK\n");
         client.send(Golden.ARGUMENTS);
         byte[] down = client.in.readNBytes(Golden.pullDown().length);
         client.out.write(Golden.pullUp());
@@ -101,9 +101,9 @@
     }
 
     @Test
-    void aPushPassesUnchangedAndEndsWhole() throws Exception {
-        startWith(closeAfterTest(goldenDaemon()));
-        Client client = asked("charts", "@RSYNCD: OK\n");
+    void pushIsRelayedUnchanged() throws Exception {
+        startWithDaemon(closeAfterTest(goldenDaemon()));
+        Client client = openModule("charts", "@RSYNCD: OK\n");
         client.send(Golden.PUSH_ARGUMENTS);
         client.out.write(Golden.pushUp());
         assertArrayEquals(Golden.pushDown(), client.in.readAllBytes());
@@ -111,11 +111,11 @@
     }
 
     @Test
-    void modulesAreListedAndOtherOpeningsGetACleanError() throws Exception {
-        startWith(closeAfterTest(goldenDaemon()));
-        asked("#list", "charts         \tChart editions\n@RSYNCD: EXIT\n");
-        asked("", "charts         \tChart editions\n@RSYNCD: EXIT\n");
-        asked("maps", "@ERROR: Unknown module 'maps'\n");
+    void listsModulesAndRejectsOtherGreetings() throws Exception {
+        startWithDaemon(closeAfterTest(goldenDaemon()));
+        openModule("#list", "charts         \tChart editions\n@RSYNCD: EXIT\n");
+        openModule("", "charts         \tChart editions\n@RSYNCD: EXIT\n");
+        openModule("maps", "@ERROR: Unknown module 'maps'\n");
         Client old = closeAfterTest(new Client(rsyncPort));
         old.send("@RSYNCD: 28.0\ncharts\n");
         assertEquals(
@@ -129,9 +129,9 @@
     }
 
     @Test
-    void anOptionOutsideTheSubsetIsNamedInAnErrorFrame() throws Exception {
-        startWith(closeAfterTest(goldenDaemon()));
-        Client client = asked("charts", "@RSYNCD: OK\n");
+    void unsupportedOptionIsNamedInErrorFrame() throws Exception {
+        startWithDaemon(closeAfterTest(goldenDaemon()));
+        Client client = openModule("charts", "@RSYNCD: OK\n");
         client.send("--server\n--sender\n-logDtprz\n.\ncharts/\n\n");
         String answer = new String(client.in.readAllBytes(), StandardCharsets.ISO_8859_1);
         assertEquals("@ERROR: option -z is not carried here\n", answer.substring(8));
@@ -140,11 +140,11 @@
     }
 
     @Test
-    void aTransferCutHalfwayIsVisiblyIncompleteAndNotSentAgain() throws Exception {
+    void cutTransferIsNotRetried() throws Exception {
         byte[] half = java.util.Arrays.copyOf(Golden.pullDown(), 60);
         Server daemon = closeAfterTest(LoopbackPeers.rsyncDaemon((arguments, in, out) -> out.write(half)));
-        startWith(daemon);
-        Client client = asked("charts", "@RSYNCD: OK\n");
+        startWithDaemon(daemon);
+        Client client = openModule("charts", "@RSYNCD: OK\n");
         client.send(Golden.ARGUMENTS);
         assertArrayEquals(half, client.in.readAllBytes());
         awaitCounter("answered.cut", 1);
@@ -153,38 +153,38 @@
     }
 
     @Test
-    void aCutBetweenFramesIsToldInWords() throws Exception {
+    void cutBetweenFramesIsReportedAsError() throws Exception {
         byte[] seed = Golden.SEED;
-        startWith(closeAfterTest(LoopbackPeers.rsyncDaemon((arguments, in, out) -> out.write(seed))));
-        Client client = asked("charts", "@RSYNCD: OK\n");
+        startWithDaemon(closeAfterTest(LoopbackPeers.rsyncDaemon((arguments, in, out) -> out.write(seed))));
+        Client client = openModule("charts", "@RSYNCD: OK\n");
         client.send(Golden.ARGUMENTS);
         String answer = new String(client.in.readAllBytes(), StandardCharsets.ISO_8859_1);
         assertEquals("@ERROR: failed, the transfer is not complete\n", answer.substring(8));
     }
 
     @Test
-    void aDaemonThatIsNotThereEndsInARefusalThatSaysWhenToComeBack() throws Exception {
+    void unreachableDaemonIsRefusedWithRetryTime() throws Exception {
         Server daemon = goldenDaemon();
         daemon.close();
-        startWith(daemon);
+        startWithDaemon(daemon);
         Client client = closeAfterTest(new Client(rsyncPort));
         String answer = client.requestModule("charts");
         assertTrue(answer.matches("@RSYNCD: 29.0\n@ERROR: refused, come again in [0-9.]+ s\n"), answer);
     }
 
     @Test
-    void aDrainingEndpointGetsNoTransfer() throws Exception {
+    void drainingEndpointGetsNoTransfer() throws Exception {
         Server draining = closeAfterTest(goldenDaemon());
         start(closeAfterTest(LoopbackPeers.storageNode(1)), 10_000, Map.of(draining.port(), "DRAINING"));
-        asked("charts", "@ERROR: refused, come again in 0.5 s\n");
+        openModule("charts", "@ERROR: refused, come again in 0.5 s\n");
         assertEquals(0, draining.connections.get());
     }
 
     @Test
-    void anEndpointThatTheChangedFileDrainsGetsNoMore() throws Exception {
+    void endpointDrainedByReloadGetsNoTransfer() throws Exception {
         Server daemon = closeAfterTest(goldenDaemon());
-        startWith(daemon);
-        asked("charts", "@RSYNCD: OK\n");
+        startWithDaemon(daemon);
+        openModule("charts", "@RSYNCD: OK\n");
         GatewayConfig config = config(daemon);
         Path ini = Files.writeString(folder.resolve("petrelstand.ini"), Configs.operator(10_000));
         Path xds = Files.writeString(folder.resolve("xds.json"), Configs.xds(Map.of(daemon.port(), "HEALTHY")));
@@ -207,19 +207,19 @@
     }
 
     @Test
-    void aDrainingGatewayEndsWhatItTookAndRefusesTheRest() throws Exception {
+    void drainFinishesOpenTransferAndRefusesNewOnes() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        startWith(closeAfterTest(LoopbackPeers.rsyncDaemon((arguments, in, out) -> {
+        startWithDaemon(closeAfterTest(LoopbackPeers.rsyncDaemon((arguments, in, out) -> {
             out.write(Golden.SEED);
             go.await();
             out.write(Golden.pullDown(), 4, Golden.pullDown().length - 4);
             in.readNBytes(Golden.pullUp().length);
         })));
-        Client client = asked("charts", "@RSYNCD: OK\n");
+        Client client = openModule("charts", "@RSYNCD: OK\n");
         client.send(Golden.ARGUMENTS);
         byte[] first = client.in.readNBytes(4);
         gateway.execute(gateway::drain);
-        asked("charts", "@ERROR: draining, come again in 2.0 s\n");
+        openModule("charts", "@ERROR: draining, come again in 2.0 s\n");
         go.countDown();
         byte[] rest = client.in.readNBytes(Golden.pullDown().length - 4);
         client.out.write(Golden.pullUp());
@@ -233,7 +233,7 @@
      * on.
      */
     @Test
-    void aLateAnswerIsNotCutByTheEndOfTheProcess() throws Exception {
+    void lateAnswerIsNotCutByProcessExit() throws Exception {
         AtomicLong answeredNs = new AtomicLong();
         AtomicLong endedNs = new AtomicLong();
         CountDownLatch ended = new CountDownLatch(1);
@@ -263,7 +263,7 @@
     }
 
     @Test
-    void aClientThatStallsIsCutAndTheGatewayKeepsLittleOfWhatItDidNotTake() throws Exception {
+    void stalledClientIsClosedWithBoundedBuffering() throws Exception {
         AtomicLong sent = new AtomicLong();
         Server daemon = closeAfterTest(LoopbackPeers.endlessDaemon(endlessStart(), sent));
         start(closeAfterTest(LoopbackPeers.storageNode(1)), 300, Map.of(daemon.port(), "HEALTHY"));
@@ -291,7 +291,7 @@
     }
 
     @Test
-    void tileReadsKeepTheirAnswersInASurgeWhileRsyncClientsStall() throws Exception {
+    void tileReadsAreServedWhileRsyncClientsStall() throws Exception {
         AtomicLong sent = new AtomicLong();
         Server daemon = closeAfterTest(LoopbackPeers.endlessDaemon(endlessStart(), sent));
         start(closeAfterTest(LoopbackPeers.storageNode(2)), 20_000, Map.of(daemon.port(), "HEALTHY"));
@@ -318,8 +318,8 @@
             }));
         }
         int good = 0;
-        for (Future<Integer> one : served) {
-            good += one.get(40, TimeUnit.SECONDS);
+        for (Future<Integer> result : served) {
+            good += result.get(40, TimeUnit.SECONDS);
         }
         clients.shutdown();
         assertEquals(48, good);
@@ -329,7 +329,7 @@
 
     // ---- The program itself ----
 
-    private Process serve(Path configFile) throws IOException {
+    private Process startProcess(Path configFile) throws IOException {
         ProcessBuilder builder = new ProcessBuilder(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-cp",
@@ -344,7 +344,7 @@
     }
 
     @Test
-    void sigtermAnswersAllThatWasTakenThenEndsWithTheCounters() throws Exception {
+    void sigtermAnswersOpenRequestsAndPrintsCounters() throws Exception {
         Server node = closeAfterTest(LoopbackPeers.storageNode(700));
         Path file = folder.resolve("serve.json");
         int port = freePort();
@@ -354,7 +354,7 @@
                                 node.port(),
                                 closeAfterTest(LoopbackPeers.silentServer()).port())
                         .replace("127.0.0.1:0", "127.0.0.1:" + port));
-        Process process = serve(file);
+        Process process = startProcess(file);
         var log = process.inputReader();
         while (!log.readLine().contains("ready: n1")) {
             // The lines before it tell of the nodes.
@@ -399,7 +399,7 @@
 
     /** An unhandled SIGHUP ends a virtual machine: this program reads its file anew instead, and serves on. */
     @Test
-    void sighupMovesTheWatchAndABadFileLeavesTheFormerInUse() throws Exception {
+    void sighupChangesDiscoveryAndRejectsBadFile() throws Exception {
         Server node = closeAfterTest(LoopbackPeers.storageNode(1));
         Server first = closeAfterTest(LoopbackPeers.silentServer());
         Server second = closeAfterTest(LoopbackPeers.silentServer());
@@ -407,7 +407,7 @@
         int port = freePort();
         String at = Configs.gateway(node.port(), first.port()).replace("127.0.0.1:0", "127.0.0.1:" + port);
         Files.writeString(file, at);
-        Process process = serve(file);
+        Process process = startProcess(file);
         var log = process.inputReader();
         awaitLine(log, "ready: n1");
         Files.writeString(file, at.substring(0, at.length() / 2));
@@ -441,7 +441,7 @@
     }
 
     @Test
-    void aBadFileGivesOnePlainLineAndANonZeroExit() throws Exception {
+    void badFilePrintsOneLineAndExitsNonZero() throws Exception {
         String good = Configs.gateway(1, 2);
         String[][] cases = {
             {"{", "the text is not JSON"},
@@ -452,13 +452,13 @@
             {good.replace("127.0.0.1:0", "here"), "listen is not an address with a port: 'here'"},
             {good.replace("\"up\"", "\"odd\""), "node s-00000001 has an unknown state: odd"},
         };
-        for (String[] one : cases) {
-            Process process = serve(Files.writeString(folder.resolve("bad.json"), one[0]));
+        for (String[] badCase : cases) {
+            Process process = startProcess(Files.writeString(folder.resolve("bad.json"), badCase[0]));
             List<String> lines = process.inputReader().lines().toList();
             assertEquals(1, lines.size(), lines.toString());
-            assertTrue(lines.get(0).startsWith("petrelstand: ") && lines.get(0).contains(one[1]), lines.get(0));
+            assertTrue(lines.get(0).startsWith("petrelstand: ") && lines.get(0).contains(badCase[1]), lines.get(0));
             assertEquals(1, process.waitFor());
         }
-        assertEquals(1, serve(folder.resolve("missing.json")).waitFor());
+        assertEquals(1, startProcess(folder.resolve("missing.json")).waitFor());
     }
 }
--- a/src/test/java/petrelstand/MemoryBoundsProcessTest.java
+++ b/src/test/java/petrelstand/MemoryBoundsProcessTest.java
@@ -27,15 +27,15 @@
     private static final int SOCKETS = 1024;
     private static final String HEAP = "-Xmx32m";
     private static final int[] FACTORS = {1, 2, 10};
-    private static final long PATIENCE_NS = TimeUnit.SECONDS.toNanos(15);
+    private static final long SERVE_TIMEOUT_NS = TimeUnit.SECONDS.toNanos(15);
 
     @TempDir
     Path folder;
 
     private GatewayProcesses gateway;
     private GatewayProcesses.GatewayProcess run;
-    private int mostClients;
-    private int asked;
+    private int maxClients;
+    private int requestNumber;
 
     @BeforeEach
     void start() throws Exception {
@@ -45,7 +45,7 @@
         gateway.config(config);
         run = gateway.start(HEAP);
         String line = run.await("memory: at most ");
-        mostClients = Integer.parseInt(line.replaceAll(".*at most ([0-9]+) connections of clients.*", "$1"));
+        maxClients = Integer.parseInt(line.replaceAll(".*at most ([0-9]+) connections of clients.*", "$1"));
         run.await("ready: ");
     }
 
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void aStartWithTooFewSocketsOrTooLittleMemoryIsRefusedByTheFieldsName() throws Exception {
+    void startWithTooSmallLimitsNamesTheField() throws Exception {
         assertRefused("sockets", 40, "petrelstand: limits.sockets: 40 leave 0 connections for clients");
         assertRefused("memory_mb", 12, "petrelstand: limits.memory_mb: 12 MiB leave 0 MiB");
     }
@@ -72,48 +72,48 @@
     }
 
     @Test
-    void manyConnectionsThatHaveSpokenAndRest() throws Exception {
+    void servesBesideManyIdleConnections() throws Exception {
         String field = "X-Long: " + "x".repeat(7000) + "\r\n";
         String head = "GET /ready HTTP/1.1\r\nHost: b\r\n" + field + "\r\n";
-        withstands(number -> head + head);
+        assertServesBeside(number -> head + head);
     }
 
     @Test
-    void manyHalfSentHeads() throws Exception {
-        withstands(number -> "GET /tile-read/1/2 HTTP/1.1\r\nHost: b\r\nX-Long: " + "x".repeat(8000));
+    void servesBesideManyPartialHeads() throws Exception {
+        assertServesBeside(number -> "GET /tile-read/1/2 HTTP/1.1\r\nHost: b\r\nX-Long: " + "x".repeat(8000));
     }
 
     @Test
-    void manyHalfSentBodies() throws Exception {
-        withstands(number -> GatewayProcesses.request("PUT", "survey-write", "", "h" + number)
+    void servesBesideManyPartialBodies() throws Exception {
+        assertServesBeside(number -> GatewayProcesses.request("PUT", "survey-write", "", "h" + number)
                 + "Content-Length: 65536\r\n\r\n" + "x".repeat(60_000));
     }
 
     @Test
-    void manyWholeRequestsWithLargestBodies() throws Exception {
-        withstands(number -> GatewayProcesses.request("PUT", "survey-write", "", "w" + number)
+    void servesBesideManyLargestBodies() throws Exception {
+        assertServesBeside(number -> GatewayProcesses.request("PUT", "survey-write", "", "w" + number)
                 + "Content-Length: 65536\r\n\r\n" + "x".repeat(65_536));
     }
 
     @Test
-    void manyRequestsSentAheadOfTheirAnswers() throws Exception {
+    void servesBesideManyPipelinedRequests() throws Exception {
         String ahead =
                 GatewayProcesses.request("GET", "tile-read", "", "a") + "X-Long: " + "x".repeat(7000) + "\r\n\r\n";
-        withstands(number -> ahead.repeat(30));
+        assertServesBeside(number -> ahead.repeat(30));
     }
 
     /** Opens connections that all send the same and stay; an ordinary client is served beside and after them. */
-    private void withstands(IntFunction<String> sends) throws Exception {
+    private void assertServesBeside(IntFunction<String> requestText) throws Exception {
         for (int factor : FACTORS) {
             List<SocketChannel> held = new ArrayList<>();
             try {
-                for (int i = 0; i < factor * mostClients; i++) {
-                    held.add(sending(sends.apply(asked++)));
+                for (int i = 0; i < factor * maxClients; i++) {
+                    held.add(openAndSend(requestText.apply(requestNumber++)));
                 }
                 assertServed(factor);
             } finally {
-                for (SocketChannel one : held) {
-                    one.close();
+                for (SocketChannel channel : held) {
+                    channel.close();
                 }
             }
             assertServed(factor);
@@ -128,7 +128,7 @@
     }
 
     /** A connection that has sent as much as the system takes at once; the gateway may have closed it. */
-    private SocketChannel sending(String text) throws IOException {
+    private SocketChannel openAndSend(String text) throws IOException {
         SocketChannel channel = SocketChannel.open();
         try {
             channel.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), gateway.port()));
@@ -142,11 +142,11 @@
 
     /** An ordinary client, which comes again where it is refused, is served within a time. */
     private void assertServed(int factor) throws Exception {
-        long until = System.nanoTime() + PATIENCE_NS;
+        long until = System.nanoTime() + SERVE_TIMEOUT_NS;
         List<String> answers = new ArrayList<>();
         while (System.nanoTime() < until && run.process().isAlive()) {
             try (Client client = new Client(gateway.port())) {
-                String answer = GatewayProcesses.read(client, "tile-read", "o" + asked++);
+                String answer = GatewayProcesses.read(client, "tile-read", "o" + requestNumber++);
                 if (answer.startsWith("200")) {
                     return;
                 }
@@ -159,6 +159,6 @@
         List<String> lines = new ArrayList<>();
         run.lines().drainTo(lines);
         throw new AssertionError(
-                "not served at " + factor + " times " + mostClients + " connections: " + answers + lines);
+                "not served at " + factor + " times " + maxClients + " connections: " + answers + lines);
     }
 }
--- a/src/test/java/petrelstand/OperationProcessTest.java
+++ b/src/test/java/petrelstand/OperationProcessTest.java
@@ -45,13 +45,13 @@
         gateway.close();
     }
 
-    private GatewayProcess serving() throws Exception {
+    private GatewayProcess startServing() throws Exception {
         GatewayProcess run = gateway.start();
         run.await("ready: ");
         return run;
     }
 
-    private String ready() throws IOException {
+    private String readyStatus() throws IOException {
         try (Client client = new Client(gateway.port())) {
             client.send("GET /ready HTTP/1.1\r\nHost: b\r\n\r\n");
             return client.readAnswer().substring(0, 3);
@@ -59,8 +59,8 @@
     }
 
     @Test
-    void callsAreAnsweredBesideSilentCallersAndFiguresAreTrue() throws Exception {
-        GatewayProcess run = serving();
+    void answersCallsBesideSilentCallers() throws Exception {
+        GatewayProcess run = startServing();
         List<Client> silent = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
             silent.add(new Client(run.operatorPort()));
@@ -85,20 +85,20 @@
         }
         assertTrue(run.callOperator("GET", "/api/evacuate").startsWith("405"));
         assertTrue(run.callOperator("GET", "/tile-read").startsWith("404"));
-        for (Client one : silent) {
-            one.close();
+        for (Client client : silent) {
+            client.close();
         }
     }
 
     @Test
-    void aDrainEndsConnectionsAndARejoinBringsTheYesBack() throws Exception {
-        GatewayProcess run = serving();
+    void drainClosesConnectionsAndRejoinRestoresReady() throws Exception {
+        GatewayProcess run = startServing();
         try (Client idle = new Client(gateway.port());
                 Client used = new Client(gateway.port())) {
             assertTrue(GatewayProcesses.read(idle, "tile-read", "a").startsWith("200"));
             long asked = System.nanoTime();
             assertTrue(run.callOperator("POST", "/api/evacuate").startsWith("200"));
-            assertEquals("503", ready());
+            assertEquals("503", readyStatus());
             assertEquals("200 ready\n", run.callOperator("GET", "/api/ready"));
             // In use until they are noted: none of these may be lost, and the connection ends between two of them.
             String last = "200";
@@ -119,14 +119,14 @@
             assertEquals("closed", idle.readAnswer());
             assertTrue(run.callOperator("POST", "/api/evacuate").startsWith("200"));
             assertTrue(run.callOperator("POST", "/api/rejoin").startsWith("200"));
-            assertEquals("200", ready());
+            assertEquals("200", readyStatus());
             assertEquals(served + 1, run.telemetry("passed.tile-read"));
         }
         run.signal("TERM");
         assertTrue(run.process().waitFor(20, TimeUnit.SECONDS));
     }
 
-    private static JsonObject changed(JsonObject config, int drop, String added, int attempts) {
+    private static JsonObject withChangedClasses(JsonObject config, int drop, String added, int attempts) {
         JsonObject settings = config.getAsJsonObject("settings");
         JsonArray classes = settings.getAsJsonArray("classes");
         if (drop >= 0) {
@@ -142,20 +142,20 @@
     }
 
     @Test
-    void classesComeAndGoAndBrokenFilesAreTurnedDownWhole() throws Exception {
-        GatewayProcess run = serving();
+    void reloadChangesClassesAndRejectsBrokenFiles() throws Exception {
+        GatewayProcess run = startServing();
         try (Client client = new Client(gateway.port())) {
             assertTrue(GatewayProcesses.read(client, "tile-read", "a").startsWith("200"));
             assertTrue(GatewayProcesses.read(client, "sounding-read", "b").startsWith("404"));
         }
-        gateway.config(changed(gateway.config(), -1, "sounding-read", 2));
+        gateway.config(withChangedClasses(gateway.config(), -1, "sounding-read", 2));
         run.signal("HUP");
         run.await("at most 2 attempts; clients may go by the former file yet");
         try (Client client = new Client(gateway.port())) {
             assertTrue(GatewayProcesses.read(client, "sounding-read", "c").startsWith("200"));
         }
         String whole = gateway.config().toString();
-        JsonObject zero = changed(gateway.config(), -1, null, 0);
+        JsonObject zero = withChangedClasses(gateway.config(), -1, null, 0);
         JsonObject lacks = gateway.config();
         lacks.getAsJsonObject("settings")
                 .getAsJsonArray("classes")
@@ -185,7 +185,7 @@
             assertTrue(line.contains("the former file stays in use") && line.contains("config.json"), line);
             assertEquals(i + 1, run.telemetry("load_errors"));
         }
-        gateway.config(changed(gateway.config(), 0, null, 1));
+        gateway.config(withChangedClasses(gateway.config(), 0, null, 1));
         run.signal("HUP");
         run.await("classes survey-write, bulk-export, sounding-read; at most 1 attempts");
         try (Client client = new Client(gateway.port())) {
@@ -199,10 +199,10 @@
 
     /** Clients that keep a connection, and open another where it ended before they sent; what went wrong is told. */
     private final class Load {
-        private final AtomicBoolean over = new AtomicBoolean();
+        private final AtomicBoolean stopped = new AtomicBoolean();
         private final AtomicInteger served = new AtomicInteger();
-        private final AtomicInteger crossed = new AtomicInteger();
-        private final List<String> wrong = new java.util.concurrent.CopyOnWriteArrayList<>();
+        private final AtomicInteger closedWhileIdle = new AtomicInteger();
+        private final List<String> failures = new java.util.concurrent.CopyOnWriteArrayList<>();
         private final List<Thread> threads = new ArrayList<>();
 
         Load(int clients) {
@@ -216,7 +216,7 @@
         private void run(int number) {
             Client client = null;
             try {
-                for (int i = 0; !over.get(); i++) {
+                for (int i = 0; !stopped.get(); i++) {
                     boolean fresh = client == null;
                     client = fresh ? new Client(gateway.port()) : client;
                     String answer;
@@ -228,9 +228,9 @@
                     if (answer.startsWith("200")) {
                         served.incrementAndGet();
                     } else if (answer.equals("closed") && !fresh) {
-                        crossed.incrementAndGet();
+                        closedWhileIdle.incrementAndGet();
                     } else {
-                        wrong.add(answer);
+                        failures.add(answer);
                     }
                     if (!answer.startsWith("200")) {
                         client.close();
@@ -239,46 +239,46 @@
                     Thread.sleep(10);
                 }
             } catch (IOException | InterruptedException e) {
-                wrong.add(e.toString());
+                failures.add(e.toString());
             }
         }
 
-        void end() throws InterruptedException {
-            over.set(true);
+        void stop() throws InterruptedException {
+            stopped.set(true);
             for (Thread thread : threads) {
                 thread.join(20_000);
             }
         }
     }
 
-    private void awaitMore(Load load, int more) throws InterruptedException {
+    private void awaitServed(Load load, int more) throws InterruptedException {
         int before = load.served.get();
         for (int i = 0; i < 2000 && load.served.get() < before + more; i++) {
             Thread.sleep(10);
         }
-        assertTrue(load.served.get() >= before + more, load.wrong.toString());
+        assertTrue(load.served.get() >= before + more, load.failures.toString());
     }
 
     @Test
-    void aNewProcessTakesTheOldOnesPlaceUnderLoadWithoutALostRequest() throws Exception {
-        GatewayProcess old = serving();
+    void hotRestartUnderLoadLosesNoRequest() throws Exception {
+        GatewayProcess old = startServing();
         Load load = new Load(8);
-        awaitMore(load, 200);
+        awaitServed(load, 200);
         GatewayProcess fresh = gateway.start();
         old.await("another process of this gateway starts");
         fresh.await("hot restart: took over 1 nodes and 1 volumes");
         fresh.await("ready: ");
         assertEquals("200 ready\n", fresh.callOperator("GET", "/api/ready"));
         old.await("another process of this gateway listens too");
-        awaitMore(load, 100);
+        awaitServed(load, 100);
         old.signal("TERM");
         assertTrue(old.process().waitFor(20, TimeUnit.SECONDS));
         fresh.await("the other process is gone");
-        awaitMore(load, 200);
-        load.end();
-        assertEquals(List.of(), load.wrong);
+        awaitServed(load, 200);
+        load.stop();
+        assertEquals(List.of(), load.failures);
         // A connection closed between requests can be crossed by the next one: a few of eight at most.
-        assertTrue(load.crossed.get() <= 8 + 2, "crossed " + load.crossed.get());
+        assertTrue(load.closedWhileIdle.get() <= 8 + 2, "crossed " + load.closedWhileIdle.get());
         assertTrue(fresh.telemetry("passed.tile-read") >= 200);
         try (Stream<Path> marks = Files.list(folder)) {
             assertEquals(
@@ -287,8 +287,8 @@
     }
 
     @Test
-    void aNewProcessThatDiesLeavesTheOldOneServingAndAKilledOldOneIsReplaced() throws Exception {
-        GatewayProcess old = serving();
+    void killedProcessLeavesTheOtherServing() throws Exception {
+        GatewayProcess old = startServing();
         GatewayProcess died = gateway.start();
         old.await("another process of this gateway starts");
         died.process().destroyForcibly();
@@ -296,7 +296,7 @@
         try (Client client = new Client(gateway.port())) {
             assertTrue(GatewayProcesses.read(client, "tile-read", "a").startsWith("200"));
         }
-        assertEquals("200", ready());
+        assertEquals("200", readyStatus());
         GatewayProcess second = gateway.start();
         second.await("ready: ");
         old.await("another process of this gateway listens too");
@@ -350,15 +350,15 @@
                 "new, 'old: another process of this gateway listens too'",
         "old, 'old: draining: '",
     })
-    void whicheverProcessIsKilledAtWhicheverStepTheOtherServes(String killed, String step) throws Exception {
-        GatewayProcess old = serving();
+    void otherProcessServesAfterKillAtEachStep(String killed, String step) throws Exception {
+        GatewayProcess old = startServing();
         GatewayProcess fresh = gateway.start();
         awaitStep(old, fresh, step);
         (killed.equals("old") ? old : fresh).process().destroyForcibly().waitFor();
         GatewayProcess left = killed.equals("old") ? fresh : old;
         left.await("ready: ");
         assertServes(killed + " at " + step);
-        assertEquals("200", ready());
+        assertEquals("200", readyStatus());
         assertEquals("200 ready\n", left.callOperator("GET", "/api/ready"));
     }
 
@@ -375,14 +375,14 @@
         "old, 'old: draining: '",
         "new, 'old: draining: '",
     })
-    void whicheverProcessIsStoppedAtWhicheverStepTheReplacementGoesOn(String stopped, String step) throws Exception {
-        GatewayProcess old = serving();
+    void hotRestartSurvivesStopAtEachStep(String stopped, String step) throws Exception {
+        GatewayProcess old = startServing();
         GatewayProcess fresh = gateway.start();
         awaitStep(old, fresh, step);
-        GatewayProcess one = stopped.equals("old") ? old : fresh;
-        one.signal("STOP");
+        GatewayProcess target = stopped.equals("old") ? old : fresh;
+        target.signal("STOP");
         Thread.sleep(1_500);
-        one.signal("CONT");
+        target.signal("CONT");
         fresh.await("ready: ");
         old.signal("TERM");
         assertTrue(old.process().waitFor(30, TimeUnit.SECONDS));
@@ -391,22 +391,22 @@
         assertEquals("200 ready\n", fresh.callOperator("GET", "/api/ready"));
     }
 
-    private static final int MANY = 24;
-    private static final int LARGE = 8 << 20;
+    private static final int TRANSFERS = 24;
+    private static final int TRANSFER_BYTES = 8 << 20;
 
     /** 192 MB on their way at once, through a heap of 64: each arrives whole, whichever side is slow. */
     @Test
-    void largeBodiesAndAnswersPassInPiecesThroughASmallHeap() throws Exception {
-        GatewayProcess run = serving();
-        byte[] body = new byte[LARGE];
+    void streamsLargeBodiesThroughSmallHeap() throws Exception {
+        GatewayProcess run = startServing();
+        byte[] body = new byte[TRANSFER_BYTES];
         new java.util.Random(1).nextBytes(body);
         CRC32 crc = new CRC32();
         crc.update(body);
-        String told = "200 " + LARGE + " " + Long.toHexString(crc.getValue());
-        List<String> wrong = new java.util.concurrent.CopyOnWriteArrayList<>();
+        String expected = "200 " + TRANSFER_BYTES + " " + Long.toHexString(crc.getValue());
+        List<String> failures = new java.util.concurrent.CopyOnWriteArrayList<>();
         AtomicInteger refused = new AtomicInteger();
         List<Thread> threads = new ArrayList<>();
-        for (int i = 0; i < MANY; i++) {
+        for (int i = 0; i < TRANSFERS; i++) {
             int number = i;
             Thread thread = new Thread(() -> {
                 try {
@@ -414,11 +414,11 @@
                             number % 2 == 0 ? upload(number, body, number % 4 == 0) : download(number, number % 4 == 1);
                     if (answer.startsWith("503")) {
                         refused.incrementAndGet();
-                    } else if (!answer.equals(number % 2 == 0 ? told : "whole")) {
-                        wrong.add(number + ": " + answer);
+                    } else if (!answer.equals(number % 2 == 0 ? expected : "whole")) {
+                        failures.add(number + ": " + answer);
                     }
                 } catch (IOException | RuntimeException | InterruptedException e) {
-                    wrong.add(number + ": " + e);
+                    failures.add(number + ": " + e);
                 }
             });
             threads.add(thread);
@@ -427,14 +427,15 @@
         for (Thread thread : threads) {
             thread.join(60_000);
         }
-        assertEquals(List.of(), wrong);
+        assertEquals(List.of(), failures);
         // The admission is the module's, and a machine of few cores is slow: most must pass all the same.
-        assertTrue(refused.get() <= MANY / 2, "refused " + refused.get());
+        assertTrue(refused.get() <= TRANSFERS / 2, "refused " + refused.get());
         for (int i = 0; i < 100 && run.telemetry("in_progress") > 0; i++) {
             Thread.sleep(20);
         }
         assertEquals(0, run.telemetry("in_progress"));
-        assertEquals(MANY - refused.get(), run.telemetry("passed.survey-write") + run.telemetry("passed.bulk-export"));
+        assertEquals(
+                TRANSFERS - refused.get(), run.telemetry("passed.survey-write") + run.telemetry("passed.bulk-export"));
         assertFalse(
                 run.linesRead().stream().anyMatch(line -> line.contains("OutOfMemory")),
                 run.linesRead().toString());
@@ -468,7 +469,10 @@
     private String download(int number, boolean chunked) throws IOException, InterruptedException {
         try (Client client = new Client(gateway.port())) {
             client.send(GatewayProcesses.request(
-                            "GET", "bulk-export", "?bytes=" + LARGE + (chunked ? "&chunked" : ""), "g" + number)
+                            "GET",
+                            "bulk-export",
+                            "?bytes=" + TRANSFER_BYTES + (chunked ? "&chunked" : ""),
+                            "g" + number)
                     + "Connection: close\r\n\r\n");
             Thread.sleep(300);
             StringBuilder head = new StringBuilder();
@@ -484,14 +488,14 @@
             }
             byte[] rest = client.in.readAllBytes();
             boolean framed = head.toString().contains("chunked");
-            if (framed != chunked || !framed && rest.length != LARGE) {
+            if (framed != chunked || !framed && rest.length != TRANSFER_BYTES) {
                 return "not framed as its node's: " + rest.length + " " + head;
             }
-            return framed ? unchunk(rest) : right(rest, 0, LARGE) ? "whole" : "spoilt";
+            return framed ? unchunk(rest) : matchesPattern(rest, 0, TRANSFER_BYTES) ? "whole" : "spoilt";
         }
     }
 
-    private static boolean right(byte[] bytes, int from, int length) {
+    private static boolean matchesPattern(byte[] bytes, int from, int length) {
         for (int i = 0; i < length; i++) {
             if (bytes[from + i] != (byte) (i >> 16)) {
                 return false;
@@ -501,7 +505,7 @@
     }
 
     private static String unchunk(byte[] framed) {
-        byte[] all = new byte[LARGE];
+        byte[] content = new byte[TRANSFER_BYTES];
         int size = 0;
         int at = 0;
         while (true) {
@@ -512,11 +516,11 @@
             int chunk =
                     Integer.parseInt(new String(framed, at, end - at, java.nio.charset.StandardCharsets.US_ASCII), 16);
             if (chunk == 0) {
-                return size == LARGE && end + 4 == framed.length && right(all, 0, LARGE)
+                return size == TRANSFER_BYTES && end + 4 == framed.length && matchesPattern(content, 0, TRANSFER_BYTES)
                         ? "whole"
                         : "spoilt at " + size;
             }
-            System.arraycopy(framed, end + 2, all, size, chunk);
+            System.arraycopy(framed, end + 2, content, size, chunk);
             size += chunk;
             at = end + 2 + chunk + 2;
         }
--- a/src/test/java/petrelstand/ServeProcessTest.java
+++ b/src/test/java/petrelstand/ServeProcessTest.java
@@ -26,7 +26,7 @@
 
 /** The program as it is started: what it loads, and what it remembers after SIGTERM and after SIGKILL. */
 class ServeProcessTest {
-    private static final Pattern OFF = Pattern.compile(
+    private static final Pattern OPTIONAL_CLASSES = Pattern.compile(
             "petrelstand\\.(state|store|cli|lab|logging|accounts|report|members|fleet|agreement|consensus|cbor|operation)\\.|"
                     + "petrelstand\\.(FleetPart|RulesPart|OperationPart|HotRestartPart)|io\\.microraft|picocli|"
                     + "org\\.apache\\.commons|com\\.fasterxml|ch\\.qos\\.logback|org\\.HdrHistogram|io\\.prometheus|"
@@ -50,8 +50,8 @@
     }
 
     /** A started gateway, its port, and what it said up to there. */
-    private record Run(Process process, BufferedReader out, List<String> said, int port) {
-        List<String> rest() throws IOException, InterruptedException {
+    private record Run(Process process, BufferedReader out, List<String> startLines, int port) {
+        List<String> awaitExitLines() throws IOException, InterruptedException {
             List<String> lines = new ArrayList<>(out.lines().toList());
             assertTrue(process.waitFor(20, TimeUnit.SECONDS));
             return lines;
@@ -90,7 +90,7 @@
         throw new AssertionError("it ended: " + said);
     }
 
-    private static void ask(Run run, int times) throws IOException {
+    private static void sendReads(Run run, int times) throws IOException {
         try (Client client = new Client(run.port)) {
             for (int i = 0; i < times; i++) {
                 client.send(
@@ -102,50 +102,56 @@
     }
 
     @Test
-    void withoutAnOperatorsFileNothingOfItsPartsIsLoaded() throws Exception {
+    void optionalClassesAreNotLoadedWithoutOperatorFile() throws Exception {
         Path classes = folder.resolve("classes.log");
         Run run = start(Map.of(), "-Xlog:class+load:file=" + classes);
-        ask(run, 1);
+        sendReads(run, 1);
         run.process.toHandle().destroy();
-        run.rest();
+        run.awaitExitLines();
         assertEquals(
                 List.of(),
                 Files.readAllLines(classes).stream()
-                        .filter(line -> OFF.matcher(line).find())
+                        .filter(line -> OPTIONAL_CLASSES.matcher(line).find())
                         .toList());
         // The scan finds what it is for.
         Path ini = Files.writeString(folder.resolve("p.ini"), "[state]\nfolder = state\n[log]\nform = json\n");
         Run with = start(Map.of("PETRELSTAND_INI", ini.toString()), "-Xlog:class+load:file=" + classes);
         with.process.toHandle().destroy();
-        with.rest();
+        with.awaitExitLines();
         assertTrue(Files.readAllLines(classes).stream()
-                        .filter(line -> OFF.matcher(line).find())
+                        .filter(line -> OPTIONAL_CLASSES.matcher(line).find())
                         .count()
                 > 50);
     }
 
     @Test
-    void afterAnOrderlyEndAndAfterAKillTheNextStartSaysWhatItRemembers() throws Exception {
+    void restoresStateAfterExitAndAfterKill() throws Exception {
         Path ini = Files.writeString(folder.resolve("p.ini"), "[state]\nfolder = state\nevery = 100 ms\n");
         Map<String, String> env = Map.of("PETRELSTAND_INI", ini.toString());
         Run first = start(env);
-        assertTrue(first.said.contains("petrelstand: state: nothing remembered: the folder holds no whole snapshot"));
-        ask(first, 5);
+        assertTrue(first.startLines.contains(
+                "petrelstand: state: nothing remembered: the folder holds no whole snapshot"));
+        sendReads(first, 5);
         first.process.toHandle().destroy();
-        List<String> ended = first.rest();
+        List<String> ended = first.awaitExitLines();
         assertTrue(ended.get(ended.size() - 1).matches("petrelstand: ended: .*state\\.written=.*"), ended.toString());
         Run second = start(env);
         Pattern remembered = Pattern.compile("petrelstand: state: remembered 2 nodes \\(0 silent\\) and 1 volumes, "
                 + "[0-9.]+ s old, generation [0-9]+(, after an orderly end)?");
         assertTrue(
-                second.said.stream().anyMatch(line -> remembered.matcher(line).matches() && line.endsWith("end")),
-                second.said.toString());
+                second.startLines.stream()
+                        .anyMatch(line -> remembered.matcher(line).matches() && line.endsWith("end")),
+                second.startLines.toString());
         Run beside = start(env);
-        assertTrue(beside.said.contains("petrelstand: state: another gateway has the folder; this one keeps nothing"));
-        ask(second, 2);
+        assertTrue(beside.startLines.contains(
+                "petrelstand: state: another gateway has the folder; this one keeps nothing"));
+        sendReads(second, 2);
         second.process.destroyForcibly().waitFor(20, TimeUnit.SECONDS);
         Run third = start(env);
-        assertTrue(third.said.stream().anyMatch(line -> remembered.matcher(line).matches()), third.said.toString());
+        assertTrue(
+                third.startLines.stream()
+                        .anyMatch(line -> remembered.matcher(line).matches()),
+                third.startLines.toString());
     }
 
     private static String page(Run run, String path) throws IOException {
@@ -168,17 +174,18 @@
      * not decide it.
      */
     @Test
-    void aSurgeOnRealSocketsIsNamedByTheReportOfTheRecord() throws Exception {
+    void accountsReportNamesVolumeThatCausedWaits() throws Exception {
         // A play in which the machine itself stood still says nothing; the first other one decides.
-        boolean told = false;
-        for (int attempt = 1; attempt <= 3 && !told; attempt++) {
-            told = aSurge(attempt);
+        boolean conclusive = false;
+        for (int attempt = 1; attempt <= 3 && !conclusive; attempt++) {
+            conclusive = playSurge(attempt);
         }
-        org.junit.jupiter.api.Assumptions.assumeTrue(told, "inconclusive: the machine was too slow in all three plays");
+        org.junit.jupiter.api.Assumptions.assumeTrue(
+                conclusive, "inconclusive: the machine was too slow in all three plays");
     }
 
     /** Plays a surge; false where sleeps overran so far that the waits are the machine's. */
-    private boolean aSurge(int attempt) throws Exception {
+    private boolean playSurge(int attempt) throws Exception {
         String accounts = "accounts-" + attempt;
         Path ini = Files.writeString(
                 folder.resolve("p.ini"), "[accounts]\nnode_cores = 2\nmetrics = on\nfolder = " + accounts + "\n");
@@ -195,13 +202,13 @@
         // The record is by seconds: the surge begins with one, so that the first requests' slowness is not in it.
         Thread.sleep(1_005 - System.currentTimeMillis() % 1_000);
         long from = System.currentTimeMillis() / 1_000;
-        java.util.concurrent.atomic.AtomicLong lateNs = new java.util.concurrent.atomic.AtomicLong();
+        java.util.concurrent.atomic.AtomicLong overrunNs = new java.util.concurrent.atomic.AtomicLong();
         Thread watch = new Thread(() -> {
             try {
                 while (true) {
                     long before = System.nanoTime();
                     Thread.sleep(2);
-                    lateNs.accumulateAndGet(System.nanoTime() - before - 2_000_000, Math::max);
+                    overrunNs.accumulateAndGet(System.nanoTime() - before - 2_000_000, Math::max);
                 }
             } catch (InterruptedException e) {
                 // The surge is over.
@@ -232,7 +239,7 @@
                 metrics.contains("petrelstand_requests_total{class=\"tile-read\",plan=\"priority\",served=\"true\"}"),
                 metrics);
         run.process.toHandle().destroy();
-        run.rest();
+        run.awaitExitLines();
         java.io.StringWriter out = new java.io.StringWriter();
         assertEquals(
                 0,
@@ -247,48 +254,48 @@
                                 "--json",
                                 "--from",
                                 Long.toString(from)));
-        double team = 0;
-        double all = 0;
+        double volumeMs = 0;
+        double totalMs = 0;
         for (var row : JsonParser.parseString(out.toString()).getAsJsonObject().getAsJsonArray("who_waited_for_whom")) {
-            JsonObject one = row.getAsJsonObject();
-            all += one.get("ms").getAsDouble();
-            team += one.has("cause_volume")
-                            && one.get("cause_volume").getAsString().equals("00000000000000b0")
-                    ? one.get("ms").getAsDouble()
+            JsonObject entry = row.getAsJsonObject();
+            totalMs += entry.get("ms").getAsDouble();
+            volumeMs += entry.has("cause_volume")
+                            && entry.get("cause_volume").getAsString().equals("00000000000000b0")
+                    ? entry.get("ms").getAsDouble()
                     : 0;
         }
-        boolean named = all > 100 && team > 0.7 * all;
-        if (!named && lateNs.get() > MOST_LATE_NS) {
-            System.out.println("a surge on real sockets: inconclusive, " + lateNs.get() / 1_000_000 + " ms late");
+        boolean named = totalMs > 100 && volumeMs > 0.7 * totalMs;
+        if (!named && overrunNs.get() > MAX_SLEEP_OVERRUN_NS) {
+            System.out.println("a surge on real sockets: inconclusive, " + overrunNs.get() / 1_000_000 + " ms late");
             return false;
         }
-        assertTrue(all > 100, out.toString());
+        assertTrue(totalMs > 100, out.toString());
         // Nine tenths is the laboratory's measure; here sleeps overrun, which is nobody's work.
-        assertTrue(team > 0.7 * all, out.toString());
+        assertTrue(volumeMs > 0.7 * totalMs, out.toString());
         return true;
     }
 
     /** A tile read takes some 30 ms at its node: a machine later than that lays waits on nobody. */
-    private static final long MOST_LATE_NS = 15_000_000;
+    private static final long MAX_SLEEP_OVERRUN_NS = 15_000_000;
 
     @Test
-    void theAccountsAreOffWithoutTheirSection() throws Exception {
+    void accountsPagesAreMissingWithoutTheirSection() throws Exception {
         Run off = start(Map.of());
         assertTrue(page(off, "/accounts").startsWith("404"));
         assertTrue(page(off, "/metrics").startsWith("404"));
     }
 
     @Test
-    void linesAreJsonWhereTheOperatorAsksForIt() throws Exception {
+    void logLinesAreJsonIfConfigured() throws Exception {
         Path ini = Files.writeString(folder.resolve("p.ini"), "[log]\nform = json\n");
         Run run = start(Map.of("PETRELSTAND_INI", ini.toString()));
         run.process.toHandle().destroy();
-        List<String> lines = new ArrayList<>(run.said);
-        lines.addAll(run.rest());
-        List<JsonObject> all = lines.stream()
+        List<String> lines = new ArrayList<>(run.startLines);
+        lines.addAll(run.awaitExitLines());
+        List<JsonObject> entries = lines.stream()
                 .map(line -> JsonParser.parseString(line).getAsJsonObject())
                 .toList();
-        JsonObject last = all.get(all.size() - 1);
+        JsonObject last = entries.get(entries.size() - 1);
         assertTrue(last.get("message").getAsString().startsWith("ended: "), last.toString());
         assertEquals("INFO", last.get("level").getAsString());
         assertEquals(
@@ -301,7 +308,7 @@
     }
 
     @Test
-    void aBadOperatorsFileEndsTheStartWithOneLine() throws Exception {
+    void badOperatorFileEndsStartWithOneLine() throws Exception {
         Path ini = Files.writeString(folder.resolve("p.ini"), "[state]\nfolder = state\nevry = 2 s\n");
         AssertionError ended = org.junit.jupiter.api.Assertions.assertThrows(
                 AssertionError.class, () -> start(Map.of("PETRELSTAND_INI", ini.toString())));
