--- a/src/main/java/petrelstand/FleetPart.java
+++ b/src/main/java/petrelstand/FleetPart.java
@@ -43,10 +43,10 @@
 
     void start(HttpFront front) {
         fleet.start();
-        if (config.page()) {
+        if (config.servesPage()) {
             front.addPage("/members", fleet::membersJson);
         }
-        if (config.metrics()) {
+        if (config.servesMetrics()) {
             front.addPage("/metrics", () -> FleetMetrics.prometheusText(fleet));
         }
     }
--- a/src/main/java/petrelstand/Gateway.java
+++ b/src/main/java/petrelstand/Gateway.java
@@ -105,8 +105,8 @@
         this.atEnd = atEnd;
         this.rsync = operator == null ? null : operator.rsync();
         this.loop = new EventLoop(clock, timers);
-        int transfers = rsync == null ? 0 : RSYNC_DESCRIPTORS * rsync.mostTransfers();
-        Descriptors parts = Descriptors.of(config.sockets(), transfers);
+        int transfers = rsync == null ? 0 : RSYNC_DESCRIPTORS * rsync.maxTransfers();
+        Descriptors parts = Descriptors.of(config.socketLimit(), transfers);
         MemoryLimits plan = memoryPlan(config, parts);
         log.accept(plan.toLogLine());
         BodyBudgets budgets = BodyBudgets.of(plan);
@@ -131,7 +131,7 @@
         this.life = new Lifecycle(Lifecycle.Delays.of(config.settings()));
         this.front = new HttpFront(broker, timers, plan.clientConnections(), life, budgets);
         this.retuning = new RetunePart(broker, front, pool, life, timers, clock::nowUs, log);
-        this.operation = config.operator() == null
+        this.operation = config.operatorAddress() == null
                 ? null
                 : new OperationPart(
                         config,
@@ -152,10 +152,10 @@
                 loop::connect,
                 clock::nowUs,
                 timers,
-                config.discovery(),
+                config.discoveryAddress(),
                 "backend.local",
                 config.settings().zones(),
-                config.known().version(),
+                config.cachedNodes().version(),
                 this::heard,
                 counters,
                 log);
@@ -163,7 +163,7 @@
                 ? null
                 : StateKeeper.onDisk(
                         operator.state().folder(),
-                        operator.state().everyUs(),
+                        operator.state().snapshotIntervalUs(),
                         config.name(),
                         config.settings(),
                         timers,
@@ -197,10 +197,10 @@
         return MemoryLimits.of(
                 Runtime.getRuntime().maxMemory(),
                 config.memoryBytes(),
-                config.sockets(),
+                config.socketLimit(),
                 parts.clients(),
                 parts.nodes(),
-                config.known().nodes().size(),
+                config.cachedNodes().nodes().size(),
                 Policy.MAX_VOLUMES);
     }
 
@@ -217,10 +217,10 @@
         if (how.folder() != null) {
             page.record(how.folder(), config.name(), counters, loop::execute, log);
         }
-        if (how.metrics()) {
+        if (how.servesMetrics()) {
             front.addPage("/metrics", page.metrics()::text);
         }
-        if (how.page()) {
+        if (how.servesPage()) {
             front.addPage("/accounts", () -> page.json(clock.nowUs()));
         }
     }
@@ -279,7 +279,8 @@
         if (operation != null) {
             operation.recall();
         }
-        broker.updateNodes(NodeListKind.CACHED, withOperators(config.known().nodes()));
+        broker.updateNodes(
+                NodeListKind.CACHED, withOperators(config.cachedNodes().nodes()));
         // All of this was one turn: its time is no silence of discovery's, so the next one begins to ask.
         timers.schedule(clock.nowUs() + 1, this::follow);
     }
@@ -319,10 +320,10 @@
         if (life.phase() != Lifecycle.Phase.STARTING) {
             return;
         }
-        listen(config.listen(), front::accept);
+        listen(config.listenAddress(), front::accept);
         if (rsync != null) {
-            listen(rsync.listen(), rsyncFront::accept);
-            log.accept("rsync: " + rsync.modules().size() + " modules on " + rsync.listen());
+            listen(rsync.listenAddress(), rsyncFront::accept);
+            log.accept("rsync: " + rsync.modules().size() + " modules on " + rsync.listenAddress());
         }
         if (fleet != null) {
             fleet.start(front);
@@ -332,13 +333,13 @@
         }
         life.startServing(clock.nowUs());
         if (operation != null) {
-            listen(operation::open, config.operator());
+            listen(operation::open, config.operatorAddress());
         }
         ports.complete(listeners.stream()
                 .map(listener -> listener.socket().getLocalPort())
                 .toList());
-        log.accept("ready: " + config.name() + " on " + config.listen() + ", "
-                + config.known().nodes().size() + " nodes known");
+        log.accept("ready: " + config.name() + " on " + config.listenAddress() + ", "
+                + config.cachedNodes().nodes().size() + " nodes known");
     }
 
     private void listen(String address, Function<EndPoint, Connection> to) {
@@ -372,7 +373,7 @@
      * node list is older than the one in use. On the loop's thread.
      */
     void reload(GatewayConfig changed) {
-        List<String> later = config.fixedChanges(changed);
+        List<String> later = config.restartOnlyChanges(changed);
         if (!changed.settings().equals(config.settings())) {
             try {
                 retuning.begin(changed.settings());
@@ -389,9 +390,9 @@
         }
         counters.increment("reloads");
         config = changed;
-        log.accept("reload: discovery at " + changed.discovery()
+        log.accept("reload: discovery at " + changed.discoveryAddress()
                 + (later.isEmpty() ? "" : "; only a restart takes the changed " + String.join(", ", later)));
-        watch.changeAddress(changed.discovery());
+        watch.changeAddress(changed.discoveryAddress());
     }
 
     /** SIGHUP with a file that is wrong: all stays as it was. On the loop's thread. */
--- a/src/main/java/petrelstand/HotRestartPart.java
+++ b/src/main/java/petrelstand/HotRestartPart.java
@@ -101,7 +101,7 @@
      */
     Other open() {
         try {
-            marks = new Marks(folder, config.name() + " " + config.listen());
+            marks = new Marks(folder, config.name() + " " + config.listenAddress());
             Look look = marks.look();
             seen = look.other();
             share.recordMark(clock.getAsLong(), look.others());
--- a/src/main/java/petrelstand/Main.java
+++ b/src/main/java/petrelstand/Main.java
@@ -20,8 +20,8 @@
 import petrelstand.config.OperatorConfig;
 import petrelstand.lifecycle.ExitStatus;
 import petrelstand.logging.JsonLog;
-import petrelstand.sim.InstanceLoop;
-import petrelstand.sim.LinkException;
+import petrelstand.sim.SimulatorHost;
+import petrelstand.sim.SimulatorProtocolException;
 
 /**
  * Command line of the jar: serves as a gateway, plays the simulator's wire, or rehearses for the build's class-data
@@ -63,7 +63,7 @@
         }
         try {
             GatewayConfig config = GatewayConfig.load(System.getenv());
-            Path file = OperatorConfig.file(System.getenv());
+            Path file = OperatorConfig.locate(System.getenv());
             serve(config, file == null ? null : OperatorConfig.load(file, config.settings()), serving);
         } catch (ExecutionException e) {
             startFailed(e.getCause().getMessage());
@@ -97,7 +97,7 @@
         ready.get();
         serving.complete(gateway);
         if (operator != null) {
-            operator.follow(
+            operator.startWatching(
                     config.settings(),
                     changed -> gateway.execute(() -> gateway.reload(changed)),
                     why -> log.accept("the former operator's file stays in use: " + why));
@@ -185,9 +185,9 @@
 
     private static void wirehost() {
         try {
-            new InstanceLoop()
+            new SimulatorHost()
                     .run(new BufferedInputStream(System.in, 1 << 16), new BufferedOutputStream(System.out, 1 << 16));
-        } catch (LinkException | IOException e) {
+        } catch (SimulatorProtocolException | IOException e) {
             System.err.println("petrelstand: " + e.getMessage());
             System.exit(1);
         } catch (RuntimeException e) {
--- a/src/main/java/petrelstand/OperationPart.java
+++ b/src/main/java/petrelstand/OperationPart.java
@@ -18,9 +18,9 @@
 import petrelstand.lifecycle.Lifecycle;
 import petrelstand.net.EventLoop;
 import petrelstand.net.SocketAddresses;
-import petrelstand.operation.OperatorDoor;
-import petrelstand.operation.OperatorDoor.Answer;
-import petrelstand.operation.OperatorDoor.Call;
+import petrelstand.operation.OperatorServer;
+import petrelstand.operation.OperatorServer.Answer;
+import petrelstand.operation.OperatorServer.Route;
 import petrelstand.operation.Telemetry;
 import petrelstand.store.Marks.Other;
 
@@ -31,7 +31,7 @@
 final class OperationPart {
     private final int sockets;
     private final int transfers;
-    private final OperatorDoor door;
+    private final OperatorServer door;
     private final HotRestartPart hotRestart;
     private final Lifecycle life;
     private final Broker broker;
@@ -61,7 +61,7 @@
             Consumer<String> log,
             BooleanSupplier evacuate,
             BooleanSupplier rejoin) {
-        this.sockets = config.sockets();
+        this.sockets = config.socketLimit();
         this.transfers = transfers;
         this.life = life;
         this.broker = broker;
@@ -79,20 +79,20 @@
                 this::other,
                 log);
         Telemetry telemetry = new Telemetry(broker, counters, () -> (int) front.answeringCount());
-        this.door = new OperatorDoor(
+        this.door = new OperatorServer(
                 timers,
                 clock,
                 counters,
                 Map.of(
                         "/api/ready",
-                                new Call(
+                                new Route(
                                         "GET",
                                         () -> life.canServe()
                                                 ? new Answer(200, "ready")
                                                 : new Answer(503, "this process can't serve: " + word())),
-                        "/api/telemetry", new Call("GET", () -> new Answer(200, telemetry.text())),
-                        "/api/evacuate", new Call("POST", () -> done(evacuate)),
-                        "/api/rejoin", new Call("POST", () -> done(rejoin))));
+                        "/api/telemetry", new Route("GET", () -> new Answer(200, telemetry.render())),
+                        "/api/evacuate", new Route("POST", () -> done(evacuate)),
+                        "/api/rejoin", new Route("POST", () -> done(rejoin))));
     }
 
     private Answer done(BooleanSupplier call) {
--- a/src/main/java/petrelstand/RulesPart.java
+++ b/src/main/java/petrelstand/RulesPart.java
@@ -113,7 +113,7 @@
     private long copyNonce;
 
     private static Maker maker = (now, life, config, seed, loader, act) ->
-            new LeaseHolder(now, life, config.voters(), config.promise(), seed, loader, act);
+            new LeaseHolder(now, life, config.voters(), config.leaseTiming(), seed, loader, act);
 
     /** For tests, before a start: a holder with a planted defect. */
     static void in(Maker holders) {
@@ -147,7 +147,7 @@
     }
 
     private Rules load(String text) {
-        return RulesText.load("rules", text, plans);
+        return RulesText.parse("rules", text, plans);
     }
 
     /** Takes the folder; a voter without one, or with one that can't be trusted, does not vote, and says so. */
@@ -158,14 +158,14 @@
             return made;
         });
         thread.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
-        if (config.folder() == null) {
+        if (config.stateFolder() == null) {
             if (votes) {
                 throw new IOException("[rules] folder is missing: a voter that forgets its votes may vote twice");
             }
             return;
         }
         try {
-            DiskFolder folder = new DiskFolder(config.folder());
+            DiskFolder folder = new DiskFolder(config.stateFolder());
             files = new RaftFiles(folder, log);
             long newest = files.restoredState() == null
                     ? 0
@@ -173,10 +173,10 @@
             votedEpoch = newest == 0 ? -1 : RuleRegistry.epoch(newest);
             kept = new KeptText(folder, log);
         } catch (StateFault e) {
-            log.accept("this gateway does not vote: " + config.folder() + ": " + e.getMessage());
+            log.accept("this gateway does not vote: " + config.stateFolder() + ": " + e.getMessage());
             files = null;
         } catch (IOException e) {
-            log.accept((votes ? "this gateway does not vote: " : "nothing is kept: ") + config.folder() + ": "
+            log.accept((votes ? "this gateway does not vote: " : "nothing is kept: ") + config.stateFolder() + ": "
                     + e.getMessage());
             files = null;
         }
@@ -187,9 +187,10 @@
         long now = nowUs.getAsLong();
         long life = new java.security.SecureRandom().nextLong();
         holder = maker.holder(now, life, config, seed, this::load, this);
-        if (config.file() != null) {
-            proposer = new RulesFileProposer(fleet.name(), "the file " + config.file(), holder, seed, new FromFile());
-            proposed = config.text();
+        if (config.rulesFileName() != null) {
+            proposer = new RulesFileProposer(
+                    fleet.name(), "the file " + config.rulesFileName(), holder, seed, new FromFile());
+            proposed = config.rulesText();
         }
         if (kept != null && kept.text() != null) {
             holder.restore(now, kept.version(), kept.text());
@@ -201,7 +202,7 @@
             copy = new StaleFolderCheck(now, config.voters().size(), files.generation(), COPY_PATIENCE_US);
             recall();
         }
-        if (config.page()) {
+        if (config.servesPage()) {
             front.addPage("/rules", () -> RulesStatus.toJson(fleet.name(), nowUs.getAsLong(), holder, shown));
         }
         tick();
@@ -248,7 +249,7 @@
         voter = new Voter(
                 fleet.name(),
                 config.voters(),
-                config.promise(),
+                config.leaseTiming(),
                 files,
                 LeaseGrantor::new,
                 this,
@@ -290,7 +291,8 @@
     private final class FromFile implements RulesFileProposer.Actions {
         @Override
         public void send(String leader, RulesMessage talk) {
-            asked(new Envelope(fleet.config().fleet(), ASKER, fleet.config().advertise(), 0, 0, null, talk));
+            asked(new Envelope(
+                    fleet.config().fleetName(), ASKER, fleet.config().advertisedAddress(), 0, 0, null, talk));
         }
 
         @Override
@@ -301,10 +303,10 @@
 
     /** The operator's file, or one that it names, has changed: other rules in it are proposed, not acted on. */
     void reload(RulesConfig changed) {
-        if (changed == null || changed.text() == null || proposer == null) {
+        if (changed == null || changed.rulesText() == null || proposer == null) {
             log.accept("only a restart switches a part on or off");
-        } else if (!changed.text().equals(proposed)) {
-            proposed = changed.text();
+        } else if (!changed.rulesText().equals(proposed)) {
+            proposed = changed.rulesText();
             proposer.fileChanged(nowUs.getAsLong(), proposed, System.currentTimeMillis());
         }
     }
@@ -339,7 +341,7 @@
     }
 
     private void take(Envelope parcel) {
-        if (!parcel.fleet().equals(fleet.config().fleet())) {
+        if (!parcel.fleet().equals(fleet.config().fleetName())) {
             counters.increment("rules.refused.fleet");
             return;
         }
@@ -433,7 +435,13 @@
         loop.execute(() -> {
             String address = to.startsWith("@") ? to.substring(1) : fleet.addressOf(to);
             Envelope parcel = new Envelope(
-                    fleet.config().fleet(), fleet.name(), fleet.config().advertise(), generation, epoch, raft, talk);
+                    fleet.config().fleetName(),
+                    fleet.name(),
+                    fleet.config().advertisedAddress(),
+                    generation,
+                    epoch,
+                    raft,
+                    talk);
             if (to.equals(fleet.name())) {
                 take(parcel);
             } else if (address != null) {
@@ -569,9 +577,9 @@
             nodes.add(ruledNode != null && ruledNode.removed() ? node.asGone() : node);
         }
         return new RsyncConfig(
-                file.listen(),
-                file.idleUs(),
-                file.mostTransfers(),
+                file.listenAddress(),
+                file.idleTimeoutUs(),
+                file.maxTransfers(),
                 file.modules().stream()
                         .filter(module -> on && !closed.contains(module.name()))
                         .toList(),
--- a/src/main/java/petrelstand/cli/RulesCommand.java
+++ b/src/main/java/petrelstand/cli/RulesCommand.java
@@ -164,7 +164,7 @@
     private static String readText(Path file) throws Fault {
         try {
             String text = Files.readString(file, StandardCharsets.UTF_8);
-            RulesText.load(file.toString(), text, null);
+            RulesText.parse(file.toString(), text, null);
             return text;
         } catch (IOException e) {
             throw new Fault(REFUSED, file + " cannot be read: " + e.getClass().getSimpleName());
@@ -407,11 +407,11 @@
                 if (fleet == null) {
                     throw new Fault(REFUSED, operator + " has no section [fleet]");
                 }
-                List<String> gateways = new ArrayList<>(fleet.seeds());
-                if (!gateways.contains(fleet.advertise())) {
-                    gateways.add(fleet.advertise());
+                List<String> gateways = new ArrayList<>(fleet.seedAddresses());
+                if (!gateways.contains(fleet.advertisedAddress())) {
+                    gateways.add(fleet.advertisedAddress());
                 }
-                return new RulesClient(fleet.fleet(), fleet.keys(), gateways, from);
+                return new RulesClient(fleet.fleetName(), fleet.keys(), gateways, from);
             } catch (IOException | IllegalArgumentException e) {
                 throw new Fault(REFUSED, e.getMessage());
             }
--- a/src/main/java/petrelstand/config/FleetConfig.java
+++ b/src/main/java/petrelstand/config/FleetConfig.java
@@ -29,18 +29,18 @@
  * @param abilities what this gateway can do, for parts that ask
  */
 public record FleetConfig(
-        String fleet,
-        String name,
-        String listen,
-        String advertise,
-        List<String> seeds,
-        int size,
+        String fleetName,
+        String memberName,
+        String listenAddress,
+        String advertisedAddress,
+        List<String> seedAddresses,
+        int expectedSize,
         List<byte[]> keys,
         MembershipTiming timing,
-        Path folder,
-        Path history,
-        boolean page,
-        boolean metrics,
+        Path incarnationFolder,
+        Path historyFile,
+        boolean servesPage,
+        boolean servesMetrics,
         List<String> abilities) {
     private static final int LEAST_KEY = 16;
     private static final int MOST_KEY = 64;
@@ -56,48 +56,48 @@
         List<String> seeds = words(section, "seeds");
         for (String seed : seeds) {
             try {
-                GatewayConfig.address("seeds", seed);
+                GatewayConfig.requireAddress("seeds", seed);
             } catch (IllegalArgumentException e) {
-                throw section.wrong("seeds", "has what is not an address with a port: '" + seed + "'");
+                throw section.error("seeds", "has what is not an address with a port: '" + seed + "'");
             }
         }
         if (seeds.size() > MOST_SEEDS) {
-            throw section.wrong("seeds", "has more than " + MOST_SEEDS + " addresses");
+            throw section.error("seeds", "has more than " + MOST_SEEDS + " addresses");
         }
         List<String> abilities = words(section, "can");
         if (abilities.size() > Member.MAX_ABILITIES
                 || abilities.stream().anyMatch(a -> a.length() > Member.MAX_NAME_LENGTH)) {
-            throw section.wrong(
+            throw section.error(
                     "can",
                     "has more than " + Member.MAX_ABILITIES + " words, or one longer than " + Member.MAX_NAME_LENGTH);
         }
-        Path key = ini.beside(section.text("key"));
+        Path key = ini.resolveSibling(section.text("key"));
         files.add(key);
         return new FleetConfig(
-                name(section, "name"),
-                section.has("member") ? name(section, "member") : null,
+                memberName(section, "name"),
+                section.has("member") ? memberName(section, "member") : null,
                 listen,
                 section.has("advertise") ? section.address("advertise") : listen,
                 seeds,
-                section.whole("size", 0, 0, 1000),
+                section.integer("size", 0, 0, 1000),
                 keys(section, key, reader),
                 timing(section),
-                section.has("folder") ? ini.beside(section.text("folder")) : null,
-                section.has("history") ? ini.beside(section.text("history")) : null,
-                !section.has("page") || section.place("page", List.of("off", "on")) == 1,
-                section.has("metrics") && section.place("metrics", List.of("off", "on")) == 1,
+                section.has("folder") ? ini.resolveSibling(section.text("folder")) : null,
+                section.has("history") ? ini.resolveSibling(section.text("history")) : null,
+                !section.has("page") || section.choiceIndex("page", List.of("off", "on")) == 1,
+                section.has("metrics") && section.choiceIndex("metrics", List.of("off", "on")) == 1,
                 abilities);
     }
 
     private static List<String> words(IniFile.Section section, String key) {
-        String text = section.textOr(key, "");
+        String text = section.textOrDefault(key, "");
         return text.isBlank() ? List.of() : List.of(text.strip().split("[\\s,]+"));
     }
 
-    private static String name(IniFile.Section section, String key) {
+    private static String memberName(IniFile.Section section, String key) {
         String name = section.text(key);
         if (!name.matches("[A-Za-z0-9._-]{1," + Member.MAX_NAME_LENGTH + "}")) {
-            throw section.wrong(
+            throw section.error(
                     key,
                     "is not a name of 1 to " + Member.MAX_NAME_LENGTH + " letters, digits, '.', '_' or '-': '" + name
                             + "'");
@@ -117,7 +117,7 @@
             if (String.valueOf(e.getMessage()).contains("[fleet]")) {
                 throw e;
             }
-            throw section.wrong(
+            throw section.error(
                     "suspect_after", "must be three times ping or more, fail_after twice, and retry no less");
         }
     }
@@ -131,7 +131,7 @@
                 if (open.contains(PosixFilePermission.OTHERS_READ)
                         || open.contains(PosixFilePermission.GROUP_WRITE)
                         || open.contains(PosixFilePermission.OTHERS_WRITE)) {
-                    throw section.wrong("key", "names " + file + ", which others than its owner may read or write");
+                    throw section.error("key", "names " + file + ", which others than its owner may read or write");
                 }
             }
             for (String line : reader.read(file).split("\r?\n")) {
@@ -140,19 +140,19 @@
                 }
             }
         } catch (IOException e) {
-            throw section.wrong(
+            throw section.error(
                     "key",
                     "names " + file + ", which cannot be read: " + e.getClass().getSimpleName());
         } catch (IllegalArgumentException e) {
             if (String.valueOf(e.getMessage()).contains("[fleet]")) {
                 throw e;
             }
-            throw section.wrong("key", "names " + file + ", line " + (keys.size() + 1) + " of which is not in hex");
+            throw section.error("key", "names " + file + ", line " + (keys.size() + 1) + " of which is not in hex");
         }
         if (keys.isEmpty()
                 || keys.size() > MOST_KEYS
                 || keys.stream().anyMatch(k -> k.length < LEAST_KEY || k.length > MOST_KEY)) {
-            throw section.wrong(
+            throw section.error(
                     "key",
                     "names " + file + ", which must hold one or two keys of " + 2 * LEAST_KEY + " to " + 2 * MOST_KEY
                             + " hex digits, one a line");
--- a/src/main/java/petrelstand/config/GatewayConfig.java
+++ b/src/main/java/petrelstand/config/GatewayConfig.java
@@ -25,14 +25,14 @@
  */
 public record GatewayConfig(
         String name,
-        String listen,
-        String discovery,
-        String operator,
+        String listenAddress,
+        String discoveryAddress,
+        String operatorAddress,
         long seed,
-        int sockets,
+        int socketLimit,
         Settings settings,
-        NodeList known,
-        JsonObject file) {
+        NodeList cachedNodes,
+        JsonObject json) {
     /** What a later file may leave out: it tells of the moment, or the environment tells it. */
     private static final Set<String> SPARED = Set.of("known", "seed", "operator");
 
@@ -51,7 +51,7 @@
      */
     public static GatewayConfig reload(Map<String, String> env, GatewayConfig inUse) {
         return load(env.get("RELAY_CONFIG"), env, json -> {
-            String missing = missing("", inUse.file, json);
+            String missing = missing("", inUse.json, json);
             if (missing != null) {
                 throw new IllegalArgumentException(missing + " is missing");
             }
@@ -130,7 +130,7 @@
         numbers(json.getAsJsonObject("settings"));
         Settings settings;
         try {
-            settings = SettingsReader.of(values);
+            settings = SettingsReader.fromValues(values);
         } catch (IllegalArgumentException e) {
             throw new IllegalArgumentException("settings: " + e.getMessage());
         }
@@ -140,9 +140,9 @@
                 : NodeList.empty();
         return new GatewayConfig(
                 word(json, "name", env.get("RELAY_NAME")),
-                address("listen", word(json, "listen", env.get("RELAY_LISTEN"))),
-                address("discovery", word(json, "discovery", env.get("RELAY_DISCOVERY"))),
-                operator(json, env),
+                requireAddress("listen", word(json, "listen", env.get("RELAY_LISTEN"))),
+                requireAddress("discovery", word(json, "discovery", env.get("RELAY_DISCOVERY"))),
+                operatorAddress(json, env),
                 seed(word(json, "seed", "0")),
                 whole(limits, "sockets", 1024),
                 settings,
@@ -154,29 +154,29 @@
      * The environment goes first here, other than for the rest: a second process of one gateway has an address of its
      * own, and may find the file as the first one was given it.
      */
-    private static String operator(JsonObject json, Map<String, String> env) {
+    private static String operatorAddress(JsonObject json, Map<String, String> env) {
         String told = env.get("RELAY_OPERATOR");
         String text = told != null && !told.isBlank() ? told : word(json, "operator", "");
-        return text.isEmpty() ? null : address("operator", text);
+        return text.isEmpty() ? null : requireAddress("operator", text);
     }
 
     /** The memory that the file grants, bytes; 0 where it says nothing. */
     public long memoryBytes() {
-        return file.has("limits") && file.get("limits").isJsonObject()
-                ? whole(file.getAsJsonObject("limits"), "memory_mb", 0) * 1024L * 1024
+        return json.has("limits") && json.get("limits").isJsonObject()
+                ? whole(json.getAsJsonObject("limits"), "memory_mb", 0) * 1024L * 1024
                 : 0;
     }
 
     /** What differs in another file that a running gateway cannot take, by the names the file has for it. */
-    public List<String> fixedChanges(GatewayConfig other) {
+    public List<String> restartOnlyChanges(GatewayConfig other) {
         List<String> names = new ArrayList<>();
         if (!name.equals(other.name)) {
             names.add("name");
         }
-        if (!listen.equals(other.listen)) {
+        if (!listenAddress.equals(other.listenAddress)) {
             names.add("listen");
         }
-        if (sockets != other.sockets) {
+        if (socketLimit != other.socketLimit) {
             names.add("limits");
         }
         names.addAll(SettingsTransition.restartOnlyChanges(settings, other.settings));
@@ -252,7 +252,7 @@
     }
 
     /** A host and port; the host is an IP address, since there is no name service. */
-    static String address(String key, String text) {
+    static String requireAddress(String key, String text) {
         int colon = text.lastIndexOf(':');
         try {
             int port = Integer.parseInt(text.substring(colon + 1));
--- a/src/main/java/petrelstand/config/IniFile.java
+++ b/src/main/java/petrelstand/config/IniFile.java
@@ -20,7 +20,7 @@
 /**
  * The operator's file in INI form, read by Apache Commons Configuration. What that library does not tell, the line of a
  * section or key, is looked up in the text. Every fault is one IllegalArgumentException, FILE:LINE: [SECTION] KEY and
- * what is wrong. A key or section that nobody has asked for by the end is a fault too ({@link #refuseUnread}).
+ * what is wrong. A key or section that nobody has asked for by the end is a fault too ({@link #rejectUnread}).
  */
 public final class IniFile {
     private static final long MOST_BYTES = 1 << 20;
@@ -30,7 +30,7 @@
 
     private final Path file;
     private final String[] lines;
-    private final Map<String, Section> sections = new HashMap<>();
+    private final Map<String, Section> sectionsOfKind = new HashMap<>();
     private final List<Section> inOrder = new ArrayList<>();
 
     /** Reads a file. */
@@ -69,7 +69,7 @@
 
     private void add(ImmutableNode node) {
         Section section = new Section(node.getNodeName());
-        if (sections.put(node.getNodeName(), section) != null) {
+        if (sectionsOfKind.put(node.getNodeName(), section) != null) {
             throw new IllegalArgumentException(
                     at(line(node.getNodeName(), null)) + "[" + node.getNodeName() + "] is there twice");
         }
@@ -78,7 +78,7 @@
             if (section.values.put(
                             key.getNodeName(), String.valueOf(key.getValue()).strip())
                     != null) {
-                throw section.wrong(key.getNodeName(), "is there twice");
+                throw section.error(key.getNodeName(), "is there twice");
             }
         }
     }
@@ -88,13 +88,13 @@
     }
 
     /** A file that this one names: relative names are taken from where this one lies. */
-    public Path beside(String name) {
+    public Path resolveSibling(String name) {
         return file.toAbsolutePath().resolveSibling(name);
     }
 
     /** The section of a name, or null. */
     public Section section(String name) {
-        Section section = sections.get(name);
+        Section section = sectionsOfKind.get(name);
         if (section != null) {
             section.asked = true;
         }
@@ -102,7 +102,7 @@
     }
 
     /** The sections whose names begin with a word and a space, in the order of the file. */
-    public List<Section> sections(String word) {
+    public List<Section> sectionsOfKind(String word) {
         List<Section> found =
                 inOrder.stream().filter(s -> s.name.startsWith(word + " ")).toList();
         found.forEach(section -> section.asked = true);
@@ -110,7 +110,7 @@
     }
 
     /** Refuses the first section or key that was not asked for. */
-    public void refuseUnread() {
+    public void rejectUnread() {
         for (Section section : inOrder) {
             if (!section.asked) {
                 throw new IllegalArgumentException(
@@ -118,7 +118,7 @@
             }
             for (String key : section.values.keySet()) {
                 if (!section.read.contains(key)) {
-                    throw section.wrong(key, "is no key of this section");
+                    throw section.error(key, "is no key of this section");
                 }
             }
         }
@@ -164,7 +164,7 @@
         }
 
         /** A fault at a key, or at the section where the key is null or missing. */
-        public IllegalArgumentException wrong(String key, String what) {
+        public IllegalArgumentException error(String key, String what) {
             return new IllegalArgumentException(
                     at(line(name, key)) + "[" + name + "] " + (key == null ? "" : key + " ") + what);
         }
@@ -176,15 +176,15 @@
 
         public String text(String key) {
             if (!has(key)) {
-                throw wrong(key, "is missing");
+                throw error(key, "is missing");
             }
             if (values.get(key).isEmpty()) {
-                throw wrong(key, "has no value");
+                throw error(key, "has no value");
             }
             return values.get(key);
         }
 
-        public String textOr(String key, String otherwise) {
+        public String textOrDefault(String key, String otherwise) {
             return has(key) && !values.get(key).isEmpty() ? values.get(key) : otherwise;
         }
 
@@ -197,11 +197,11 @@
         public long durationUs(String key, String part, long leastUs, long mostUs) {
             Matcher parts = DURATION.matcher(part);
             if (!parts.matches()) {
-                throw wrong(key, "is not a time with its unit, such as 500 ms or 2 s: '" + part + "'");
+                throw error(key, "is not a time with its unit, such as 500 ms or 2 s: '" + part + "'");
             }
             double us = Double.parseDouble(parts.group(1)) * UNITS_US.get(parts.group(2));
             if (!(us >= leastUs && us <= mostUs)) {
-                throw wrong(
+                throw error(
                         key, "must be from " + leastUs / 1000.0 + " ms to " + mostUs / 1e6 + " s, not '" + part + "'");
             }
             return (long) us;
@@ -219,33 +219,33 @@
                 // Refused below, as what is out of bounds is.
             }
             if (!(value >= least && value <= most)) {
-                throw wrong(key, "is not a number from " + least + " to " + most + ": '" + text(key) + "'");
+                throw error(key, "is not a number from " + least + " to " + most + ": '" + text(key) + "'");
             }
             return value;
         }
 
-        public int whole(String key, int otherwise, int least, int most) {
+        public int integer(String key, int otherwise, int least, int most) {
             double value = number(key, otherwise, least, most);
             if (value != Math.rint(value)) {
-                throw wrong(key, "is not a whole number: '" + text(key) + "'");
+                throw error(key, "is not a whole number: '" + text(key) + "'");
             }
             return (int) value;
         }
 
         /** The place of the value among names. */
-        public int place(String key, List<String> names) {
+        public int choiceIndex(String key, List<String> names) {
             int place = names.indexOf(text(key));
             if (place < 0) {
-                throw wrong(key, "is none of " + names + ": '" + text(key) + "'");
+                throw error(key, "is none of " + names + ": '" + text(key) + "'");
             }
             return place;
         }
 
         public String address(String key) {
             try {
-                return GatewayConfig.address(key, text(key));
+                return GatewayConfig.requireAddress(key, text(key));
             } catch (IllegalArgumentException e) {
-                throw wrong(key, "is not an address with a port: '" + text(key) + "'");
+                throw error(key, "is not an address with a port: '" + text(key) + "'");
             }
         }
     }
--- a/src/main/java/petrelstand/config/NodeList.java
+++ b/src/main/java/petrelstand/config/NodeList.java
@@ -57,7 +57,7 @@
             throw new IllegalArgumentException("node " + name + " has a cell that is out of range: " + cell);
         }
         if (state != NodeState.GONE) {
-            GatewayConfig.address("addr of node " + name, address);
+            GatewayConfig.requireAddress("addr of node " + name, address);
         }
         return new Node(
                 name,
--- a/src/main/java/petrelstand/config/OperatorConfig.java
+++ b/src/main/java/petrelstand/config/OperatorConfig.java
@@ -31,19 +31,19 @@
         boolean jsonLog,
         List<Path> files) {
     /** Where the file lies if PETRELSTAND_INI does not say; without it nothing is switched on. */
-    public static final Path USUAL = Path.of("deploy/petrelstand.ini");
+    public static final Path DEFAULT_PATH = Path.of("deploy/petrelstand.ini");
 
     private static final long FOLLOW_MS = 1000;
 
     /** The folder that learned state is kept in, and how often a snapshot is written. */
-    public record StateConfig(Path folder, long everyUs) {
+    public record StateConfig(Path folder, long snapshotIntervalUs) {
         static final long EVERY_US = 2_000_000;
 
         static StateConfig of(IniFile.Section section, IniFile ini) {
             return section == null
                     ? null
                     : new StateConfig(
-                            ini.beside(section.text("folder")),
+                            ini.resolveSibling(section.text("folder")),
                             section.durationUs("every", EVERY_US, 100_000, 600_000_000));
         }
     }
@@ -52,26 +52,26 @@
      * Latency accounts: the cores that a storage node serves with, whether {@code GET /accounts} and {@code GET
      * /metrics} are answered, and the folder that they are recorded in (null: none).
      */
-    public record AccountsConfig(int nodeCores, boolean page, boolean metrics, Path folder) {
+    public record AccountsConfig(int nodeCores, boolean servesPage, boolean servesMetrics, Path folder) {
         static AccountsConfig of(IniFile.Section section, IniFile ini) {
             return section == null
                     ? null
                     : new AccountsConfig(
-                            section.whole("node_cores", 2, 1, 256),
-                            !section.has("page") || section.place("page", List.of("off", "on")) == 1,
-                            section.has("metrics") && section.place("metrics", List.of("off", "on")) == 1,
-                            section.has("folder") ? ini.beside(section.text("folder")) : null);
+                            section.integer("node_cores", 2, 1, 256),
+                            !section.has("page") || section.choiceIndex("page", List.of("off", "on")) == 1,
+                            section.has("metrics") && section.choiceIndex("metrics", List.of("off", "on")) == 1,
+                            section.has("folder") ? ini.resolveSibling(section.text("folder")) : null);
         }
     }
 
     /** The file that the environment names, or the usual one; null where neither is there. */
-    public static Path file(Map<String, String> env) {
+    public static Path locate(Map<String, String> env) {
         if (env.get("PETRELSTAND_RSYNC") != null) {
             throw new IllegalArgumentException("PETRELSTAND_RSYNC is no longer read: the rsync front is set up in the"
                     + " operator's INI file, which PETRELSTAND_INI names (docs/RSYNC.md)");
         }
         String named = env.get("PETRELSTAND_INI");
-        return named != null ? Path.of(named) : Files.exists(USUAL) ? USUAL : null;
+        return named != null ? Path.of(named) : Files.exists(DEFAULT_PATH) ? DEFAULT_PATH : null;
     }
 
     /** Gives the text of a file. */
@@ -89,7 +89,7 @@
         List<Path> files = new ArrayList<>(List.of(ini.file()));
         RsyncConfig rsync = RsyncConfig.of(ini, settings, files, reader);
         IniFile.Section log = ini.section("log");
-        boolean json = log != null && log.place("form", List.of("text", "json")) == 1;
+        boolean json = log != null && log.choiceIndex("form", List.of("text", "json")) == 1;
         FleetConfig fleet = FleetConfig.of(ini, files, reader);
         OperatorConfig config = new OperatorConfig(
                 StateConfig.of(ini.section("state"), ini),
@@ -99,7 +99,7 @@
                 RulesConfig.of(ini, fleet, settings, files, reader),
                 json,
                 List.copyOf(files));
-        ini.refuseUnread();
+        ini.rejectUnread();
         return config;
     }
 
@@ -107,7 +107,7 @@
      * Watches the files on a thread of its own, since reading them may block, and hands on what they say when one
      * changes, or the one line that is wrong with them.
      */
-    public Thread follow(Settings settings, Consumer<OperatorConfig> changed, Consumer<String> wrong) {
+    public Thread startWatching(Settings settings, Consumer<OperatorConfig> changed, Consumer<String> wrong) {
         List<FileTime> first = modified(files);
         Thread thread = new Thread(
                 () -> {
--- a/src/main/java/petrelstand/config/RsyncConfig.java
+++ b/src/main/java/petrelstand/config/RsyncConfig.java
@@ -17,7 +17,8 @@
  * The rsync front as the operator's file sets it up: where it listens, its modules, and its nodes as Envoy clusters and
  * endpoints in the xDS JSON files that it names. A cluster is a shard of its own: any of its endpoints holds its data.
  */
-public record RsyncConfig(String listen, long idleUs, int mostTransfers, List<Module> modules, List<Node> nodes) {
+public record RsyncConfig(
+        String listenAddress, long idleTimeoutUs, int maxTransfers, List<Module> modules, List<Node> nodes) {
     /** An rsync module, and how the decision module counts its transfers. */
     public record Module(
             String name, String comment, int requestClass, int plan, long volume, double units, int shard) {}
@@ -42,25 +43,25 @@
         Map<String, Integer> shards = new LinkedHashMap<>();
         List<Node> nodes = new ArrayList<>();
         for (String name : rsync.text("xds").split("\\s+")) {
-            Path file = ini.beside(name);
+            Path file = ini.resolveSibling(name);
             files.add(file);
             try {
                 resources(reader.read(file), shards, settings, nodes);
             } catch (IOException e) {
-                throw rsync.wrong(
+                throw rsync.error(
                         "xds", name + " cannot be read: " + e.getClass().getSimpleName());
             } catch (IllegalArgumentException e) {
                 throw new IllegalArgumentException(file.getFileName() + ": " + e.getMessage());
             }
         }
         List<Module> modules = new ArrayList<>();
-        for (IniFile.Section module : ini.sections("rsync module")) {
+        for (IniFile.Section module : ini.sectionsOfKind("rsync module")) {
             modules.add(module(module, shards, settings));
         }
         return new RsyncConfig(
                 rsync.address("listen"),
                 rsync.durationUs("idle", 2_000_000, 1_000, 3_600_000_000L),
-                rsync.whole("most_transfers", 32, 1, 10_000),
+                rsync.integer("most_transfers", 32, 1, 10_000),
                 List.copyOf(modules),
                 List.copyOf(nodes));
     }
@@ -92,20 +93,20 @@
         List<String> plans = settings.plans().stream().map(p -> p.name()).toList();
         String name = module.name().substring("rsync module ".length());
         if (!name.matches("[A-Za-z0-9_.-]+")) {
-            throw module.wrong(null, "a module's name may hold letters, digits, '_', '.' and '-' only");
+            throw module.error(null, "a module's name may hold letters, digits, '_', '.' and '-' only");
         }
         if (!module.text("volume").matches("[0-9a-fA-F]{16}")) {
-            throw module.wrong("volume", "must be 16 hex digits");
+            throw module.error("volume", "must be 16 hex digits");
         }
         Integer shard = shards.get(module.text("cluster"));
         if (shard == null) {
-            throw module.wrong("cluster", "names no cluster: '" + module.text("cluster") + "'");
+            throw module.error("cluster", "names no cluster: '" + module.text("cluster") + "'");
         }
         return new Module(
                 name,
-                module.textOr("comment", ""),
-                module.place("class", classes),
-                module.place("plan", plans),
+                module.textOrDefault("comment", ""),
+                module.choiceIndex("class", classes),
+                module.choiceIndex("plan", plans),
                 Long.parseUnsignedLong(module.text("volume"), 16),
                 module.number("units", settings.meanUnits(), 1e-3, 1e9),
                 shard);
@@ -131,7 +132,7 @@
     private static Node node(Fields endpoint, String cluster, int shard, int zone) {
         Fields socket = endpoint.object("endpoint").object("address").object("socketAddress");
         String address = socket.text("address") + ":" + (int) socket.number("portValue", 1);
-        GatewayConfig.address(socket.path("address"), address);
+        GatewayConfig.requireAddress(socket.path("address"), address);
         String health = endpoint.textOr("healthStatus", "UNKNOWN");
         NodeState state = switch (health) {
             case "UNKNOWN", "HEALTHY", "DEGRADED" -> NodeState.READY;
--- a/src/main/java/petrelstand/config/RulesConfig.java
+++ b/src/main/java/petrelstand/config/RulesConfig.java
@@ -22,11 +22,11 @@
 public record RulesConfig(
         List<String> voters,
         boolean mayVote,
-        LeaseTiming promise,
-        Path folder,
-        boolean page,
-        String file,
-        String text) {
+        LeaseTiming leaseTiming,
+        Path stateFolder,
+        boolean servesPage,
+        String rulesFileName,
+        String rulesText) {
     private static final int MOST_VOTERS = 9;
 
     static RulesConfig of(
@@ -36,42 +36,42 @@
             return null;
         }
         if (fleet == null) {
-            throw section.wrong(null, "needs the section [fleet]: gateways that know each other");
+            throw section.error(null, "needs the section [fleet]: gateways that know each other");
         }
         List<String> voters = List.of(section.text("voters").strip().split("[\\s,]+"));
         if (voters.size() > MOST_VOTERS
                 || voters.stream().distinct().count() != voters.size()
                 || voters.stream()
                         .anyMatch(name -> !name.matches("[A-Za-z0-9._-]{1," + Member.MAX_NAME_LENGTH + "}"))) {
-            throw section.wrong("voters", "must be 1 to " + MOST_VOTERS + " different names of the fleet's gateways");
+            throw section.error("voters", "must be 1 to " + MOST_VOTERS + " different names of the fleet's gateways");
         }
         long within = section.durationUs("promise", LeaseTiming.DEFAULT.maxConflictUs(), 500_000, 600_000_000);
         double drift = section.number("drift", LeaseTiming.DEFAULT.drift() * 100, 0, 10) / 100;
         String file = null;
         String text = null;
         if (section.has("file")) {
-            Path rules = ini.beside(section.text("file"));
+            Path rules = ini.resolveSibling(section.text("file"));
             files.add(rules);
             file = rules.getFileName().toString();
             try {
                 text = reader.read(rules);
             } catch (IOException e) {
-                throw section.wrong(
+                throw section.error(
                         "file",
                         "names " + rules + ", which cannot be read: "
                                 + e.getClass().getSimpleName());
             }
-            RulesText.load(
+            RulesText.parse(
                     rules.toString(),
                     text,
                     settings.plans().stream().map(plan -> plan.name()).toList());
         }
         return new RulesConfig(
                 voters,
-                section.has("may_vote") && section.place("may_vote", List.of("no", "yes")) == 1,
+                section.has("may_vote") && section.choiceIndex("may_vote", List.of("no", "yes")) == 1,
                 new LeaseTiming(within, drift),
-                section.has("folder") ? ini.beside(section.text("folder")) : null,
-                !section.has("page") || section.place("page", List.of("off", "on")) == 1,
+                section.has("folder") ? ini.resolveSibling(section.text("folder")) : null,
+                !section.has("page") || section.choiceIndex("page", List.of("off", "on")) == 1,
                 file,
                 text);
     }
--- a/src/main/java/petrelstand/config/RulesText.java
+++ b/src/main/java/petrelstand/config/RulesText.java
@@ -23,7 +23,7 @@
      * Reads a text that was agreed on; a limit of a plan that is none of {@code plans} is refused where those are
      * given.
      */
-    public static Rules load(String name, String text, Collection<String> plans) {
+    public static Rules parse(String name, String text, Collection<String> plans) {
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
             if (c < ' ' && c != '\n' && c != '\r' && c != '\t') {
@@ -36,20 +36,20 @@
         }
         IniFile ini = new IniFile(Path.of(name), text);
         IniFile.Section fleet = ini.section("fleet");
-        int gateways = fleet == null ? 1 : fleet.whole("gateways", 1, 1, MOST_GATEWAYS);
+        int gateways = fleet == null ? 1 : fleet.integer("gateways", 1, 1, MOST_GATEWAYS);
         Map<String, Rules.Limit> limits = new TreeMap<>();
-        for (IniFile.Section section : ini.sections("limit")) {
+        for (IniFile.Section section : ini.sectionsOfKind("limit")) {
             String plan = rest(section, "limit");
             if (plans != null && !plans.contains(plan)) {
-                throw section.wrong(null, "is a limit of no plan: there are " + List.copyOf(plans));
+                throw section.error(null, "is a limit of no plan: there are " + List.copyOf(plans));
             }
             long units = (long) section.number("units", -1, 0, MOST_UNITS);
             if (units < 0) {
-                throw section.wrong("units", "is missing");
+                throw section.error("units", "is missing");
             }
             long floor = (long) section.number("floor", 0, 0, MOST_UNITS);
             if (floor > units) {
-                throw section.wrong("floor", "is above units: " + floor + " over " + units);
+                throw section.error("floor", "is above units: " + floor + " over " + units);
             }
             limits.put(plan, new Rules.Limit(units, floor));
         }
@@ -57,37 +57,38 @@
             throw new IllegalArgumentException(name + " has more than " + RegistryCommand.MAX_LIMITS + " limits");
         }
         Map<String, Rules.Module> modules = new TreeMap<>();
-        for (IniFile.Section section : ini.sections("module")) {
+        for (IniFile.Section section : ini.sectionsOfKind("module")) {
             modules.put(
                     rest(section, "module"),
-                    new Rules.Module(section.place("open", List.of("no", "yes")) == 1, words(section, "credentials")));
+                    new Rules.Module(
+                            section.choiceIndex("open", List.of("no", "yes")) == 1, words(section, "credentials")));
         }
         Map<String, Rules.Node> nodes = new TreeMap<>();
-        for (IniFile.Section section : ini.sections("node")) {
+        for (IniFile.Section section : ini.sectionsOfKind("node")) {
             nodes.put(
                     rest(section, "node"),
                     new Rules.Node(
                             section.address("address"),
-                            section.has("state") && section.place("state", List.of("up", "removed")) == 1));
+                            section.has("state") && section.choiceIndex("state", List.of("up", "removed")) == 1));
         }
         Map<String, Boolean> switches = new TreeMap<>();
-        for (IniFile.Section section : ini.sections("switch")) {
-            switches.put(rest(section, "switch"), section.place("set", List.of("off", "on")) == 1);
+        for (IniFile.Section section : ini.sectionsOfKind("switch")) {
+            switches.put(rest(section, "switch"), section.choiceIndex("set", List.of("off", "on")) == 1);
         }
-        ini.refuseUnread();
+        ini.rejectUnread();
         return new Rules(gateways, limits, modules, nodes, switches);
     }
 
     private static String rest(IniFile.Section section, String word) {
         String name = section.name().substring(word.length() + 1).strip();
         if (name.isEmpty() || name.length() > RegistryCommand.MAX_NAME_CHARS) {
-            throw section.wrong(null, "has no name, or one longer than " + RegistryCommand.MAX_NAME_CHARS);
+            throw section.error(null, "has no name, or one longer than " + RegistryCommand.MAX_NAME_CHARS);
         }
         return name;
     }
 
     private static List<String> words(IniFile.Section section, String key) {
-        String text = section.textOr(key, "");
+        String text = section.textOrDefault(key, "");
         return text.isBlank() ? List.of() : new ArrayList<>(List.of(text.strip().split("[\\s,]+")));
     }
 }
--- a/src/main/java/petrelstand/config/SettingsReader.java
+++ b/src/main/java/petrelstand/config/SettingsReader.java
@@ -32,7 +32,7 @@
         this.values = values;
     }
 
-    public static Settings ofText(String text) {
+    public static Settings parse(String text) {
         Map<String, String> values = new HashMap<>();
         for (String line : text.split("\n")) {
             int split = line.indexOf('=');
@@ -44,10 +44,10 @@
                 throw new IllegalArgumentException("no '=' in line '" + line.strip() + "'");
             }
         }
-        return of(values);
+        return fromValues(values);
     }
 
-    public static Settings of(Map<String, String> values) {
+    public static Settings fromValues(Map<String, String> values) {
         return new SettingsReader(values).settings();
     }
 
--- a/src/main/java/petrelstand/fleet/FleetService.java
+++ b/src/main/java/petrelstand/fleet/FleetService.java
@@ -81,7 +81,7 @@
             Counters counters,
             Consumer<String> log) {
         this.config = config;
-        this.name = config.name() == null ? gateway : config.name();
+        this.name = config.memberName() == null ? gateway : config.memberName();
         this.seed = seed;
         this.timers = timers;
         this.nowUs = nowUs;
@@ -101,14 +101,15 @@
      */
     public void open() throws IOException {
         try {
-            link = new Link(config.listen(), config.keys(), loop, this::receive, this::incrementCounter);
+            link = new Link(config.listenAddress(), config.keys(), loop, this::receive, this::incrementCounter);
         } catch (IOException e) {
-            throw new IOException("cannot listen on " + config.listen() + " for the fleet: " + e.getMessage(), e);
+            throw new IOException(
+                    "cannot listen on " + config.listenAddress() + " for the fleet: " + e.getMessage(), e);
         }
         incarnation = wallMs.getAsLong() * WALL_US;
-        if (config.folder() != null) {
+        if (config.incarnationFolder() != null) {
             FutureTask<Long> kept = new FutureTask<>(() -> {
-                folder = new DiskFolder(config.folder());
+                folder = new DiskFolder(config.incarnationFolder());
                 return Incarnations.begin(folder, incarnation, log);
             });
             Thread thread = new Thread(kept, "fleet-folder");
@@ -124,8 +125,8 @@
                 Thread.currentThread().interrupt();
             }
         }
-        if (config.history() != null) {
-            history = new History(config.history(), log);
+        if (config.historyFile() != null) {
+            history = new History(config.historyFile(), log);
         }
     }
 
@@ -136,16 +137,23 @@
                 name,
                 new SecureRandom().nextLong(),
                 incarnation,
-                config.advertise(),
+                config.advertisedAddress(),
                 MemberState.JOINING,
                 "",
                 wallMs.getAsLong(),
                 build == null ? "unpacked" : build,
                 config.abilities());
         membership = maker.create(
-                nowUs.getAsLong(), config.fleet(), self, config.seeds(), config.size(), config.timing(), seed, this);
-        log.accept("joining " + config.fleet() + " as " + name + ", incarnation " + incarnation + ", on "
-                + config.listen());
+                nowUs.getAsLong(),
+                config.fleetName(),
+                self,
+                config.seedAddresses(),
+                config.expectedSize(),
+                config.timing(),
+                seed,
+                this);
+        log.accept("joining " + config.fleetName() + " as " + name + ", incarnation " + incarnation + ", on "
+                + config.listenAddress());
         recordEvent("started", about(self));
         link.start();
         tick();
@@ -200,10 +208,10 @@
     /** Takes what may change while it runs: the keys. */
     public void reload(FleetConfig changed) {
         link.keys(changed.keys());
-        boolean other = !changed.listen().equals(config.listen())
-                || !changed.seeds().equals(config.seeds())
-                || !changed.fleet().equals(config.fleet())
-                || changed.size() != config.size();
+        boolean other = !changed.listenAddress().equals(config.listenAddress())
+                || !changed.seedAddresses().equals(config.seedAddresses())
+                || !changed.fleetName().equals(config.fleetName())
+                || changed.expectedSize() != config.expectedSize();
         log.accept("the keys were read anew, " + changed.keys().size() + " are good"
                 + (other ? "; only a restart takes the rest of [fleet]" : ""));
     }
@@ -326,7 +334,7 @@
     public String membersJson() {
         JsonObject page = new JsonObject();
         long now = nowUs.getAsLong();
-        page.addProperty("fleet", config.fleet());
+        page.addProperty("fleet", config.fleetName());
         page.addProperty("name", name);
         page.addProperty("version", membership.viewVersion());
         page.addProperty("digest", String.format("%016x", membership.digest()));
--- a/src/main/java/petrelstand/lab/Scenario.java
+++ b/src/main/java/petrelstand/lab/Scenario.java
@@ -74,24 +74,24 @@
         if (world == null) {
             throw new IllegalArgumentException(ini.file() + ": it needs the section [world]");
         }
-        int nodes = world.whole("nodes", 12, 1, 1000);
-        int gateways = world.whole("gateways", 4, 1, 200);
+        int nodes = world.integer("nodes", 12, 1, 1000);
+        int gateways = world.integer("gateways", 4, 1, 200);
         Restart of = restart == null ? null : restart(restart, gateways);
         List<Fault> faults = new ArrayList<>();
-        for (IniFile.Section fault : ini.sections("fault")) {
+        for (IniFile.Section fault : ini.sectionsOfKind("fault")) {
             Kind kind = Kind.values()[
-                    fault.place(
+                    fault.choiceIndex(
                             "kind",
                             java.util.Arrays.stream(Kind.values())
                                     .map(k -> k.name().toLowerCase(java.util.Locale.ROOT))
                                     .toList())];
             int most = kind == Kind.KILLED ? gateways : nodes;
-            int first = fault.whole("first", 0, 0, most - 1);
+            int first = fault.integer("first", 0, 0, most - 1);
             String counted = kind == Kind.KILLED ? "gateways" : "nodes";
             faults.add(new Fault(
                     kind,
                     first,
-                    fault.whole(counted, 1, 1, most - first),
+                    fault.integer(counted, 1, 1, most - first),
                     fault.number("size", 4, 0.01, 10_000),
                     fault.durationUs("from", 0, 0, HOUR_US),
                     fault.durationUs(
@@ -102,13 +102,13 @@
                 ini.file().getFileName().toString(),
                 nodes,
                 gateways,
-                world.whole("volumes", Math.max(1, nodes * 6), 1, 100_000),
-                world.whole("cores", 2, 1, 64),
-                world.whole("queue", 40, 1, 10_000),
+                world.integer("volumes", Math.max(1, nodes * 6), 1, 100_000),
+                world.integer("cores", 2, 1, 64),
+                world.integer("queue", 40, 1, 10_000),
                 world.number("unit_ms", 27, 0.1, 1000),
                 world.number("load", 0.5, 0.01, 5),
                 world.number("surges", 0.3, 0, 5),
-                world.textOr("retries", "yes").equals("yes"),
+                world.textOrDefault("retries", "yes").equals("yes"),
                 world.number("aim_times", 1, 0.1, 100),
                 world.number("work_spread", 0, 0, 3),
                 world.number("cold_bears", 0, 0, 1e6),
@@ -117,7 +117,7 @@
                 world.durationUs("length", 30_000_000, 1_000_000, HOUR_US),
                 of,
                 List.copyOf(faults));
-        ini.refuseUnread();
+        ini.rejectUnread();
         return scenario;
     }
 
@@ -127,10 +127,10 @@
             ages.add(restart.durationUs("ages", age, 1, HOUR_US));
         }
         return new Restart(
-                restart.whole("gateways", 1, 1, gateways),
+                restart.integer("gateways", 1, 1, gateways),
                 restart.durationUs("capture", 30_000_000, 1, HOUR_US),
                 restart.durationUs("down", 800_000, 1, HOUR_US),
-                restart.textOr("clean", "no").equals("yes"),
+                restart.textOrDefault("clean", "no").equals("yes"),
                 ages);
     }
 
@@ -147,7 +147,7 @@
     /** The settings that a gateway is started with. */
     Settings settings(int gateway) {
         double rate = volumeUnits();
-        return SettingsReader.ofText("""
+        return SettingsReader.parse("""
                 balancers=%d
                 index=%d
                 period_ms=1.0
--- a/src/main/java/petrelstand/lab/faults/FaultScenario.java
+++ b/src/main/java/petrelstand/lab/faults/FaultScenario.java
@@ -48,7 +48,7 @@
         if (trial == null) {
             throw new IllegalArgumentException(ini.file() + ": it needs the section [trial]");
         }
-        int processes = trial.whole("processes", 5, 2, 15);
+        int processes = trial.integer("processes", 5, 2, 15);
         MembershipTiming usual = MembershipTiming.DEFAULT;
         MembershipTiming timing = new MembershipTiming(
                 trial.durationUs("ping", usual.pingIntervalUs(), 100_000, 10_000_000),
@@ -57,34 +57,34 @@
                 usual.retryIntervalUs());
         List<FleetPlan.Fault> faults = new ArrayList<>();
         long last = 0;
-        for (IniFile.Section section : ini.sections("fault")) {
+        for (IniFile.Section section : ini.sectionsOfKind("fault")) {
             List<String> kinds = Arrays.stream(FleetPlan.Kind.values())
                     .map(k -> k.name().toLowerCase(Locale.ROOT))
                     .toList();
-            FleetPlan.Kind kind = FleetPlan.Kind.values()[section.place("kind", kinds)];
+            FleetPlan.Kind kind = FleetPlan.Kind.values()[section.choiceIndex("kind", kinds)];
             FleetPlan.Fault fault = new FleetPlan.Fault(
                     kind,
-                    section.whole("who", 0, 0, processes - 1),
+                    section.integer("who", 0, 0, processes - 1),
                     section.durationUs("at", 1_000_000, 0, 3_600_000_000L),
                     section.durationUs("for", 0, 0, 3_600_000_000L),
-                    section.whole("amount", 0, 0, 1_000_000));
+                    section.integer("amount", 0, 0, 1_000_000));
             faults.add(fault);
             last = Math.max(last, fault.atUs() + fault.lengthUs());
         }
         FaultScenario scenario = new FaultScenario(
                 ini.file().getFileName().toString().replaceFirst("\\.ini$", ""),
                 processes,
-                trial.whole("load", 20, 0, 1000),
-                trial.whole("nodes", 4, 1, 100),
+                trial.integer("load", 20, 0, 1000),
+                trial.integer("nodes", 4, 1, 100),
                 trial.durationUs("length", last + FleetSim.ONE_VIEW_US + 3_000_000, 1_000_000, 3_600_000_000L),
-                trial.has("draw") && trial.place("draw", List.of("no", "yes")) == 1,
+                trial.has("draw") && trial.choiceIndex("draw", List.of("no", "yes")) == 1,
                 timing,
-                !trial.has("fleet") || trial.place("fleet", List.of("off", "on")) == 1,
-                trial.whole("voters", 0, 0, Math.min(9, processes)),
+                !trial.has("fleet") || trial.choiceIndex("fleet", List.of("off", "on")) == 1,
+                trial.integer("voters", 0, 0, Math.min(9, processes)),
                 trial.durationUs("change", 0, 0, 3_600_000_000L),
                 trial.durationUs("promise", LeaseTiming.DEFAULT.maxConflictUs(), 500_000, 60_000_000),
                 List.copyOf(faults));
-        ini.refuseUnread();
+        ini.rejectUnread();
         return scenario;
     }
 
--- a/src/main/java/petrelstand/lab/rules/RulesSim.java
+++ b/src/main/java/petrelstand/lab/rules/RulesSim.java
@@ -75,7 +75,7 @@
 
     /** What a text of these days rules: they hold one limit, its units the version's own number. */
     public static Rules load(String text) {
-        return RulesText.load("rules", text, null);
+        return RulesText.parse("rules", text, null);
     }
 
     private final class Process implements RaftNodeExecutor, LeaseHolder.Actions, Voter.Callbacks {
--- a/src/main/java/petrelstand/operation/OperatorConnection.java
+++ b/src/main/java/petrelstand/operation/OperatorConnection.java
@@ -29,7 +29,7 @@
     private static final int MOST_HEAD = 4096;
     private static final int MOST_BODY = 4096;
 
-    private final OperatorDoor door;
+    private final OperatorServer door;
     private final HttpParser parser = new HttpMessageParser(this, MOST_HEAD);
     private final ByteBuffer input = BufferUtil.allocate(1024);
     private State state = State.READING;
@@ -40,7 +40,7 @@
     private HttpVersion version;
     private int bodyBytes;
 
-    OperatorConnection(EndPoint endPoint, OperatorDoor door) {
+    OperatorConnection(EndPoint endPoint, OperatorServer door) {
         super(endPoint);
         this.door = door;
         parser.setHeaderCacheSize(HttpProtocol.HEADER_CACHE_BYTES);
@@ -50,7 +50,9 @@
     public void onOpen() {
         super.onOpen();
         limit = door.timers()
-                .schedule(door.nowUs() + OperatorDoor.CALL_US, () -> answer(408, "the call did not come whole"));
+                .schedule(
+                        door.nowUs() + OperatorServer.CALL_TIMEOUT_US,
+                        () -> answer(408, "the call did not come whole"));
         fillInterested();
     }
 
@@ -130,7 +132,7 @@
     public boolean messageComplete() {
         if (state == State.READING) {
             String path = HttpURI.from(target).getPath();
-            OperatorDoor.Answer answer = door.answer(method, path == null ? target : path);
+            OperatorServer.Answer answer = door.handle(method, path == null ? target : path);
             answer(answer.status(), answer.text());
         }
         return true;
@@ -153,7 +155,7 @@
         state = State.ANSWERING;
         ByteBuffer content = BufferUtil.toBuffer(text.endsWith("\n") ? text : text + "\n", StandardCharsets.UTF_8);
         limit.cancel();
-        limit = door.timers().schedule(door.nowUs() + OperatorDoor.CALL_US, this::close);
+        limit = door.timers().schedule(door.nowUs() + OperatorServer.CALL_TIMEOUT_US, this::close);
         getEndPoint()
                 .write(
                         nonBlockingCallback(this::linger, cause -> close()),
@@ -167,7 +169,7 @@
             state = State.LINGERING;
             getEndPoint().shutdownOutput();
             limit.cancel();
-            limit = door.timers().schedule(door.nowUs() + OperatorDoor.LINGER_US, this::close);
+            limit = door.timers().schedule(door.nowUs() + OperatorServer.LINGER_TIMEOUT_US, this::close);
         }
     }
 
@@ -178,7 +180,7 @@
             if (limit != null) {
                 limit.cancel();
             }
-            door.closed(this);
+            door.connectionClosed(this);
             getEndPoint().close();
         }
     }
--- a/src/main/java/petrelstand/operation/OperatorDoor.java
+++ b/src/main/java/petrelstand/operation/OperatorServer.java
@@ -15,28 +15,28 @@
  * connections and heads are bounded, and where callers hold all of them, the one that has been silent longest gives
  * way.
  */
-public final class OperatorDoor {
+public final class OperatorServer {
     /** What a call answers. */
     public record Answer(int status, String text) {}
 
     /** A call that is known, by its method, and what it does. */
-    public record Call(String method, Supplier<Answer> action) {}
+    public record Route(String method, Supplier<Answer> action) {}
 
     /** Connections at a time: more than operators' tools open, and room beside those that say nothing. */
-    static final int MOST_CONNECTIONS = 24;
+    static final int MAX_CONNECTIONS = 24;
     /** A whole call is owed within this time of the opening: callers may hold a connection for 4 s without one. */
-    static final long CALL_US = 6_000_000;
+    static final long CALL_TIMEOUT_US = 6_000_000;
     /** How long what follows an answer is dropped before the connection closes. */
-    static final long LINGER_US = 500_000;
+    static final long LINGER_TIMEOUT_US = 500_000;
 
     private final Timers timers;
     private final LongSupplier clock;
     private final Counters counters;
-    private final Map<String, Call> calls;
+    private final Map<String, Route> calls;
     private final Set<OperatorConnection> connections = new LinkedHashSet<>();
 
     /** A door for calls by path. */
-    public OperatorDoor(Timers timers, LongSupplier clock, Counters counters, Map<String, Call> calls) {
+    public OperatorServer(Timers timers, LongSupplier clock, Counters counters, Map<String, Route> calls) {
         this.timers = timers;
         this.clock = clock;
         this.counters = counters;
@@ -46,7 +46,7 @@
     /** A connection; where there are too many, the oldest goes. */
     public Connection accept(EndPoint endPoint) {
         counters.increment("operator.connections");
-        if (connections.size() >= MOST_CONNECTIONS) {
+        if (connections.size() >= MAX_CONNECTIONS) {
             counters.increment("operator.gave_way");
             connections.iterator().next().close();
         }
@@ -60,8 +60,8 @@
     }
 
     /** What a call answers; an unknown path or method is the caller's mistake. */
-    Answer answer(String method, String path) {
-        Call call = calls.get(path);
+    Answer handle(String method, String path) {
+        Route call = calls.get(path);
         if (call == null) {
             return new Answer(
                     404,
@@ -83,7 +83,7 @@
         return clock.getAsLong();
     }
 
-    void closed(OperatorConnection connection) {
+    void connectionClosed(OperatorConnection connection) {
         connections.remove(connection);
     }
 }
--- a/src/main/java/petrelstand/operation/Telemetry.java
+++ b/src/main/java/petrelstand/operation/Telemetry.java
@@ -22,7 +22,7 @@
     }
 
     /** The page as of this turn. */
-    public String text() {
+    public String render() {
         RequestCounts figures = broker.requestCounts();
         StringBuilder text = new StringBuilder();
         for (String kind : figures.classNames()) {
--- a/src/main/java/petrelstand/rsync/ClientSession.java
+++ b/src/main/java/petrelstand/rsync/ClientSession.java
@@ -56,7 +56,7 @@
     void opened() {
         write(Lines.GREETING);
         movedUs = front.broker().nowUs();
-        idle = front.timers().schedule(movedUs + front.config().idleUs(), this::checkIdle);
+        idle = front.timers().schedule(movedUs + front.config().idleTimeoutUs(), this::checkIdle);
     }
 
     @Override
@@ -66,19 +66,19 @@
 
     /** Cuts a session in which nothing has moved for the idle limit. */
     private void checkIdle() {
-        long due = movedUs + front.config().idleUs();
+        long due = movedUs + front.config().idleTimeoutUs();
         long now = front.broker().nowUs();
         if (waitsForNode()) {
             // The gateway has the move; the class's deadline bounds it.
             movedUs = now;
-            due = now + front.config().idleUs();
+            due = now + front.config().idleTimeoutUs();
         }
         if (now < due) {
             idle = front.timers().schedule(due, this::checkIdle);
         } else if (!isClosed()) {
             front.broker().counters().increment("rsync.idle");
-            front.log("a session idle for " + Lines.seconds(front.config().idleUs()) + " s was cut, " + state);
-            leave("idle for " + Lines.seconds(front.config().idleUs()) + " s");
+            front.log("a session idle for " + Lines.seconds(front.config().idleTimeoutUs()) + " s was cut, " + state);
+            leave("idle for " + Lines.seconds(front.config().idleTimeoutUs()) + " s");
         }
     }
 
@@ -296,7 +296,7 @@
         state = State.ENDING;
         exchange = null;
         idle.cancel();
-        idle = front.timers().schedule(front.broker().nowUs() + front.config().idleUs(), this::close);
+        idle = front.timers().schedule(front.broker().nowUs() + front.config().idleTimeoutUs(), this::close);
     }
 
     @Override
--- a/src/main/java/petrelstand/rsync/RsyncFront.java
+++ b/src/main/java/petrelstand/rsync/RsyncFront.java
@@ -31,10 +31,10 @@
     }
 
     public Connection accept(EndPoint endPoint) {
-        if (sessions.size() >= REFUSED_TIMES * config.mostTransfers()) {
+        if (sessions.size() >= REFUSED_TIMES * config.maxTransfers()) {
             sessions.stream().filter(ClientSession::isRefusedOnly).findFirst().ifPresent(ClientSession::close);
         }
-        boolean full = sessions.size() >= config.mostTransfers();
+        boolean full = sessions.size() >= config.maxTransfers();
         ClientSession session = new ClientSession(endPoint, this, full);
         sessions.add(session);
         broker.counters().increment("rsync.connections");
--- a/src/main/java/petrelstand/sim/Codec.java
+++ b/src/main/java/petrelstand/sim/SimulatorCodec.java
@@ -20,16 +20,16 @@
 import petrelstand.decision.Scheduling.Request;
 
 /** Frames and records of the simulator's wire: bytes in, events out; actions in, bytes out. */
-final class Codec {
+final class SimulatorCodec {
     /** Receives the events of a batch in order. */
-    interface Sink {
-        void started(long instance, long seed, String settings);
+    interface EventHandler {
+        void instanceStarted(long instance, long seed, String settings);
 
-        void stopped(long instance);
+        void instanceStopped(long instance);
 
-        void nodes(long instance, NodeListKind kind, List<NodeEntry> entries);
+        void nodesListed(long instance, NodeListKind kind, List<NodeEntry> entries);
 
-        void request(long instance, Request request);
+        void requestReceived(long instance, Request request);
 
         void streamStarted(long instance, long request, int attempt);
 
@@ -37,11 +37,11 @@
 
         void clientGone(long instance, long request);
 
-        void probed(long instance, long node, double elapsedMs, Outcome outcome, List<Double> load);
+        void probeEnded(long instance, long node, double elapsedMs, Outcome outcome, List<Double> load);
 
-        void timer(long instance, long token);
+        void timerFired(long instance, long token);
 
-        void peerMessage(long instance, int sender, byte[] message);
+        void peerMessageReceived(long instance, int sender, byte[] message);
     }
 
     /** A batch as read: its clock and its undecoded records. */
@@ -68,46 +68,46 @@
             long length = data.readInt() & 0xffffffffL;
             double clock = data.readDouble();
             if (length < BATCH_HEADER || length > MAX_FRAME) {
-                throw new LinkException(
+                throw new SimulatorProtocolException(
                         "batch header: frame length " + length + " is outside " + BATCH_HEADER + " to " + MAX_FRAME);
             }
             if (records > length) {
-                throw new LinkException("batch header: " + records + " records in " + length + " bytes");
+                throw new SimulatorProtocolException("batch header: " + records + " records in " + length + " bytes");
             }
             if (!Double.isFinite(clock)) {
-                throw new LinkException("batch header: clock " + clock + " is no time");
+                throw new SimulatorProtocolException("batch header: clock " + clock + " is no time");
             }
             byte[] body = new byte[(int) length - BATCH_HEADER];
             data.readFully(body);
             return new Batch(clock, (int) records, ByteBuffer.wrap(body));
         } catch (EOFException e) {
-            throw new LinkException("input ends inside a frame");
+            throw new SimulatorProtocolException("input ends inside a frame");
         }
     }
 
     /** Decodes all records of a batch into the sink. */
-    void decode(Batch batch, Sink sink) {
+    void decode(Batch batch, EventHandler sink) {
         ByteBuffer in = batch.body();
         for (int i = 0; i < batch.records(); i++) {
             int at = in.position() + BATCH_HEADER;
             try {
                 decodeRecord(in, sink);
             } catch (BufferUnderflowException e) {
-                throw new LinkException("record " + i + " at byte " + at + ": the frame ends inside it");
-            } catch (LinkException e) {
-                throw new LinkException("record " + i + " at byte " + at + ": " + e.getMessage());
+                throw new SimulatorProtocolException("record " + i + " at byte " + at + ": the frame ends inside it");
+            } catch (SimulatorProtocolException e) {
+                throw new SimulatorProtocolException("record " + i + " at byte " + at + ": " + e.getMessage());
             }
         }
         if (in.hasRemaining()) {
-            throw new LinkException("frame: " + in.remaining() + " bytes left after its last record");
+            throw new SimulatorProtocolException("frame: " + in.remaining() + " bytes left after its last record");
         }
     }
 
-    private static void decodeRecord(ByteBuffer in, Sink sink) {
+    private static void decodeRecord(ByteBuffer in, EventHandler sink) {
         int code = u8(in);
         switch (code) {
             case 16 -> sink.clientGone(u32(in), u32(in));
-            case 17 -> sink.probed(u32(in), u32(in), in.getDouble(), outcome(u16(in)), load(in));
+            case 17 -> sink.probeEnded(u32(in), u32(in), in.getDouble(), outcome(u16(in)), load(in));
             case 18 -> {
                 long instance = u32(in);
                 long request = u32(in);
@@ -116,18 +116,18 @@
                 in.getDouble();
                 sink.streamStarted(instance, request, attempt);
             }
-            case 19 -> sink.timer(u32(in), in.getLong());
-            case 20 -> sink.started(u32(in), in.getLong(), text(in));
+            case 19 -> sink.timerFired(u32(in), in.getLong());
+            case 20 -> sink.instanceStarted(u32(in), in.getLong(), text(in));
             case 21 -> decodeRequest(in, sink);
             case 22 -> decodeAttemptEnd(in, sink);
-            case 23 -> sink.peerMessage(u32(in), u16(in), bytes(in, u16(in)));
-            case 24 -> sink.stopped(u32(in));
+            case 23 -> sink.peerMessageReceived(u32(in), u16(in), bytes(in, u16(in)));
+            case 24 -> sink.instanceStopped(u32(in));
             case 25 -> decodeNodes(in, sink);
-            default -> throw new LinkException("unknown code " + code);
+            default -> throw new SimulatorProtocolException("unknown code " + code);
         }
     }
 
-    private static void decodeRequest(ByteBuffer in, Sink sink) {
+    private static void decodeRequest(ByteBuffer in, EventHandler sink) {
         long instance = u32(in);
         long id = u32(in);
         int requestClass = u16(in);
@@ -139,7 +139,7 @@
         int shard = (int) in.getFloat();
         int setSize = (int) in.getFloat();
         int bits = u16(in);
-        sink.request(
+        sink.requestReceived(
                 instance,
                 new Request(
                         id,
@@ -155,7 +155,7 @@
                         (bits & 4) != 0));
     }
 
-    private static void decodeAttemptEnd(ByteBuffer in, Sink sink) {
+    private static void decodeAttemptEnd(ByteBuffer in, EventHandler sink) {
         long instance = u32(in);
         long request = u32(in);
         int attempt = u16(in);
@@ -170,7 +170,7 @@
                 new AttemptEnd(request, attempt, outcome, elapsed, node, seenUse, fromOthers, over, load(in)));
     }
 
-    private static void decodeNodes(ByteBuffer in, Sink sink) {
+    private static void decodeNodes(ByteBuffer in, EventHandler sink) {
         long instance = u32(in);
         u32(in);
         int kind = u8(in);
@@ -179,14 +179,14 @@
         for (long i = 0; i < count; i++) {
             entries.add(nodeEntry(in));
         }
-        sink.nodes(
+        sink.nodesListed(
                 instance,
                 switch (kind) {
                     case 0 -> NodeListKind.CHANGES;
                     case 1 -> NodeListKind.FULL;
                     case 2 -> NodeListKind.CACHED;
                     case 3 -> NodeListKind.FAILED;
-                    default -> throw new LinkException("unknown list kind " + kind);
+                    default -> throw new SimulatorProtocolException("unknown list kind " + kind);
                 },
                 entries);
     }
@@ -207,7 +207,7 @@
                     case 0 -> NodeState.GONE;
                     case 1 -> NodeState.READY;
                     case 2 -> NodeState.DRAINING;
-                    default -> throw new LinkException("unknown node state " + state);
+                    default -> throw new SimulatorProtocolException("unknown node state " + state);
                 },
                 rating,
                 upSince);
@@ -223,7 +223,7 @@
             case 305 -> Outcome.RESET;
             case 306 -> Outcome.CANCELLED;
             case 307 -> Outcome.NOT_SENT;
-            default -> throw new LinkException("unknown outcome " + code);
+            default -> throw new SimulatorProtocolException("unknown outcome " + code);
         };
     }
 
@@ -285,7 +285,7 @@
         reply.writeShort(attempt);
     }
 
-    void timer(long instance, double atMs, long token) throws IOException {
+    void setTimer(long instance, double atMs, long token) throws IOException {
         record(20, instance);
         reply.writeDouble(atMs);
         reply.writeLong(token);
@@ -296,14 +296,14 @@
         u32(node);
     }
 
-    void tell(long instance, int recipient, byte[] message) throws IOException {
+    void sendPeerMessage(long instance, int recipient, byte[] message) throws IOException {
         record(23, instance);
         reply.writeShort(recipient < 0 ? ALL_PEERS : recipient);
         reply.writeShort(message.length);
         reply.write(message);
     }
 
-    void fault(long instance, String message) throws IOException {
+    void reportFault(long instance, String message) throws IOException {
         record(25, instance);
         byte[] text = message.getBytes(StandardCharsets.UTF_8);
         int length = Math.min(text.length, MAX_TEXT);
@@ -311,7 +311,7 @@
         reply.write(text, 0, length);
     }
 
-    void follow(long instance) throws IOException {
+    void subscribeToNodes(long instance) throws IOException {
         record(26, instance);
         reply.writeByte(1);
     }
--- a/src/main/java/petrelstand/sim/InstanceLoop.java
+++ b/src/main/java/petrelstand/sim/SimulatorHost.java
@@ -20,8 +20,8 @@
 import petrelstand.decision.Scheduling.Request;
 
 /** Plays batches: hands each event to its instance's policy and gathers the actions into one reply a batch. */
-public final class InstanceLoop implements Codec.Sink {
-    private final Codec codec = new Codec();
+public final class SimulatorHost implements SimulatorCodec.EventHandler {
+    private final SimulatorCodec codec = new SimulatorCodec();
     private final Map<Long, HostEvents> instances = new HashMap<>();
     private double nowMs;
     /** Requests sent by the event that is being handled. */
@@ -29,7 +29,7 @@
 
     /** Runs until the input ends. */
     public void run(InputStream input, OutputStream output) throws IOException {
-        for (Codec.Batch batch = codec.read(input); batch != null; batch = codec.read(input)) {
+        for (SimulatorCodec.Batch batch = codec.read(input); batch != null; batch = codec.read(input)) {
             nowMs = batch.clockMs();
             codec.decode(batch, this);
             codec.flush(output);
@@ -37,27 +37,26 @@
     }
 
     @Override
-    public void started(long instance, long seed, String settings) {
+    public void instanceStarted(long instance, long seed, String settings) {
         try {
-            instances.put(
-                    instance, new Policy(nowMs, SettingsReader.ofText(settings), seed, new WireActions(instance)));
+            instances.put(instance, new Policy(nowMs, SettingsReader.parse(settings), seed, new WireActions(instance)));
         } catch (IllegalArgumentException e) {
-            throw new LinkException("settings: " + e.getMessage());
+            throw new SimulatorProtocolException("settings: " + e.getMessage());
         }
     }
 
     @Override
-    public void stopped(long instance) {
+    public void instanceStopped(long instance) {
         instances.remove(instance);
     }
 
     @Override
-    public void nodes(long instance, NodeListKind kind, List<NodeEntry> entries) {
+    public void nodesListed(long instance, NodeListKind kind, List<NodeEntry> entries) {
         at(instance, policy -> policy.nodesListed(nowMs, kind, entries));
     }
 
     @Override
-    public void request(long instance, Request request) {
+    public void requestReceived(long instance, Request request) {
         at(instance, policy -> policy.requestReceived(nowMs, request));
     }
 
@@ -77,17 +76,17 @@
     }
 
     @Override
-    public void probed(long instance, long node, double elapsedMs, Outcome outcome, List<Double> load) {
+    public void probeEnded(long instance, long node, double elapsedMs, Outcome outcome, List<Double> load) {
         at(instance, policy -> policy.probeEnded(nowMs, node, elapsedMs, outcome, load));
     }
 
     @Override
-    public void timer(long instance, long token) {
+    public void timerFired(long instance, long token) {
         at(instance, policy -> policy.timerFired(nowMs, token));
     }
 
     @Override
-    public void peerMessage(long instance, int sender, byte[] message) {
+    public void peerMessageReceived(long instance, int sender, byte[] message) {
         at(instance, policy -> policy.peerMessageReceived(nowMs, sender, message));
     }
 
@@ -99,12 +98,12 @@
         try {
             event.accept(policy);
             tellWritten(policy);
-        } catch (LinkException | UncheckedIOException e) {
+        } catch (SimulatorProtocolException | UncheckedIOException e) {
             throw e;
         } catch (RuntimeException e) {
             StackTraceElement[] trace = e.getStackTrace();
             String where = trace.length == 0 ? "" : " at " + trace[0];
-            write(() -> codec.fault(instance, e + where));
+            write(() -> codec.reportFault(instance, e + where));
         }
     }
 
@@ -163,17 +162,17 @@
 
         @Override
         public void setTimer(double atMs, long token) {
-            write(() -> codec.timer(instance, atMs, token));
+            write(() -> codec.setTimer(instance, atMs, token));
         }
 
         @Override
         public void subscribeToNodes() {
-            write(() -> codec.follow(instance));
+            write(() -> codec.subscribeToNodes(instance));
         }
 
         @Override
         public void sendPeerMessage(int recipient, byte[] message) {
-            write(() -> codec.tell(instance, recipient, message));
+            write(() -> codec.sendPeerMessage(instance, recipient, message));
         }
     }
 }
--- a/src/main/java/petrelstand/sim/LinkException.java
+++ b/src/main/java/petrelstand/sim/SimulatorProtocolException.java
@@ -1,10 +1,10 @@
 package petrelstand.sim;
 
 /** Input that the link cannot take; the message says what and where. */
-public final class LinkException extends RuntimeException {
+public final class SimulatorProtocolException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    LinkException(String message) {
+    SimulatorProtocolException(String message) {
         super(message);
     }
 }
--- a/src/test/java/petrelstand/DefectiveRules.java
+++ b/src/test/java/petrelstand/DefectiveRules.java
@@ -12,7 +12,7 @@
         }
         // A lease once given is acted on until another comes.
         RulesPart.in((now, life, config, seed, loader, act) ->
-                new LeaseHolder(now, life, config.voters(), config.promise(), seed, loader, act) {
+                new LeaseHolder(now, life, config.voters(), config.leaseTiming(), seed, loader, act) {
                     @Override
                     protected boolean isLeaseValid(long at) {
                         return super.isLeaseValid(Long.MIN_VALUE / 4) || knownVersions()[0] > 0;
--- a/src/test/java/petrelstand/LoopbackTest.java
+++ b/src/test/java/petrelstand/LoopbackTest.java
@@ -188,7 +188,8 @@
         Path xds = Files.writeString(folder.resolve("xds.json"), Configs.xds(Map.of(daemon.port(), "HEALTHY")));
         var bad = new java.util.concurrent.CompletableFuture<String>();
         Thread follower = OperatorConfig.load(ini, config.settings())
-                .follow(config.settings(), changed -> gateway.execute(() -> gateway.reload(changed)), bad::complete);
+                .startWatching(
+                        config.settings(), changed -> gateway.execute(() -> gateway.reload(changed)), bad::complete);
         opened(follower::interrupt);
         Files.writeString(xds, "[");
         Files.setLastModifiedTime(xds, java.nio.file.attribute.FileTime.fromMillis(1000));
--- a/src/test/java/petrelstand/agreement/AgreementTest.java
+++ b/src/test/java/petrelstand/agreement/AgreementTest.java
@@ -479,7 +479,7 @@
         }) {
             String told = assertThrows(
                             IllegalArgumentException.class,
-                            () -> petrelstand.config.RulesText.load("rules", wrong[0], List.of("basic")))
+                            () -> petrelstand.config.RulesText.parse("rules", wrong[0], List.of("basic")))
                     .getMessage();
             assertTrue(told.contains(wrong[1]), told);
         }
--- a/src/test/java/petrelstand/config/ConfigTest.java
+++ b/src/test/java/petrelstand/config/ConfigTest.java
@@ -24,7 +24,7 @@
         GatewayConfig config = GatewayConfig.parse(Configs.gateway(9001, 8500), Map.of());
         assertEquals(world.settings, config.settings());
         assertEquals("n1", config.name());
-        assertEquals(1024, config.sockets());
+        assertEquals(1024, config.socketLimit());
         assertEquals(0x8c1f30d27a5be964L, config.seed());
     }
 
@@ -33,7 +33,7 @@
         String file =
                 Configs.gateway(1, 2).replace("\"listen\":\"127.0.0.1:0\",", "").replace("\"name\":\"n1\",", "");
         Map<String, String> env = Map.of("RELAY_LISTEN", "127.0.0.1:9000", "RELAY_NAME", "n9");
-        assertEquals("127.0.0.1:9000", GatewayConfig.parse(file, env).listen());
+        assertEquals("127.0.0.1:9000", GatewayConfig.parse(file, env).listenAddress());
         assertTrue(assertThrows(IllegalArgumentException.class, () -> GatewayConfig.parse(file, Map.of()))
                 .getMessage()
                 .contains("name is missing"));
@@ -45,13 +45,13 @@
         String text = Harness.SETTINGS;
         assertEquals(
                 DedupGroup.SHARD,
-                SettingsReader.ofText(text.replace("classes.1.group=cell\n", ""))
+                SettingsReader.parse(text.replace("classes.1.group=cell\n", ""))
                         .classes()
                         .get(1)
                         .group());
         assertEquals(
                 DedupGroup.ALL,
-                SettingsReader.ofText(text.replace("classes.1.group=cell", "classes.1.group=all"))
+                SettingsReader.parse(text.replace("classes.1.group=cell", "classes.1.group=all"))
                         .classes()
                         .get(1)
                         .group());
@@ -95,7 +95,7 @@
         assertEquals(2, module.requestClass());
         assertEquals(0xb1, module.volume());
         assertEquals(NodeEntry.FIRST_PRIVATE_SHARD, module.shard());
-        assertEquals(500_000, config.idleUs());
+        assertEquals(500_000, config.idleTimeoutUs());
         assertEquals("127.0.0.1:8731", config.nodes().get(0).address());
         assertEquals(module.shard(), config.nodes().get(0).entry().shard());
     }
--- a/src/test/java/petrelstand/config/SettingsVariantsTest.java
+++ b/src/test/java/petrelstand/config/SettingsVariantsTest.java
@@ -16,12 +16,12 @@
 /** Settings that one deployment states in another way than the next: followed, or refused by the field's name. */
 class SettingsVariantsTest {
     private static Settings with(String more) {
-        return SettingsReader.ofText(Harness.SETTINGS + more);
+        return SettingsReader.parse(Harness.SETTINGS + more);
     }
 
     private static Settings without(String line) {
         assertTrue(Harness.SETTINGS.contains(line + "\n"), line);
-        return SettingsReader.ofText(Harness.SETTINGS.replace(line + "\n", ""));
+        return SettingsReader.parse(Harness.SETTINGS.replace(line + "\n", ""));
     }
 
     @Test
--- a/src/test/java/petrelstand/core/BrokerTest.java
+++ b/src/test/java/petrelstand/core/BrokerTest.java
@@ -214,7 +214,7 @@
     @Test
     void requestUnansweredByTheModuleFailsWithinTheGrace() {
         for (double graceMs : new double[] {1, 8, 500}) {
-            Settings settings = SettingsReader.ofText(
+            Settings settings = SettingsReader.parse(
                     Harness.SETTINGS.replace("grace_to_answer_ms=8.0", "grace_to_answer_ms=" + graceMs));
             Broker unanswering = new Broker(
                     settings,
--- a/src/test/java/petrelstand/core/LimitBoundTest.java
+++ b/src/test/java/petrelstand/core/LimitBoundTest.java
@@ -159,7 +159,7 @@
             this.gatewayProcesses = simulation.gateways.get(gateway);
             this.nowUs = simulation.nowUs;
             this.startedUs = nowUs;
-            Settings settings = SettingsReader.ofText(SETTINGS);
+            Settings settings = SettingsReader.parse(SETTINGS);
             this.broker = new Broker(
                     settings, simulation.random.nextLong(), () -> nowUs, timers, this, new Counters(), line -> {});
             share.recordMark(nowUs, others());
--- a/src/test/java/petrelstand/decision/RetuneTest.java
+++ b/src/test/java/petrelstand/decision/RetuneTest.java
@@ -14,10 +14,10 @@
 
 /** Other settings while the module has requests open. */
 class RetuneTest {
-    private static final Settings FORMER = SettingsReader.ofText(Harness.SETTINGS);
+    private static final Settings FORMER = SettingsReader.parse(Harness.SETTINGS);
 
     private static Settings with(String before, String after) {
-        return SettingsReader.ofText(Harness.SETTINGS.replace(before, after));
+        return SettingsReader.parse(Harness.SETTINGS.replace(before, after));
     }
 
     private static long open(Host host) {
@@ -90,7 +90,7 @@
     private static int sentToCold(double part) {
         String cold = Harness.SETTINGS + "extra.cold_bears=12\nrules.cold_from=0.3\nrules.warm_up_ms=15000\n"
                 + "rules.fall_ms=1500\nrules.overload_factor=2\n";
-        Host host = new Host(10_000, SettingsReader.ofText(cold));
+        Host host = new Host(10_000, SettingsReader.parse(cold));
         host.policy.setBudgetShare(host.now, part);
         host.runTo(host.now + 2_000);
         host.list(node(1, 0, Scheduling.NodeState.READY, host.now));
--- a/src/test/java/petrelstand/decision/StreamTest.java
+++ b/src/test/java/petrelstand/decision/StreamTest.java
@@ -13,7 +13,7 @@
 class StreamTest {
     @Test
     void aSlowBodyNeitherMakesItsNodeSilentNorFillsItsWindow() {
-        Host host = new Host(10_000, SettingsReader.ofText(Harness.SETTINGS));
+        Host host = new Host(10_000, SettingsReader.parse(Harness.SETTINGS));
         host.list(node(1, 0));
         long slow = host.request(new Ask());
         Host.Sent body = host.last();
--- a/src/test/java/petrelstand/operation/OperatorDoorTest.java
+++ b/src/test/java/petrelstand/operation/OperatorServerTest.java
@@ -9,22 +9,22 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import petrelstand.net.MemoryEndPoint;
-import petrelstand.operation.OperatorDoor.Answer;
-import petrelstand.operation.OperatorDoor.Call;
+import petrelstand.operation.OperatorServer.Answer;
+import petrelstand.operation.OperatorServer.Route;
 import petrelstand.testing.Harness;
 
 /** The operators' address on connections in memory. */
-class OperatorDoorTest {
+class OperatorServerTest {
     private final Harness world = new Harness();
     private final List<String> done = new ArrayList<>();
-    private final OperatorDoor door = new OperatorDoor(
+    private final OperatorServer door = new OperatorServer(
             world.timers,
             () -> world.nowUs,
             world.counters,
             Map.of(
-                    "/api/ready", new Call("GET", () -> new Answer(200, "ready")),
+                    "/api/ready", new Route("GET", () -> new Answer(200, "ready")),
                     "/api/evacuate",
-                            new Call("POST", () -> {
+                            new Route("POST", () -> {
                                 done.add("evacuate");
                                 return new Answer(200, "drained");
                             })));
@@ -56,7 +56,7 @@
         assertTrue(call("POST /api/evacuate HTTP/1.1\r\nHost: o\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n")
                 .contains(" 200 "));
         assertEquals(List.of("evacuate", "evacuate"), done);
-        world.run(OperatorDoor.LINGER_US);
+        world.run(OperatorServer.LINGER_TIMEOUT_US);
         assertEquals(0, door.connections());
     }
 
@@ -86,18 +86,18 @@
     @Test
     void callersWithoutAWholeCallNeitherHoldUpOthersNorStay() {
         List<MemoryEndPoint> silent = new ArrayList<>();
-        for (int i = 0; i < 3 * OperatorDoor.MOST_CONNECTIONS; i++) {
+        for (int i = 0; i < 3 * OperatorServer.MAX_CONNECTIONS; i++) {
             MemoryEndPoint end = MemoryEndPoint.open(door::accept);
             end.send("GET /api/re");
             silent.add(end);
-            assertTrue(door.connections() <= OperatorDoor.MOST_CONNECTIONS);
+            assertTrue(door.connections() <= OperatorServer.MAX_CONNECTIONS);
         }
         assertTrue(call("GET /api/ready HTTP/1.1\r\nHost: o\r\n\r\n").startsWith("HTTP/1.1 200"));
         assertFalse(silent.get(0).isOpen());
         MemoryEndPoint last = silent.get(silent.size() - 1);
         world.run(4_000_000);
         assertTrue(last.isOpen());
-        world.run(OperatorDoor.CALL_US + OperatorDoor.LINGER_US);
+        world.run(OperatorServer.CALL_TIMEOUT_US + OperatorServer.LINGER_TIMEOUT_US);
         assertTrue(last.takeReceived().startsWith("HTTP/1.1 408"));
         assertEquals(0, door.connections());
     }
--- a/src/test/java/petrelstand/retuning/SettingsTransitionTest.java
+++ b/src/test/java/petrelstand/retuning/SettingsTransitionTest.java
@@ -20,7 +20,7 @@
 
 /** Tests which settings hold in each step after a reload. */
 class SettingsTransitionTest {
-    private static final Settings PREVIOUS = SettingsReader.ofText(Harness.SETTINGS);
+    private static final Settings PREVIOUS = SettingsReader.parse(Harness.SETTINGS);
 
     private static Settings read(String... changes) {
         String text = Harness.SETTINGS;
@@ -28,7 +28,7 @@
             assertTrue(text.contains(changes[i]), changes[i]);
             text = text.replace(changes[i], changes[i + 1]);
         }
-        return SettingsReader.ofText(text);
+        return SettingsReader.parse(text);
     }
 
     private static RequestClass classNamed(Settings settings, String name) {
--- a/src/test/java/petrelstand/sim/SimulatorWireCompatibilityTest.java
+++ b/src/test/java/petrelstand/sim/SimulatorWireCompatibilityTest.java
@@ -22,7 +22,8 @@
 /**
  * Guards against events of the simulator whose fields are taken for others, and against actions that it can't read. The
  * batch of events was laid out by hand, since the gateway only reads them: its head, then one line a record. The frame
- * of actions holds what {@link Codec} wrote for {@link #actions()}. {@link LinkTest} has the other actions.
+ * of actions holds what {@link SimulatorCodec} wrote for {@link #actions()}. {@link SimulatorWireTest} has the other
+ * actions.
  */
 class SimulatorWireCompatibilityTest {
     private static final String EVENTS_FILE = "wire/simulator-events.hex";
@@ -32,7 +33,7 @@
     private static final long NODE = 0xabcd;
 
     /** Keeps each event as its code on the wire and its fields. */
-    private static final class RecordedEvents implements Codec.Sink {
+    private static final class RecordedEvents implements SimulatorCodec.EventHandler {
         private final List<List<Object>> events = new ArrayList<>();
 
         @Override
@@ -41,7 +42,7 @@
         }
 
         @Override
-        public void probed(long instance, long node, double elapsedMs, Outcome outcome, List<Double> load) {
+        public void probeEnded(long instance, long node, double elapsedMs, Outcome outcome, List<Double> load) {
             events.add(List.of(17, instance, node, elapsedMs, outcome, load));
         }
 
@@ -51,17 +52,17 @@
         }
 
         @Override
-        public void timer(long instance, long token) {
+        public void timerFired(long instance, long token) {
             events.add(List.of(19, instance, token));
         }
 
         @Override
-        public void started(long instance, long seed, String settings) {
+        public void instanceStarted(long instance, long seed, String settings) {
             events.add(List.of(20, instance, seed, settings));
         }
 
         @Override
-        public void request(long instance, Request request) {
+        public void requestReceived(long instance, Request request) {
             events.add(List.of(21, instance, request));
         }
 
@@ -71,17 +72,17 @@
         }
 
         @Override
-        public void peerMessage(long instance, int sender, byte[] message) {
+        public void peerMessageReceived(long instance, int sender, byte[] message) {
             events.add(List.of(23, instance, sender, HexFormat.of().formatHex(message)));
         }
 
         @Override
-        public void stopped(long instance) {
+        public void instanceStopped(long instance) {
             events.add(List.of(24, instance));
         }
 
         @Override
-        public void nodes(long instance, NodeListKind kind, List<NodeEntry> entries) {
+        public void nodesListed(long instance, NodeListKind kind, List<NodeEntry> entries) {
             events.add(List.of(25, instance, kind, entries));
         }
     }
@@ -140,11 +141,11 @@
     }
 
     static byte[] actions() throws IOException {
-        Codec codec = new Codec();
+        SimulatorCodec codec = new SimulatorCodec();
         codec.send(INSTANCE, REQUEST, NODE, 12.5);
-        codec.timer(INSTANCE, 40.25, 0x0102030405060708L);
-        codec.tell(INSTANCE, 3, new byte[] {1, -2});
-        codec.tell(INSTANCE, -1, new byte[] {3});
+        codec.setTimer(INSTANCE, 40.25, 0x0102030405060708L);
+        codec.sendPeerMessage(INSTANCE, 3, new byte[] {1, -2});
+        codec.sendPeerMessage(INSTANCE, -1, new byte[] {3});
         ByteArrayOutputStream frame = new ByteArrayOutputStream();
         codec.flush(frame);
         return frame.toByteArray();
@@ -157,8 +158,8 @@
             frame.write(part);
         }
         ByteArrayInputStream input = new ByteArrayInputStream(frame.toByteArray());
-        Codec codec = new Codec();
-        Codec.Batch batch = codec.read(input);
+        SimulatorCodec codec = new SimulatorCodec();
+        SimulatorCodec.Batch batch = codec.read(input);
         assertEquals(1234.5, batch.clockMs());
         assertEquals(21, batch.records());
         RecordedEvents recorded = new RecordedEvents();
--- a/src/test/java/petrelstand/sim/LinkTest.java
+++ b/src/test/java/petrelstand/sim/SimulatorWireTest.java
@@ -18,7 +18,7 @@
 import petrelstand.decision.Scheduling.Settings;
 
 /** The wire's frames and settings, well formed and not. */
-class LinkTest {
+class SimulatorWireTest {
     private static final String SETTINGS = """
             balancers=2
             index=0
@@ -75,12 +75,13 @@
             input.write(frame);
         }
         ByteArrayOutputStream output = new ByteArrayOutputStream();
-        new InstanceLoop().run(new ByteArrayInputStream(input.toByteArray()), output);
+        new SimulatorHost().run(new ByteArrayInputStream(input.toByteArray()), output);
         return output.toByteArray();
     }
 
     private static String fault(byte[]... frames) {
-        return assertThrows(LinkException.class, () -> play(frames)).getMessage();
+        return assertThrows(SimulatorProtocolException.class, () -> play(frames))
+                .getMessage();
     }
 
     @Test
@@ -114,7 +115,7 @@
 
     @Test
     void settingsAreReadAndUnknownKeysIgnored() {
-        Settings settings = SettingsReader.ofText(SETTINGS);
+        Settings settings = SettingsReader.parse(SETTINGS);
         assertEquals(2, settings.hosts());
         assertEquals(Effect.UNSAFE, settings.classes().get(0).effect());
         assertEquals(300, settings.classes().get(0).aimMs());
@@ -167,14 +168,14 @@
 
     @Test
     void actionsHaveTheirShapes() throws IOException {
-        Codec codec = new Codec();
+        SimulatorCodec codec = new SimulatorCodec();
         codec.refuse(3, 0x5d3a91c4L, 80);
         codec.fail(3, 7);
         codec.cancel(3, 7, 1);
         codec.probe(3, 9);
-        codec.tell(3, -1, new byte[] {1, 2});
-        codec.follow(3);
-        codec.fault(3, "no");
+        codec.sendPeerMessage(3, -1, new byte[] {1, 2});
+        codec.subscribeToNodes(3);
+        codec.reportFault(3, "no");
         ByteArrayOutputStream output = new ByteArrayOutputStream();
         codec.flush(output);
         assertArrayEquals(
--- a/src/test/java/petrelstand/state/TrustTest.java
+++ b/src/test/java/petrelstand/state/TrustTest.java
@@ -41,8 +41,8 @@
         NOW,
         NOW + 1
     };
-    private final Settings settings = SettingsReader.ofText(Harness.SETTINGS.replace("balancers=1", "balancers=4"));
-    private final Settings limited = SettingsReader.ofText(
+    private final Settings settings = SettingsReader.parse(Harness.SETTINGS.replace("balancers=1", "balancers=4"));
+    private final Settings limited = SettingsReader.parse(
             Harness.SETTINGS.replace("balancers=1", "balancers=4") + "plans.0.limit=60\nplans.0.burst=40\n");
     private final Trust trust = new Trust("n1", settings);
 
@@ -148,7 +148,7 @@
 
     @Test
     void whatAColdNodeWasSentIsKeptWholeWhateverItsAge() {
-        Settings cold = SettingsReader.ofText(Harness.SETTINGS + "rules.cold_from=0.26\nrules.warm_up_ms=18000\n"
+        Settings cold = SettingsReader.parse(Harness.SETTINGS + "rules.cold_from=0.26\nrules.warm_up_ms=18000\n"
                 + "rules.fall_ms=1500\nrules.overload_factor=2\nextra.cold_bears=20\n");
         LearnedNode sent = new LearnedNode(1, NOW - 3000, 0, 0, 3, 50, 17, 0);
         Trust.Verdict verdict = new Trust("n1", cold)
--- a/src/test/java/petrelstand/testing/Harness.java
+++ b/src/test/java/petrelstand/testing/Harness.java
@@ -79,7 +79,7 @@
 
     /** Under other settings. */
     public Harness(String text) {
-        settings = SettingsReader.ofText(text);
+        settings = SettingsReader.parse(text);
     }
 
     /** A connection out that the test lets come up or fail. */
