--- a/src/main/java/petrelstand/Gateway.java
+++ b/src/main/java/petrelstand/Gateway.java
@@ -527,7 +527,7 @@
         if (keeper == null) {
             endAccounts();
         } else {
-            keeper.last(this::endAccounts);
+            keeper.writeFinalSnapshot(this::endAccounts);
         }
     }
 
--- a/src/main/java/petrelstand/HotRestartPart.java
+++ b/src/main/java/petrelstand/HotRestartPart.java
@@ -18,12 +18,12 @@
 import petrelstand.decision.Scheduling.Settings;
 import petrelstand.lifecycle.ProcessShare;
 import petrelstand.state.Snapshot;
-import petrelstand.state.Trust;
-import petrelstand.store.Marks;
-import petrelstand.store.Marks.Look;
-import petrelstand.store.Marks.Other;
+import petrelstand.state.SnapshotEvaluator;
+import petrelstand.store.FileFormatException;
+import petrelstand.store.ProcessMarks;
+import petrelstand.store.ProcessMarks.OtherProcess;
+import petrelstand.store.ProcessMarks.ScanResult;
 import petrelstand.store.SnapshotFormat;
-import petrelstand.store.StateFault;
 
 /**
  * Two processes of one gateway, of which the newer takes the older's place: each looks for the other by its mark, from
@@ -46,7 +46,7 @@
 
     /** Told on the loop's thread that another process has come, listens, or is gone. */
     interface Told {
-        void other(Other what);
+        void other(OtherProcess what);
     }
 
     private final GatewayConfig config;
@@ -57,9 +57,9 @@
     private final Consumer<String> log;
     private final Thread thread = new Thread(this::run, "hot-restart");
     /** Of the thread alone, but for the start. */
-    private Marks marks;
+    private ProcessMarks marks;
 
-    private Other seen = Other.NONE;
+    private OtherProcess seen = OtherProcess.NONE;
     /** Of the loop's thread, but for the start. */
     private final ProcessShare share = new ProcessShare();
 
@@ -83,7 +83,7 @@
     }
 
     /** Writes and reads a file as between two processes, so that the build's class-data archive has what that takes. */
-    static void rehearse(GatewayConfig config) throws StateFault {
+    static void rehearse(GatewayConfig config) throws FileFormatException {
         long now = System.currentTimeMillis();
         LearnedState learned = new LearnedState(
                 now,
@@ -91,20 +91,21 @@
                 1,
                 List.of(new LearnedNode(1, 0, 1, 1, 3, 10, 0, 0)),
                 List.of(new LearnedVolume(1, 0, 1, 1, 0, 0, 0)));
-        Snapshot taken = new Snapshot(config.name(), Snapshot.print(config.settings()), 1, now, false, learned);
-        new Trust(config.name(), config.settings()).weigh(SnapshotFormat.decode(SnapshotFormat.encode(taken)), now);
+        Snapshot taken = new Snapshot(config.name(), Snapshot.fingerprint(config.settings()), 1, now, false, learned);
+        new SnapshotEvaluator(config.name(), config.settings())
+                .evaluate(SnapshotFormat.decode(SnapshotFormat.encode(taken)), now);
     }
 
     /**
      * Leaves this process's mark and looks for another's, before anything is opened. Without a folder there is no hot
      * restart.
      */
-    Other open() {
+    OtherProcess open() {
         try {
-            marks = new Marks(folder, config.name() + " " + config.listen());
-            Look look = marks.look();
+            marks = new ProcessMarks(folder, config.name() + " " + config.listen());
+            ScanResult look = marks.scan();
             seen = look.other();
-            share.recordMark(clock.getAsLong(), look.others());
+            share.recordMark(clock.getAsLong(), look.otherCount());
         } catch (IOException | RuntimeException e) {
             log.accept("no second process of this gateway can be known: " + e);
             marks = null;
@@ -122,20 +123,21 @@
      */
     LearnedState handed() {
         try {
-            Path file = marks == null ? null : marks.handover();
-            if (file == null || !Files.exists(file) || Files.size(file) > SnapshotFormat.MOST_BYTES) {
+            Path file = marks == null ? null : marks.handoverFile();
+            if (file == null || !Files.exists(file) || Files.size(file) > SnapshotFormat.MAX_FILE_BYTES) {
                 return null;
             }
             Snapshot old = SnapshotFormat.decode(Files.readAllBytes(file));
-            Trust.Verdict verdict = new Trust(config.name(), config.settings()).weigh(old, System.currentTimeMillis());
+            SnapshotEvaluator.Evaluation verdict =
+                    new SnapshotEvaluator(config.name(), config.settings()).evaluate(old, System.currentTimeMillis());
             log.accept(
-                    verdict.refused() != null
-                            ? "what the other process handed on is not used: " + verdict.refused()
+                    verdict.rejectionReason() != null
+                            ? "what the other process handed on is not used: " + verdict.rejectionReason()
                             : "took over " + verdict.learned().nodes().size() + " nodes and "
                                     + verdict.learned().volumes().size() + " volumes, " + (long) verdict.ageMs()
                                     + " ms old");
-            return verdict.refused() == null ? verdict.learned() : null;
-        } catch (IOException | StateFault | RuntimeException e) {
+            return verdict.rejectionReason() == null ? verdict.learned() : null;
+        } catch (IOException | FileFormatException | RuntimeException e) {
             log.accept("what the other process handed on is not used: " + e.getMessage());
             return null;
         }
@@ -151,7 +153,7 @@
 
     /** Learned from now on under other settings. */
     void retune(Settings changed) {
-        settingsPrint = Snapshot.print(changed);
+        settingsPrint = Snapshot.fingerprint(changed);
     }
 
     /** The end: the mark goes with the process at the latest. */
@@ -162,7 +164,7 @@
 
     private void run() {
         try {
-            marks.listening();
+            marks.markListening();
             for (long looks = 1; !ended; looks++) {
                 Thread.sleep(LOOK_MS);
                 look(looks % LOOKS_A_SNAPSHOT == 0);
@@ -173,7 +175,7 @@
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-        } catch (IOException | StateFault | RuntimeException e) {
+        } catch (IOException | FileFormatException | RuntimeException e) {
             // The mark stays: while this process lives, another has to know of it.
             loop.execute(() -> log.accept("a second process is no longer looked for: " + e));
         }
@@ -184,24 +186,24 @@
 
     private void look(boolean hand) throws IOException {
         long beganUs = clock.getAsLong();
-        Look look = marks.look();
+        ScanResult look = marks.scan();
         long endedUs = clock.getAsLong();
         loop.execute(() -> {
-            if (look.marked()) {
-                share.recordScan(beganUs, look.others());
+            if (look.ownMarkPresent()) {
+                share.recordScan(beganUs, look.otherCount());
             } else {
-                share.recordMark(endedUs, look.others());
+                share.recordMark(endedUs, look.otherCount());
             }
         });
-        Other now = look.other();
+        OtherProcess now = look.other();
         if (now != seen) {
             seen = now;
             loop.execute(() -> told.other(now));
         }
-        if (now == Other.STARTING && settingsPrint == 0) {
-            settingsPrint = Snapshot.print(config.settings());
+        if (now == OtherProcess.STARTING && settingsPrint == 0) {
+            settingsPrint = Snapshot.fingerprint(config.settings());
         }
-        if (now == Other.STARTING && hand) {
+        if (now == OtherProcess.STARTING && hand) {
             // The snapshot is the loop's to take; the file is this thread's to write.
             loop.execute(() -> handing.set(new Snapshot(
                     config.name(), settingsPrint, 1, System.currentTimeMillis(), false, broker.learnedState())));
@@ -213,7 +215,7 @@
     }
 
     private void write(byte[] file) throws IOException {
-        Path whole = marks.handover();
+        Path whole = marks.handoverFile();
         Path part = whole.resolveSibling(whole.getFileName() + ".tmp");
         Files.write(part, file);
         try {
--- a/src/main/java/petrelstand/OperationPart.java
+++ b/src/main/java/petrelstand/OperationPart.java
@@ -22,7 +22,7 @@
 import petrelstand.operation.OperatorDoor.Answer;
 import petrelstand.operation.OperatorDoor.Call;
 import petrelstand.operation.Telemetry;
-import petrelstand.store.Marks.Other;
+import petrelstand.store.ProcessMarks.OtherProcess;
 
 /**
  * What a gateway has for its operators, where its file gives an address for them: the calls and what each does, and the
@@ -40,7 +40,7 @@
     private final Timers timers;
     private final LongSupplier clock;
     private final Consumer<String> log;
-    private Other other = Other.NONE;
+    private OtherProcess other = OtherProcess.NONE;
 
     /**
      * Before a gateway's parts, of which its rsync transfers take descriptors too; evacuate and rejoin say whether they
@@ -116,7 +116,7 @@
 
     /** Takes over what that process has learned, before the first list. */
     void recall() {
-        if (other != Other.NONE) {
+        if (other != OtherProcess.NONE) {
             log.accept("hot restart: this process takes the place of another");
             bound();
             LearnedState learned = hotRestart.handed();
@@ -128,7 +128,7 @@
 
     /** True where this process takes another's place. */
     boolean takesOver() {
-        return other != Other.NONE;
+        return other != OtherProcess.NONE;
     }
 
     /** Listens at the operators' address, to the end of the process, and looks for one that takes this one's place. */
@@ -138,7 +138,7 @@
     }
 
     /** Told by the hot restart's thread, on the loop. */
-    private void other(Other now) {
+    private void other(OtherProcess now) {
         log.accept("hot restart: "
                 + switch (now) {
                     case NONE -> "the other process is gone; this one has all that is the gateway's";
@@ -154,7 +154,7 @@
      * connections that the older closed would only come back to it.
      */
     private void bound() {
-        boolean both = other == Other.LISTENING;
+        boolean both = other == OtherProcess.LISTENING;
         life.setSuccessorListening(both);
         Descriptors parts = both ? Descriptors.half(sockets, transfers) : Descriptors.of(sockets, transfers);
         front.setMaxConnections(parts.clients());
--- a/src/main/java/petrelstand/RulesPart.java
+++ b/src/main/java/petrelstand/RulesPart.java
@@ -43,8 +43,8 @@
 import petrelstand.fleet.FleetService;
 import petrelstand.http.HttpFront;
 import petrelstand.store.DiskFolder;
-import petrelstand.store.KeptText;
-import petrelstand.store.StateFault;
+import petrelstand.store.FileFormatException;
+import petrelstand.store.VersionedTextFile;
 
 /**
  * The agreed rules' part of a gateway, put together: the holder on the loop, where decisions are made, and a voter,
@@ -91,7 +91,7 @@
     private RaftFiles files;
     private RulesFileProposer proposer;
     private String proposed;
-    private KeptText kept;
+    private VersionedTextFile kept;
     private LeaseHolder holder;
     private volatile Voter voter;
     private volatile RulesStatus.VoterStatus shown;
@@ -171,8 +171,8 @@
                     ? 0
                     : new QuorumRecovery(files).registry().newest();
             votedEpoch = newest == 0 ? -1 : RuleRegistry.epoch(newest);
-            kept = new KeptText(folder, log);
-        } catch (StateFault e) {
+            kept = new VersionedTextFile(folder, log);
+        } catch (FileFormatException e) {
             log.accept("this gateway does not vote: " + config.folder() + ": " + e.getMessage());
             files = null;
         } catch (IOException e) {
@@ -534,7 +534,7 @@
     @Override
     public void storeVersion(long version, String text) {
         if (kept != null) {
-            execute(() -> kept.keep(version, text));
+            execute(() -> kept.save(version, text));
         }
     }
 
--- a/src/main/java/petrelstand/cli/AccountsCommand.java
+++ b/src/main/java/petrelstand/cli/AccountsCommand.java
@@ -17,7 +17,7 @@
 import petrelstand.report.Report;
 import petrelstand.report.TextReport;
 import petrelstand.store.AccountsRecord;
-import petrelstand.store.StateFault;
+import petrelstand.store.FileFormatException;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
@@ -82,9 +82,9 @@
         public Integer call() throws IOException {
             PrintWriter out = spec.commandLine().getOut();
             PrintWriter err = spec.commandLine().getErr();
-            AccountsRecord.Names names = null;
+            AccountsRecord.NameTable names = null;
             List<Book.Second> seconds = new ArrayList<>();
-            List<AccountsRecord.Minute> minutes = new ArrayList<>();
+            List<AccountsRecord.MinuteRecord> minutes = new ArrayList<>();
             for (Path file : files()) {
                 try {
                     if (Files.size(file) > MOST_FILE) {
@@ -97,7 +97,7 @@
                     if (content.fault() != null) {
                         err.println(file + ": " + content.fault() + "; what stands before it counts");
                     }
-                } catch (IOException | StateFault e) {
+                } catch (IOException | FileFormatException e) {
                     err.println(file + ": " + e.getMessage());
                 }
             }
@@ -121,7 +121,7 @@
                             hex("--node", node == null ? null : node.replaceFirst("^s-", "")),
                             hex("--volume", volume),
                             place));
-            List<AccountsRecord.Minute> within = minutes.stream()
+            List<AccountsRecord.MinuteRecord> within = minutes.stream()
                     .filter(minute -> minute.fromSecond() + 59 >= first && minute.fromSecond() <= last)
                     .toList();
             if (html != null) {
--- a/src/main/java/petrelstand/cli/RulesCommand.java
+++ b/src/main/java/petrelstand/cli/RulesCommand.java
@@ -30,7 +30,7 @@
 import petrelstand.consensus.RaftFiles;
 import petrelstand.fleet.RulesClient;
 import petrelstand.store.DiskFolder;
-import petrelstand.store.StateFault;
+import petrelstand.store.FileFormatException;
 import picocli.CommandLine;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
@@ -674,7 +674,7 @@
                 out.println("version " + version + " is the first of a new epoch; start " + recovery.voterName()
                         + ", then add the other voters with empty folders");
                 return 0;
-            } catch (IOException | StateFault e) {
+            } catch (IOException | FileFormatException e) {
                 err.println(folder + ": " + e.getMessage());
                 return REFUSED;
             } finally {
--- a/src/main/java/petrelstand/cli/StateCommand.java
+++ b/src/main/java/petrelstand/cli/StateCommand.java
@@ -15,10 +15,10 @@
 import java.util.stream.Stream;
 import petrelstand.decision.Scheduling.LearnedNode;
 import petrelstand.decision.Scheduling.LearnedVolume;
-import petrelstand.state.Generations;
 import petrelstand.state.Snapshot;
+import petrelstand.state.SnapshotFiles;
+import petrelstand.store.FileFormatException;
 import petrelstand.store.SnapshotFormat;
-import petrelstand.store.StateFault;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
@@ -41,13 +41,13 @@
         throw new CommandLine.ParameterException(spec.commandLine(), "Missing required subcommand");
     }
 
-    private static Snapshot read(Path file) throws IOException, StateFault {
+    private static Snapshot read(Path file) throws IOException, FileFormatException {
         if (!Files.isRegularFile(file, LinkOption.NOFOLLOW_LINKS)) {
             throw new IOException(
                     Files.exists(file, LinkOption.NOFOLLOW_LINKS) ? "it is not a plain file" : "there is no such file");
         }
-        if (Files.size(file) > SnapshotFormat.MOST_BYTES) {
-            throw new IOException("it is longer than " + SnapshotFormat.MOST_BYTES + " bytes");
+        if (Files.size(file) > SnapshotFormat.MAX_FILE_BYTES) {
+            throw new IOException("it is longer than " + SnapshotFormat.MAX_FILE_BYTES + " bytes");
         }
         return SnapshotFormat.decode(Files.readAllBytes(file));
     }
@@ -57,8 +57,8 @@
         try (Stream<Path> files = Files.list(folder)) {
             List<String> names =
                     files.map(file -> file.getFileName().toString()).toList();
-            return Generations.newestFirst(names).stream()
-                    .map(g -> folder.resolve(Generations.name(g)))
+            return SnapshotFiles.newestFirst(names).stream()
+                    .map(g -> folder.resolve(SnapshotFiles.fileName(g)))
                     .toList();
         }
     }
@@ -102,7 +102,7 @@
                                     : text(file, snapshot));
                     out.flush();
                     return 0;
-                } catch (IOException | StateFault e) {
+                } catch (IOException | FileFormatException e) {
                     err.println(why(file, e));
                 }
             }
@@ -114,8 +114,8 @@
             List<String> lines = new ArrayList<>();
             lines.add(file + ": generation " + snapshot.generation() + " of gateway " + snapshot.gateway() + ", taken "
                     + java.time.Instant.ofEpochMilli(snapshot.wallMs())
-                    + (snapshot.clean() ? " at an orderly end" : "") + ", settings "
-                    + String.format("%016x", snapshot.settingsPrint()));
+                    + (snapshot.cleanShutdown() ? " at an orderly end" : "") + ", settings "
+                    + String.format("%016x", snapshot.settingsFingerprint()));
             lines.add(String.format(
                     Locale.ROOT,
                     "%-10s %16s %8s %8s %8s %10s %8s %10s",
@@ -168,10 +168,10 @@
         private static JsonObject json(Snapshot snapshot) {
             JsonObject json = new JsonObject();
             json.addProperty("gateway", snapshot.gateway());
-            json.addProperty("settings", String.format("%016x", snapshot.settingsPrint()));
+            json.addProperty("settings", String.format("%016x", snapshot.settingsFingerprint()));
             json.addProperty("generation", snapshot.generation());
             json.addProperty("wall_ms", snapshot.wallMs());
-            json.addProperty("clean", snapshot.clean());
+            json.addProperty("clean", snapshot.cleanShutdown());
             json.addProperty("slots", snapshot.learned().measuredSlots());
             json.addProperty("served", snapshot.learned().servedUnits());
             JsonArray nodes = new JsonArray();
@@ -227,13 +227,14 @@
                 for (Path file : snapshots(folder)) {
                     try {
                         Snapshot snapshot = read(file);
-                        long named =
-                                Generations.of(file.getFileName().toString()).orElseThrow();
+                        long named = SnapshotFiles.parseGeneration(
+                                        file.getFileName().toString())
+                                .orElseThrow();
                         if (snapshot.generation() != named) {
                             throw new IOException("offset 16: it says it is generation " + snapshot.generation());
                         }
                         whole++;
-                    } catch (IOException | StateFault e) {
+                    } catch (IOException | FileFormatException e) {
                         bad++;
                         err.println(why(file, e));
                     }
--- a/src/main/java/petrelstand/consensus/RaftFiles.java
+++ b/src/main/java/petrelstand/consensus/RaftFiles.java
@@ -19,9 +19,9 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import petrelstand.cbor.CborReader;
+import petrelstand.store.FileFormatException;
 import petrelstand.store.Folder;
 import petrelstand.store.SnapshotFormat;
-import petrelstand.store.StateFault;
 
 /**
  * A voter's files. Each write is one small file with the next number, synced before the voter says anything that rests
@@ -62,10 +62,10 @@
     private final TreeMap<Long, TreeMap<Integer, SnapshotChunk>> chunks = new TreeMap<>();
 
     /** Takes a folder for this process alone and reads it; a fault is one line that names the file. */
-    public RaftFiles(Folder folder, Consumer<String> log) throws IOException, StateFault {
+    public RaftFiles(Folder folder, Consumer<String> log) throws IOException, FileFormatException {
         this.folder = folder;
         this.log = log;
-        if (!folder.lock()) {
+        if (!folder.tryLock()) {
             throw new IOException("another process has the folder");
         }
         read();
@@ -75,7 +75,7 @@
         return String.format("vote-%012d", number);
     }
 
-    private void read() throws IOException, StateFault {
+    private void read() throws IOException, FileFormatException {
         List<Long> numbers = new ArrayList<>();
         for (String name : folder.list(MOST_NAMES)) {
             if (name.matches("vote-[0-9]{12}")) {
@@ -99,7 +99,7 @@
         for (int i = first; i < numbers.size(); i++) {
             long number = numbers.get(i);
             if (number != (i > first ? generation + 1 : stands(contents.get(i)) ? number : 1)) {
-                throw new StateFault(
+                throw new FileFormatException(
                         0,
                         "a file before " + name(number) + " is missing; this voter does not vote with a"
                                 + " damaged folder");
@@ -108,7 +108,7 @@
                 take(contents.get(i));
             } catch (IOException e) {
                 if (i < numbers.size() - 1) {
-                    throw new StateFault(
+                    throw new FileFormatException(
                             0,
                             name(number) + ": " + e.getMessage() + "; this voter does not vote with a damaged folder");
                 }
@@ -355,7 +355,7 @@
                                     .build());
         }
         putTogether();
-        folder.syncNames();
+        folder.syncDirectory();
     }
 
     private void write(List<Wire.Body> records) throws IOException {
@@ -372,7 +372,7 @@
         String name = name(generation + 1);
         folder.create(name, file.array());
         folder.sync(name);
-        folder.syncNames();
+        folder.syncDirectory();
         generation++;
         pending.clear();
     }
--- a/src/main/java/petrelstand/fleet/FleetService.java
+++ b/src/main/java/petrelstand/fleet/FleetService.java
@@ -24,7 +24,7 @@
 import petrelstand.members.Message.Envelope;
 import petrelstand.members.ViewChange;
 import petrelstand.store.DiskFolder;
-import petrelstand.store.Incarnations;
+import petrelstand.store.IncarnationFile;
 
 /**
  * A gateway as a member of its fleet: the module of {@code members} on the gateway's loop, clock and timers, with the
@@ -109,7 +109,7 @@
         if (config.folder() != null) {
             FutureTask<Long> kept = new FutureTask<>(() -> {
                 folder = new DiskFolder(config.folder());
-                return Incarnations.begin(folder, incarnation, log);
+                return IncarnationFile.reserve(folder, incarnation, log);
             });
             Thread thread = new Thread(kept, "fleet-folder");
             thread.setDaemon(true);
--- a/src/main/java/petrelstand/lab/AccountsCost.java
+++ b/src/main/java/petrelstand/lab/AccountsCost.java
@@ -44,7 +44,7 @@
                 ? null
                 : AccountsLog.onDisk(
                         record,
-                        new AccountsRecord.Names(
+                        new AccountsRecord.NameTable(
                                 "lab",
                                 List.of("tile-read", "survey-write", "bulk-export"),
                                 List.of("basic", "priority")),
--- a/src/main/java/petrelstand/lab/Day.java
+++ b/src/main/java/petrelstand/lab/Day.java
@@ -19,7 +19,7 @@
 import petrelstand.decision.Scheduling.RequestClass;
 import petrelstand.decision.Scheduling.Settings;
 import petrelstand.state.Snapshot;
-import petrelstand.state.Trust;
+import petrelstand.state.SnapshotEvaluator;
 
 /**
  * One day in virtual time: the real core and decision module of several gateways before nodes that the laboratory
@@ -282,7 +282,8 @@
 
         void begin(Snapshot kept) {
             if (kept != null) {
-                Trust.Verdict verdict = new Trust("g" + index, settings).weigh(kept, nowUs / 1000.0);
+                SnapshotEvaluator.Evaluation verdict =
+                        new SnapshotEvaluator("g" + index, settings).evaluate(kept, nowUs / 1000.0);
                 outcome.remembered += verdict.learned().nodes().size();
                 broker.restoreLearnedState(verdict.learned());
             }
@@ -297,7 +298,7 @@
         Snapshot snapshot() {
             return new Snapshot(
                     "g" + index,
-                    Snapshot.print(settings),
+                    Snapshot.fingerprint(settings),
                     1,
                     nowUs / 1000,
                     scenario.restart().clean(),
--- a/src/main/java/petrelstand/lab/KillWrites.java
+++ b/src/main/java/petrelstand/lab/KillWrites.java
@@ -15,11 +15,11 @@
 import petrelstand.decision.Scheduling.LearnedNode;
 import petrelstand.decision.Scheduling.LearnedState;
 import petrelstand.decision.Scheduling.LearnedVolume;
-import petrelstand.state.Generations;
 import petrelstand.state.Snapshot;
-import petrelstand.state.Trust;
+import petrelstand.state.SnapshotEvaluator;
+import petrelstand.state.SnapshotFiles;
 import petrelstand.store.DiskFolder;
-import petrelstand.store.StateStore;
+import petrelstand.store.SnapshotStore;
 
 /**
  * A writer, killed outright while it writes, again and again: a process of its own writes snapshots of a stand-in
@@ -40,7 +40,7 @@
 
     /** The writer's process: writes until it is killed, a line for each generation that is on the disk. */
     public static void write(Path folder) throws IOException {
-        try (StateStore store = new StateStore(new DiskFolder(folder))) {
+        try (SnapshotStore store = new SnapshotStore(new DiskFolder(folder))) {
             if (store.open() == null) {
                 throw new IOException(folder + " is taken");
             }
@@ -137,13 +137,13 @@
         boolean interrupted;
         try (var names = Files.list(folder)) {
             interrupted = names.anyMatch(
-                    file -> Generations.isTemporary(file.getFileName().toString()));
+                    file -> SnapshotFiles.isTemporary(file.getFileName().toString()));
         }
         List<String> faults = new ArrayList<>();
         boolean overTrusted = false;
-        try (StateStore store = new StateStore(new DiskFolder(folder))) {
-            StateStore.Found found = store.open();
-            found.refused().forEach(line -> faults.add(folder.getFileName() + ": " + line));
+        try (SnapshotStore store = new SnapshotStore(new DiskFolder(folder))) {
+            SnapshotStore.OpenResult found = store.open();
+            found.rejected().forEach(line -> faults.add(folder.getFileName() + ": " + line));
             Snapshot newest = found.newest();
             long generation = newest == null ? 0 : newest.generation();
             if (generation != acknowledged && generation != acknowledged + 1) {
@@ -165,13 +165,14 @@
             var settings = TryOut.config(none, "127.0.0.1:0").settings();
             Snapshot known = new Snapshot(
                     "tryout",
-                    Snapshot.print(settings),
+                    Snapshot.fingerprint(settings),
                     newest.generation(),
                     newest.wallMs(),
-                    newest.clean(),
+                    newest.cleanShutdown(),
                     newest.learned());
-            Trust.Verdict verdict = new Trust("tryout", settings).weigh(known, newest.wallMs() + 1000.0);
-            return verdict.refused() != null
+            SnapshotEvaluator.Evaluation verdict =
+                    new SnapshotEvaluator("tryout", settings).evaluate(known, newest.wallMs() + 1000.0);
+            return verdict.rejectionReason() != null
                     || verdict.learned().nodes().stream().anyMatch(node -> node.measuredSlots() > MOST_SLOTS)
                     || verdict.learned().volumes().stream().anyMatch(volume -> volume.limitLevel() > 0);
         }
--- a/src/main/java/petrelstand/lab/rules/MemoryFolder.java
+++ b/src/main/java/petrelstand/lab/rules/MemoryFolder.java
@@ -27,7 +27,7 @@
         }
 
         @Override
-        public boolean lock() {
+        public boolean tryLock() {
             return owner == this;
         }
 
@@ -64,7 +64,7 @@
         }
 
         @Override
-        public void syncNames() throws IOException {
+        public void syncDirectory() throws IOException {
             mine();
         }
 
--- a/src/main/java/petrelstand/lab/rules/RulesSim.java
+++ b/src/main/java/petrelstand/lab/rules/RulesSim.java
@@ -27,7 +27,7 @@
 import petrelstand.lab.VirtualTime;
 import petrelstand.lab.faults.FleetPlan;
 import petrelstand.lab.faults.Links;
-import petrelstand.store.StateFault;
+import petrelstand.store.FileFormatException;
 
 /**
  * Gateways with agreed rules in virtual time: the same holders, grantors and voters as in the program, MicroRaft among
@@ -123,7 +123,7 @@
                     if (voters.contains(name) || files.restoredState() != null) {
                         vote();
                     }
-                } catch (IOException | StateFault e) {
+                } catch (IOException | FileFormatException e) {
                     breaks(name + " could not read its own folder: " + e.getMessage());
                 }
             }
@@ -507,7 +507,7 @@
     }
 
     /** A process that is down has its folder made the beginning of a new epoch, and starts again. */
-    public void recover(int number, int drawn) throws IOException, StateFault {
+    public void recover(int number, int drawn) throws IOException, FileFormatException {
         Process process = byNumber.get(number);
         base = new QuorumRecovery(new RaftFiles(process.folder.opened(), line -> {}))
                 .write("operator", "day", time.nowUs() / 1000, drawn);
--- a/src/main/java/petrelstand/report/AccountsPage.java
+++ b/src/main/java/petrelstand/report/AccountsPage.java
@@ -44,7 +44,7 @@
     public void record(Path folder, String gateway, Counters counters, Consumer<Runnable> loop, Consumer<String> log) {
         records = AccountsLog.onDisk(
                 folder,
-                new AccountsRecord.Names(
+                new AccountsRecord.NameTable(
                         gateway,
                         settings.get().classes().stream().map(c -> c.name()).toList(),
                         settings.get().plans().stream().map(p -> p.name()).toList()),
--- a/src/main/java/petrelstand/report/HtmlReport.java
+++ b/src/main/java/petrelstand/report/HtmlReport.java
@@ -7,8 +7,8 @@
 import petrelstand.accounts.Book;
 import petrelstand.accounts.Cause;
 import petrelstand.store.AccountsRecord.GroupPhases;
-import petrelstand.store.AccountsRecord.Minute;
-import petrelstand.store.AccountsRecord.Names;
+import petrelstand.store.AccountsRecord.MinuteRecord;
+import petrelstand.store.AccountsRecord.NameTable;
 
 /**
  * The report as one HTML file that needs no network and no script: plots are SVG in the page, coloured by its style
@@ -40,7 +40,7 @@
     private HtmlReport() {}
 
     /** The page. */
-    public static String page(Report report, Names names, List<Minute> minutes) {
+    public static String page(Report report, NameTable names, List<MinuteRecord> minutes) {
         Words words = new Words(names);
         StringBuilder html = new StringBuilder("<!doctype html><html lang=\"en\"><meta charset=\"utf-8\">"
                 + "<meta name=\"viewport\" content=\"width=device-width,initial-scale=1\"><title>Who waited for whom, "
@@ -228,9 +228,9 @@
     }
 
     /** Percentiles by phase of the groups that waited longest, of all minutes: the longest minute of each. */
-    private static void phases(StringBuilder html, List<Minute> minutes, Words words) {
+    private static void phases(StringBuilder html, List<MinuteRecord> minutes, Words words) {
         Map<Book.Group, GroupPhases> worst = new java.util.LinkedHashMap<>();
-        for (Minute minute : minutes) {
+        for (MinuteRecord minute : minutes) {
             for (GroupPhases group : minute.groups()) {
                 worst.merge(group.group(), group, (a, b) -> total(a).p99() >= total(b).p99() ? a : b);
             }
--- a/src/main/java/petrelstand/report/TextReport.java
+++ b/src/main/java/petrelstand/report/TextReport.java
@@ -7,8 +7,8 @@
 import petrelstand.accounts.Book;
 import petrelstand.accounts.Cause;
 import petrelstand.store.AccountsRecord.GroupPhases;
-import petrelstand.store.AccountsRecord.Minute;
-import petrelstand.store.AccountsRecord.Names;
+import petrelstand.store.AccountsRecord.MinuteRecord;
+import petrelstand.store.AccountsRecord.NameTable;
 
 /** The report as text for a terminal, and as JSON for a program. */
 public final class TextReport {
@@ -18,7 +18,7 @@
     private TextReport() {}
 
     /** As text, the heaviest rows first. */
-    public static String text(Report report, Names names, List<Minute> minutes) {
+    public static String text(Report report, NameTable names, List<MinuteRecord> minutes) {
         Words words = new Words(names);
         StringBuilder text = new StringBuilder();
         text.append(String.format(
@@ -58,7 +58,7 @@
             text.append(String.format(
                     "%nphases by minute, ms%n%-21s %-26s %-11s %9s %9s %9s %9s%n",
                     "minute", "group", "phase", "count", "p50", "p90", "p99"));
-            for (Minute minute : minutes) {
+            for (MinuteRecord minute : minutes) {
                 for (GroupPhases group : minute.groups()) {
                     for (Book.Phase phase : Book.Phase.values()) {
                         Book.Percentiles p = group.phases().get(phase.ordinal());
@@ -79,7 +79,7 @@
     }
 
     /** As JSON, all rows. */
-    public static JsonObject json(Report report, Names names, List<Minute> minutes) {
+    public static JsonObject json(Report report, NameTable names, List<MinuteRecord> minutes) {
         Words words = new Words(names);
         JsonObject json = new JsonObject();
         json.addProperty("gateway", names.gateway());
@@ -112,7 +112,7 @@
         }
         json.add("worst_seconds", worst);
         JsonArray phases = new JsonArray();
-        for (Minute minute : minutes) {
+        for (MinuteRecord minute : minutes) {
             for (GroupPhases group : minute.groups()) {
                 for (Book.Phase phase : Book.Phase.values()) {
                     Book.Percentiles p = group.phases().get(phase.ordinal());
--- a/src/main/java/petrelstand/report/Words.java
+++ b/src/main/java/petrelstand/report/Words.java
@@ -4,13 +4,13 @@
 import java.util.Locale;
 import petrelstand.accounts.Book;
 import petrelstand.accounts.Cause;
-import petrelstand.store.AccountsRecord.Names;
+import petrelstand.store.AccountsRecord.NameTable;
 
 /** What figures are called in the report, by the names that the record carries. */
 final class Words {
-    private final Names names;
+    private final NameTable names;
 
-    Words(Names names) {
+    Words(NameTable names) {
         this.names = names;
     }
 
--- a/src/main/java/petrelstand/state/Trust.java
+++ b/src/main/java/petrelstand/state/SnapshotEvaluator.java
@@ -19,11 +19,11 @@
  * half a silence: it is believed for two half-lives and then dropped.
  *
  * <p>Whatever a file says, what comes out is finite and bounded, and rests on so little evidence that fresh observation
- * outweighs it: {@link #MOST_NODE_SLOTS} slots of work at a node weigh as much as all that is recalled of its rate, and
+ * outweighs it: {@link #MAX_NODE_SLOTS} slots of work at a node weigh as much as all that is recalled of its rate, and
  * {@link Policy#RATE_SPAN_MS} after the start nothing of it is left. Figures that guard a rule (a limit's store, the
  * units sent to a cold node) do not fade: they are taken at their worst.
  */
-public final class Trust {
+public final class SnapshotEvaluator {
     /** A node's speed is mostly its machine's; but neighbours come and go within seconds. */
     static final double RATE_HALF_LIFE_MS = 60_000;
     /** Latency holds the load of the moment too, which a surge of some 10 s changes. */
@@ -35,107 +35,110 @@
     /** The gateway that leads for a volume changes every 7 to 17 s. */
     static final double USE_HALF_LIFE_MS = 30_000;
     /** Beyond this age nothing is believed at all. */
-    public static final double OLDEST_MS = 900_000;
+    public static final double MAX_AGE_MS = 900_000;
     /** Slots that the recalled rate of a node rests on at most: as many as the module's own assumption. */
-    static final double MOST_NODE_SLOTS = 10;
+    static final double MAX_NODE_SLOTS = 10;
     /** The same for the mean of all nodes. */
-    static final double MOST_POOL_SLOTS = 20;
+    static final double MAX_POOL_SLOTS = 20;
     /** Units a slot, in largest requests, that a node can be remembered to have served. */
-    static final double MOST_REQUESTS_A_SLOT = Policy.MAX_WINDOW;
+    static final double MAX_REQUESTS_PER_SLOT = Policy.MAX_WINDOW;
 
-    static final double LEAST_LATENCY_MS = 0.1;
+    static final double MIN_LATENCY_MS = 0.1;
 
     /** What is recalled, or why nothing is; {@code dropped} counts lines that were nonsense or twice there. */
-    public record Verdict(LearnedState learned, String refused, double ageMs, int silent, int dropped) {
-        static Verdict refuse(double nowMs, double ageMs, String why) {
-            return new Verdict(LearnedState.empty(nowMs), why, ageMs, 0, 0);
+    public record Evaluation(
+            LearnedState learned, String rejectionReason, double ageMs, int silentNodes, int droppedEntries) {
+        static Evaluation reject(double nowMs, double ageMs, String why) {
+            return new Evaluation(LearnedState.empty(nowMs), why, ageMs, 0, 0);
         }
     }
 
     private final Settings settings;
     private final String gateway;
-    private final double latencyStartMs;
-    private final double longestAimMs;
+    private final double initialLatencyMs;
+    private final double maxAimMs;
     /** No smaller window is taken over: one of 0 would never open again. */
-    private final double leastWindow;
+    private final double minWindow;
 
     /** For a gateway of a name under settings. */
-    public Trust(String gateway, Settings settings) {
+    public SnapshotEvaluator(String gateway, Settings settings) {
         this.gateway = gateway;
         this.settings = settings;
         double tightest = settings.classes().stream()
                 .mapToDouble(RequestClass::aimMs)
                 .min()
                 .orElseThrow();
-        this.leastWindow = Math.min(1, Policy.MIN_COMBINED_WINDOW / settings.hosts());
-        this.longestAimMs = settings.classes().stream()
+        this.minWindow = Math.min(1, Policy.MIN_COMBINED_WINDOW / settings.hosts());
+        this.maxAimMs = settings.classes().stream()
                 .mapToDouble(RequestClass::aimMs)
                 .max()
                 .orElseThrow();
-        this.latencyStartMs = Policy.INITIAL_LATENCY_SLOTS * Policy.SLOT_AIM_FRACTION * tightest;
+        this.initialLatencyMs = Policy.INITIAL_LATENCY_SLOTS * Policy.SLOT_AIM_FRACTION * tightest;
     }
 
     /** Weighs a snapshot at a time, in Unix ms; a snapshot that is refused as a whole gives nothing and says why. */
-    public Verdict weigh(Snapshot old, double nowMs) {
+    public Evaluation evaluate(Snapshot old, double nowMs) {
         double age = nowMs - old.wallMs();
         if (!old.gateway().equals(gateway)) {
-            return Verdict.refuse(nowMs, age, "it is of another gateway, '" + old.gateway() + "'");
+            return Evaluation.reject(nowMs, age, "it is of another gateway, '" + old.gateway() + "'");
         }
-        if (old.settingsPrint() != Snapshot.print(settings)) {
-            return Verdict.refuse(nowMs, age, "the settings have changed");
+        if (old.settingsFingerprint() != Snapshot.fingerprint(settings)) {
+            return Evaluation.reject(nowMs, age, "the settings have changed");
         }
         if (!(age >= 0)) {
-            return Verdict.refuse(nowMs, age, "it is from the future; was the clock set back?");
+            return Evaluation.reject(nowMs, age, "it is from the future; was the clock set back?");
         }
-        if (age > OLDEST_MS) {
-            return Verdict.refuse(nowMs, age, "it is older than " + (long) (OLDEST_MS / 1000) + " s");
+        if (age > MAX_AGE_MS) {
+            return Evaluation.reject(nowMs, age, "it is older than " + (long) (MAX_AGE_MS / 1000) + " s");
         }
         LearnedState from = old.learned();
         List<LearnedNode> nodes = new ArrayList<>();
         Set<Long> seen = new HashSet<>();
         for (LearnedNode node : from.nodes()) {
-            if (nodes.size() < Snapshot.MOST_NODES && sane(node, old.wallMs()) && seen.add(node.node())) {
-                nodes.add(aged(node, age, nowMs));
+            if (nodes.size() < Snapshot.MAX_NODES && isValid(node, old.wallMs()) && seen.add(node.node())) {
+                nodes.add(decay(node, age, nowMs));
             }
         }
         List<LearnedVolume> volumes = new ArrayList<>();
         seen.clear();
         for (LearnedVolume volume : from.volumes()) {
-            if (volumes.size() < Policy.MAX_VOLUMES && sane(volume) && seen.add(volume.volume())) {
-                volumes.add(aged(volume, age, old.clean()));
+            if (volumes.size() < Policy.MAX_VOLUMES && isValid(volume) && seen.add(volume.volume())) {
+                volumes.add(decay(volume, age, old.cleanShutdown()));
             }
         }
-        double weight = weight(age, RATE_HALF_LIFE_MS);
-        double slots = amount(from.measuredSlots()) ? Math.min(from.measuredSlots(), MOST_POOL_SLOTS) * weight : 0;
-        double served =
-                slots > 0 && amount(from.servedUnits()) ? slots * rate(from.servedUnits(), from.measuredSlots()) : 0;
+        double weight = halfLifeWeight(age, RATE_HALF_LIFE_MS);
+        double slots =
+                isFiniteNonNegative(from.measuredSlots()) ? Math.min(from.measuredSlots(), MAX_POOL_SLOTS) * weight : 0;
+        double served = slots > 0 && isFiniteNonNegative(from.servedUnits())
+                ? slots * boundedRate(from.servedUnits(), from.measuredSlots())
+                : 0;
         int silent = (int) nodes.stream().filter(node -> node.silentMs() > 0).count();
         int dropped = from.nodes().size() - nodes.size() + from.volumes().size() - volumes.size();
-        return new Verdict(
+        return new Evaluation(
                 new LearnedState(nowMs, served > 0 ? slots : 0, served, nodes, volumes), null, age, silent, dropped);
     }
 
-    static double weight(double ageMs, double halfLifeMs) {
+    static double halfLifeWeight(double ageMs, double halfLifeMs) {
         return Math.pow(0.5, ageMs / halfLifeMs);
     }
 
-    private static boolean amount(double value) {
+    private static boolean isFiniteNonNegative(double value) {
         return value >= 0 && value < Double.POSITIVE_INFINITY;
     }
 
     /** A node that started after the file was written can't be in it. */
-    private static boolean sane(LearnedNode node, double writtenMs) {
-        return amount(node.upSinceMs())
+    private static boolean isValid(LearnedNode node, double writtenMs) {
+        return isFiniteNonNegative(node.upSinceMs())
                 && node.upSinceMs() <= writtenMs
-                && amount(node.measuredSlots())
-                && amount(node.servedUnits())
-                && amount(node.window())
-                && amount(node.latencyMs())
-                && amount(node.coldSentUnits())
-                && amount(node.silentMs());
+                && isFiniteNonNegative(node.measuredSlots())
+                && isFiniteNonNegative(node.servedUnits())
+                && isFiniteNonNegative(node.window())
+                && isFiniteNonNegative(node.latencyMs())
+                && isFiniteNonNegative(node.coldSentUnits())
+                && isFiniteNonNegative(node.silentMs());
     }
 
-    private boolean sane(LearnedVolume volume) {
+    private boolean isValid(LearnedVolume volume) {
         return volume.plan() >= 0
                 && volume.plan() < settings.plans().size()
                 && volume.hostCount() >= 1
@@ -148,22 +151,22 @@
     }
 
     /** Units a slot; a node cannot have served more than a full window of largest requests. */
-    private double rate(double served, double slots) {
-        return Math.min(served / slots, MOST_REQUESTS_A_SLOT * settings.mostUnits());
+    private double boundedRate(double served, double slots) {
+        return Math.min(served / slots, MAX_REQUESTS_PER_SLOT * settings.mostUnits());
     }
 
-    private LearnedNode aged(LearnedNode node, double age, double nowMs) {
-        double slots = Math.min(node.measuredSlots(), MOST_NODE_SLOTS) * weight(age, RATE_HALF_LIFE_MS);
-        double served = slots > 0 ? slots * rate(node.servedUnits(), node.measuredSlots()) : 0;
-        double window = toward(
+    private LearnedNode decay(LearnedNode node, double age, double nowMs) {
+        double slots = Math.min(node.measuredSlots(), MAX_NODE_SLOTS) * halfLifeWeight(age, RATE_HALF_LIFE_MS);
+        double served = slots > 0 ? slots * boundedRate(node.servedUnits(), node.measuredSlots()) : 0;
+        double window = interpolate(
                 Policy.INITIAL_WINDOW,
-                Math.max(leastWindow, Math.min(node.window(), Policy.MAX_WINDOW)),
-                weight(age, WINDOW_HALF_LIFE_MS));
-        double latency = toward(
-                latencyStartMs,
-                Math.max(LEAST_LATENCY_MS, Math.min(node.latencyMs(), longestAimMs)),
-                weight(age, LATENCY_HALF_LIFE_MS));
-        boolean silent = node.silentMs() > 0 && weight(age, SILENCE_HALF_LIFE_MS) >= 0.25;
+                Math.max(minWindow, Math.min(node.window(), Policy.MAX_WINDOW)),
+                halfLifeWeight(age, WINDOW_HALF_LIFE_MS));
+        double latency = interpolate(
+                initialLatencyMs,
+                Math.max(MIN_LATENCY_MS, Math.min(node.latencyMs(), maxAimMs)),
+                halfLifeWeight(age, LATENCY_HALF_LIFE_MS));
+        boolean silent = node.silentMs() > 0 && halfLifeWeight(age, SILENCE_HALF_LIFE_MS) >= 0.25;
         // What a cold node was sent is counted whole and from now on, so it never looks smaller than it was.
         boolean cold = node.upSinceMs() > 0
                 && nowMs
@@ -178,36 +181,37 @@
                 window,
                 latency,
                 cold ? node.coldSentUnits() : 0,
-                silent ? Math.min(node.silentMs() + age, OLDEST_MS) : 0);
+                silent ? Math.min(node.silentMs() + age, MAX_AGE_MS) : 0);
     }
 
-    private LearnedVolume aged(LearnedVolume volume, double age, boolean clean) {
+    private LearnedVolume decay(LearnedVolume volume, double age, boolean clean) {
         Plan plan = settings.plans().get(volume.plan());
         int hosts = volume.hostCount();
-        double part = toward(
+        double part = interpolate(
                 Math.min(1 / Math.sqrt(hosts), 2.0 / hosts),
                 Math.max(1.0 / hosts, volume.localFraction()),
-                weight(age, USE_HALF_LIFE_MS));
+                halfLifeWeight(age, USE_HALF_LIFE_MS));
         // What was spent between the last snapshot and a crash is not known: all of the limit may be. After a clean
         // end nothing was.
-        double limit =
-                clean ? filled(volume.limitLevel(), plan.limit() / hosts, age) : Math.min(0, volume.limitLevel());
+        double limit = clean
+                ? refilledLevel(volume.limitLevel(), plan.limit() / hosts, age)
+                : Math.min(0, volume.limitLevel());
         return new LearnedVolume(
                 volume.volume(),
                 volume.plan(),
                 hosts,
                 part,
                 limit,
-                filled(volume.reserveLevel(), plan.reserve() * part, age),
-                filled(volume.shareLevel(), plan.rate() * part, age));
+                refilledLevel(volume.reserveLevel(), plan.reserve() * part, age),
+                refilledLevel(volume.shareLevel(), plan.rate() * part, age));
     }
 
     /** A store's level after a time in which nothing was taken; the module cuts it at the store's size. */
-    private double filled(double level, double rate, double ageMs) {
+    private double refilledLevel(double level, double rate, double ageMs) {
         return Math.max(-settings.mostUnits(), Math.min(level, Double.MAX_VALUE / 2)) + rate * ageMs / 1000;
     }
 
-    private static double toward(double start, double learned, double weight) {
+    private static double interpolate(double start, double learned, double weight) {
         return start + (learned - start) * weight;
     }
 }
--- a/src/main/java/petrelstand/store/AccountsRecord.java
+++ b/src/main/java/petrelstand/store/AccountsRecord.java
@@ -22,40 +22,40 @@
  */
 public final class AccountsRecord {
     static final int VERSION = 1;
-    static final int HEAD = 12;
+    static final int HEADER_BYTES = 12;
     /** A frame is no longer than this. */
-    static final int MOST_FRAME = 1 << 18;
+    static final int MAX_FRAME_BYTES = 1 << 18;
 
     private static final byte[] MAGIC = "PETRACCT".getBytes(StandardCharsets.US_ASCII);
     private static final CBORFactory CBOR = new CBORFactory();
 
     /** Whose record it is, and the names of its classes and plans by place. */
-    public record Names(String gateway, List<String> classes, List<String> plans) {}
+    public record NameTable(String gateway, List<String> classes, List<String> plans) {}
 
     /** Percentiles of a group in a minute, by phase in the order of {@link Book.Phase}. */
     public record GroupPhases(Book.Group group, List<Book.Percentiles> phases) {}
 
     /** A minute, from a second on. */
-    public record Minute(long fromSecond, long requests, long served, List<GroupPhases> groups) {}
+    public record MinuteRecord(long fromSecond, long requests, long served, List<GroupPhases> groups) {}
 
     /** What a file holds, and why it ended early (null: it did not). */
-    public record Content(Names names, List<Book.Second> seconds, List<Minute> minutes, String fault) {}
+    public record Content(NameTable names, List<Book.Second> seconds, List<MinuteRecord> minutes, String fault) {}
 
     private AccountsRecord() {}
 
-    private interface Body {
+    private interface FrameWriter {
         void write(CBORGenerator to) throws IOException;
     }
 
-    static byte[] head() {
-        return ByteBuffer.allocate(HEAD)
+    static byte[] header() {
+        return ByteBuffer.allocate(HEADER_BYTES)
                 .put(MAGIC)
                 .putShort((short) VERSION)
                 .putShort((short) 0)
                 .array();
     }
 
-    private static byte[] frame(Body body) {
+    private static byte[] encodeFrame(FrameWriter body) {
         ByteArrayOutputStream payload = new ByteArrayOutputStream(512);
         try (CBORGenerator to = CBOR.createGenerator(payload)) {
             to.writeStartArray();
@@ -70,8 +70,8 @@
         return frame.array();
     }
 
-    static byte[] frame(Names names) {
-        return frame(to -> {
+    static byte[] encodeFrame(NameTable names) {
+        return encodeFrame(to -> {
             to.writeString("names");
             to.writeString(names.gateway());
             for (List<String> list : List.of(names.classes(), names.plans())) {
@@ -84,8 +84,8 @@
         });
     }
 
-    static byte[] frame(Book.Second second) {
-        return frame(to -> {
+    static byte[] encodeFrame(Book.Second second) {
+        return encodeFrame(to -> {
             to.writeString("second");
             to.writeNumber(second.second());
             to.writeNumber(second.requests());
@@ -106,8 +106,8 @@
         });
     }
 
-    static byte[] frame(Minute minute) {
-        return frame(to -> {
+    static byte[] encodeFrame(MinuteRecord minute) {
+        return encodeFrame(to -> {
             to.writeString("minute");
             to.writeNumber(minute.fromSecond());
             to.writeNumber(minute.requests());
@@ -128,7 +128,7 @@
     }
 
     /** A minute's figures, taken on the loop: its histograms go on with the book. */
-    static Minute of(Book.Minute minute) {
+    static MinuteRecord toRecord(Book.Minute minute) {
         List<GroupPhases> groups = new ArrayList<>();
         for (Book.Group group : minute.groups()) {
             groups.add(new GroupPhases(
@@ -137,28 +137,29 @@
                             .map(phase -> minute.percentiles(group, phase))
                             .toList()));
         }
-        return new Minute(minute.fromUs() / 1_000_000, minute.requests(), minute.served(), groups);
+        return new MinuteRecord(minute.fromUs() / 1_000_000, minute.requests(), minute.served(), groups);
     }
 
     /** Reads a file; a head that is not one of ours is a fault, and so is a version that is not known. */
-    public static Content read(byte[] file) throws StateFault {
-        if (file.length < HEAD || !Arrays.equals(file, 0, MAGIC.length, MAGIC, 0, MAGIC.length)) {
-            throw new StateFault(0, "this is not an accounts record of petrelstand");
+    public static Content read(byte[] file) throws FileFormatException {
+        if (file.length < HEADER_BYTES || !Arrays.equals(file, 0, MAGIC.length, MAGIC, 0, MAGIC.length)) {
+            throw new FileFormatException(0, "this is not an accounts record of petrelstand");
         }
         int version = ByteBuffer.wrap(file).getShort(MAGIC.length) & 0xffff;
         if (version != VERSION) {
-            throw new StateFault(MAGIC.length, "version " + version + " is not " + VERSION + ", the one that is read");
+            throw new FileFormatException(
+                    MAGIC.length, "version " + version + " is not " + VERSION + ", the one that is read");
         }
-        Names names = new Names("", List.of(), List.of());
+        NameTable names = new NameTable("", List.of(), List.of());
         List<Book.Second> seconds = new ArrayList<>();
-        List<Minute> minutes = new ArrayList<>();
+        List<MinuteRecord> minutes = new ArrayList<>();
         ByteBuffer in = ByteBuffer.wrap(file);
-        int at = HEAD;
+        int at = HEADER_BYTES;
         String fault = null;
         while (at < file.length && fault == null) {
             int left = file.length - at - 2 * Integer.BYTES;
             int length = left < 0 ? -1 : in.getInt(at);
-            if (length < 1 || length > left || length > MOST_FRAME) {
+            if (length < 1 || length > left || length > MAX_FRAME_BYTES) {
                 fault = "offset " + at + ": the record ends inside a frame";
             } else if (in.getInt(at + Integer.BYTES + length)
                     != SnapshotFormat.checksum(file, at, Integer.BYTES + length)) {
@@ -166,10 +167,10 @@
             } else {
                 try (CBORParser from = CBOR.createParser(file, at + Integer.BYTES, length)) {
                     from.nextToken();
-                    switch (text(from)) {
-                        case "names" -> names = new Names(text(from), texts(from), texts(from));
-                        case "second" -> seconds.add(second(from));
-                        case "minute" -> minutes.add(minute(from));
+                    switch (readText(from)) {
+                        case "names" -> names = new NameTable(readText(from), readTexts(from), readTexts(from));
+                        case "second" -> seconds.add(readSecond(from));
+                        case "minute" -> minutes.add(readMinute(from));
                         default -> {}
                     }
                 } catch (IOException | IllegalArgumentException e) {
@@ -181,71 +182,72 @@
         return new Content(names, seconds, minutes, fault);
     }
 
-    private static String text(CBORParser from) throws IOException {
+    private static String readText(CBORParser from) throws IOException {
         if (from.nextToken() != JsonToken.VALUE_STRING) {
             throw new IllegalArgumentException("a text is wanted");
         }
         return from.getText();
     }
 
-    private static List<String> texts(CBORParser from) throws IOException {
+    private static List<String> readTexts(CBORParser from) throws IOException {
         List<String> all = new ArrayList<>();
-        for (JsonToken token = begin(from); token == JsonToken.VALUE_STRING; token = from.nextToken()) {
+        for (JsonToken token = beginArray(from); token == JsonToken.VALUE_STRING; token = from.nextToken()) {
             all.add(from.getText());
         }
         return all;
     }
 
-    private static JsonToken begin(CBORParser from) throws IOException {
+    private static JsonToken beginArray(CBORParser from) throws IOException {
         if (from.nextToken() != JsonToken.START_ARRAY) {
             throw new IllegalArgumentException("a list is wanted");
         }
         return from.nextToken();
     }
 
-    private static long whole(CBORParser from) throws IOException {
+    private static long readLong(CBORParser from) throws IOException {
         from.nextToken();
-        return value(from);
+        return currentLong(from);
     }
 
-    private static long value(CBORParser from) throws IOException {
+    private static long currentLong(CBORParser from) throws IOException {
         if (from.currentToken() != JsonToken.VALUE_NUMBER_INT) {
             throw new IllegalArgumentException("a whole number is wanted");
         }
         return from.getLongValue();
     }
 
-    private static Book.Second second(CBORParser from) throws IOException {
-        long second = whole(from);
-        long requests = whole(from);
-        long waitUs = whole(from);
+    private static Book.Second readSecond(CBORParser from) throws IOException {
+        long second = readLong(from);
+        long requests = readLong(from);
+        long waitUs = readLong(from);
         List<Ledger.Entry> causes = new ArrayList<>();
-        for (JsonToken token = begin(from); token != JsonToken.END_ARRAY; token = from.nextToken()) {
-            long node = value(from);
-            long volume = whole(from);
-            int kind = (int) whole(from);
-            int causeKind = (int) whole(from);
+        for (JsonToken token = beginArray(from); token != JsonToken.END_ARRAY; token = from.nextToken()) {
+            long node = currentLong(from);
+            long volume = readLong(from);
+            int kind = (int) readLong(from);
+            int causeKind = (int) readLong(from);
             Cause cause = new Cause(
-                    Cause.Kind.values()[Math.floorMod(causeKind, Cause.Kind.values().length)], whole(from), (int)
-                            whole(from));
-            causes.add(new Ledger.Entry(new Ledger.Cell(node, volume, kind, cause), whole(from), whole(from)));
+                    Cause.Kind.values()[Math.floorMod(causeKind, Cause.Kind.values().length)], readLong(from), (int)
+                            readLong(from));
+            causes.add(new Ledger.Entry(new Ledger.Cell(node, volume, kind, cause), readLong(from), readLong(from)));
         }
         return new Book.Second(second, requests, waitUs, causes);
     }
 
-    private static Minute minute(CBORParser from) throws IOException {
-        long second = whole(from);
-        long requests = whole(from);
-        long served = whole(from);
+    private static MinuteRecord readMinute(CBORParser from) throws IOException {
+        long second = readLong(from);
+        long requests = readLong(from);
+        long served = readLong(from);
         List<GroupPhases> groups = new ArrayList<>();
-        for (JsonToken token = begin(from); token != JsonToken.END_ARRAY; token = from.nextToken()) {
-            Book.Group group = new Book.Group((int) value(from), (int) whole(from), whole(from));
+        for (JsonToken token = beginArray(from); token != JsonToken.END_ARRAY; token = from.nextToken()) {
+            Book.Group group = new Book.Group((int) currentLong(from), (int) readLong(from), readLong(from));
             List<Book.Percentiles> phases = new ArrayList<>();
             for (int i = 0; i < Book.Phase.values().length; i++) {
-                phases.add(new Book.Percentiles(whole(from), whole(from), whole(from), whole(from), whole(from)));
+                phases.add(new Book.Percentiles(
+                        readLong(from), readLong(from), readLong(from), readLong(from), readLong(from)));
             }
             groups.add(new GroupPhases(group, phases));
         }
-        return new Minute(second, requests, served, groups);
+        return new MinuteRecord(second, requests, served, groups);
     }
 }
--- a/src/main/java/petrelstand/store/DiskFolder.java
+++ b/src/main/java/petrelstand/store/DiskFolder.java
@@ -25,7 +25,7 @@
 
 /** A folder on a disk. The lock is the kernel's, on a file named {@code lock}: it ends with the process. */
 public final class DiskFolder implements Folder {
-    static final String LOCK = "lock";
+    static final String LOCK_FILE_NAME = "lock";
     private static final FileAttribute<Set<PosixFilePermission>> OWNER_ONLY =
             PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rw-------"));
 
@@ -50,9 +50,9 @@
     }
 
     @Override
-    public boolean lock() throws IOException {
+    public boolean tryLock() throws IOException {
         lockFile = FileChannel.open(
-                folder.resolve(LOCK),
+                folder.resolve(LOCK_FILE_NAME),
                 Set.<OpenOption>of(StandardOpenOption.CREATE, StandardOpenOption.WRITE, LinkOption.NOFOLLOW_LINKS),
                 OWNER_ONLY);
         FileLock lock = null;
@@ -64,13 +64,14 @@
         if (lock == null) {
             close();
         } else {
-            lockKey = key();
+            lockKey = readLockKey();
         }
         return lock != null;
     }
 
-    private Object key() throws IOException {
-        return Files.readAttributes(folder.resolve(LOCK), BasicFileAttributes.class, LinkOption.NOFOLLOW_LINKS)
+    private Object readLockKey() throws IOException {
+        return Files.readAttributes(
+                        folder.resolve(LOCK_FILE_NAME), BasicFileAttributes.class, LinkOption.NOFOLLOW_LINKS)
                 .fileKey();
     }
 
@@ -107,7 +108,7 @@
 
     @Override
     public void create(String name, byte[] content) throws IOException {
-        if (lockKey != null && !lockKey.equals(key())) {
+        if (lockKey != null && !lockKey.equals(readLockKey())) {
             throw new IOException("the folder is not the one that was locked");
         }
         try (FileChannel file = FileChannel.open(
@@ -122,7 +123,7 @@
     }
 
     /** Creates a file as {@link #create} does, and keeps it open for more. */
-    FileChannel append(String name) throws IOException {
+    FileChannel createForAppend(String name) throws IOException {
         create(name, new byte[0]);
         return FileChannel.open(
                 folder.resolve(name),
@@ -143,7 +144,7 @@
     }
 
     @Override
-    public void syncNames() throws IOException {
+    public void syncDirectory() throws IOException {
         try (FileChannel names = FileChannel.open(folder, StandardOpenOption.READ)) {
             names.force(true);
         }
--- a/src/main/java/petrelstand/store/StateFault.java
+++ b/src/main/java/petrelstand/store/FileFormatException.java
@@ -1,12 +1,12 @@
 package petrelstand.store;
 
 /** What is wrong with a state file, and where: an offset in bytes from its start. */
-public final class StateFault extends Exception {
+public final class FileFormatException extends Exception {
     private static final long serialVersionUID = 1;
 
     private final long offset;
 
-    public StateFault(long offset, String what) {
+    public FileFormatException(long offset, String what) {
         super(what);
         this.offset = offset;
     }
--- a/src/main/java/petrelstand/store/Folder.java
+++ b/src/main/java/petrelstand/store/Folder.java
@@ -10,7 +10,7 @@
  */
 public interface Folder extends Closeable {
     /** Takes the folder for this process alone; false where another has it. */
-    boolean lock() throws IOException;
+    boolean tryLock() throws IOException;
 
     /** The names of the files in it, at most so many. */
     List<String> list(int most) throws IOException;
@@ -28,7 +28,7 @@
     void rename(String from, String to) throws IOException;
 
     /** Returns once the folder's names are on the disk. */
-    void syncNames() throws IOException;
+    void syncDirectory() throws IOException;
 
     /** Deletes a file, or the link of that name itself; one that is not there is no fault. */
     void delete(String name) throws IOException;
--- a/src/main/java/petrelstand/store/Marks.java
+++ b/src/main/java/petrelstand/store/ProcessMarks.java
@@ -17,9 +17,9 @@
  * process lives, whose one byte says whether it listens. The system lets go of a lock with its process, so that a mark
  * whose process was killed is known as such, and goes. Not for several threads.
  */
-public final class Marks implements Closeable {
+public final class ProcessMarks implements Closeable {
     /** What else there is: no other process, one that starts, or one that listens at the clients' address. */
-    public enum Other {
+    public enum OtherProcess {
         NONE,
         STARTING,
         LISTENING
@@ -29,90 +29,92 @@
      * What a look found: the furthest of the other processes, how many there are, and whether this process's own mark
      * was there all the time; where it had vanished, it was left anew before the look.
      */
-    public record Look(Other other, int others, boolean marked) {}
+    public record ScanResult(OtherProcess other, int otherCount, boolean ownMarkPresent) {}
 
     private static final byte STARTING = 's';
     private static final byte LISTENING = 'l';
 
     private final Path folder;
     private final String prefix;
-    private final Path own;
+    private final Path ownMark;
     private FileChannel channel;
     private byte state = STARTING;
 
     /** Leaves a mark of a gateway, known by its name and address, that starts. */
-    public Marks(Path folder, String gateway) throws IOException {
+    public ProcessMarks(Path folder, String gateway) throws IOException {
         this.folder = folder;
         this.prefix = String.format(Locale.ROOT, "petrelstand-%08x-", gateway.hashCode());
-        this.own =
+        this.ownMark =
                 folder.resolve(prefix + Long.toHexString(ProcessHandle.current().pid()) + "-"
                         + Long.toHexString(System.nanoTime()) + ".mark");
-        leave();
+        createOwnMark();
     }
 
-    private void leave() throws IOException {
-        channel =
-                FileChannel.open(own, StandardOpenOption.CREATE_NEW, StandardOpenOption.READ, StandardOpenOption.WRITE);
+    private void createOwnMark() throws IOException {
+        channel = FileChannel.open(
+                ownMark, StandardOpenOption.CREATE_NEW, StandardOpenOption.READ, StandardOpenOption.WRITE);
         FileLock lock = channel.tryLock();
         if (lock == null) {
             channel.close();
-            throw new IOException("the new mark " + own.getFileName() + " is locked by another process");
+            throw new IOException("the new mark " + ownMark.getFileName() + " is locked by another process");
         }
-        say(state);
+        writeState(state);
     }
 
     /** The file that one process hands its knowledge to the other in. */
-    public Path handover() {
+    public Path handoverFile() {
         return folder.resolve(prefix + "learned");
     }
 
     /** From here on the other process knows that this one listens. */
-    public void listening() throws IOException {
-        say(LISTENING);
+    public void markListening() throws IOException {
+        writeState(LISTENING);
     }
 
-    private void say(byte what) throws IOException {
+    private void writeState(byte what) throws IOException {
         state = what;
         channel.write(ByteBuffer.wrap(new byte[] {what}), 0);
     }
 
     /** Looks for other processes of this gateway; marks without one are taken away. */
-    public Look look() throws IOException {
-        boolean marked = Files.exists(own);
+    public ScanResult scan() throws IOException {
+        boolean marked = Files.exists(ownMark);
         if (!marked) {
             channel.close();
-            leave();
+            createOwnMark();
         }
-        Other found = Other.NONE;
+        OtherProcess found = OtherProcess.NONE;
         int others = 0;
         try (DirectoryStream<Path> marks = Files.newDirectoryStream(folder, prefix + "*.mark")) {
             for (Path mark : marks) {
-                Other other = mark.equals(own) ? Other.NONE : look(mark);
+                OtherProcess other = mark.equals(ownMark) ? OtherProcess.NONE : scan(mark);
                 found = other.compareTo(found) > 0 ? other : found;
-                others += other == Other.NONE ? 0 : 1;
+                others += other == OtherProcess.NONE ? 0 : 1;
             }
         }
-        return new Look(found, others, marked);
+        return new ScanResult(found, others, marked);
     }
 
-    private Other look(Path mark) throws IOException {
+    private OtherProcess scan(Path mark) throws IOException {
         try (FileChannel other = FileChannel.open(mark, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
             FileLock lock = other.tryLock();
             if (lock != null) {
                 Files.deleteIfExists(mark);
-                return Other.NONE;
+                return OtherProcess.NONE;
             }
             ByteBuffer said = ByteBuffer.allocate(1);
-            return other.read(said, 0) == 1 && said.get(0) == LISTENING ? Other.LISTENING : Other.STARTING;
+            return other.read(said, 0) == 1 && said.get(0) == LISTENING
+                    ? OtherProcess.LISTENING
+                    : OtherProcess.STARTING;
         } catch (NoSuchFileException e) {
-            return Other.NONE;
+            return OtherProcess.NONE;
         }
     }
 
     /** Takes the own mark away. */
     @Override
     public void close() throws IOException {
-        Files.deleteIfExists(own);
+        Files.deleteIfExists(ownMark);
         channel.close();
     }
 }
--- a/src/main/java/petrelstand/store/SnapshotFormat.java
+++ b/src/main/java/petrelstand/store/SnapshotFormat.java
@@ -28,12 +28,12 @@
     /** The version that is written, and the oldest that is read. */
     public static final int VERSION = 1;
     /** A file is no longer than this; 4,096 nodes and 4,096 volumes take some 0.6 MB. */
-    public static final int MOST_BYTES = 2 << 20;
+    public static final int MAX_FILE_BYTES = 2 << 20;
 
-    static final int HEAD = 16;
-    static final int TAIL = 4;
+    static final int HEADER_BYTES = 16;
+    static final int TRAILER_BYTES = 4;
     private static final byte[] MAGIC = "PETRLSTD".getBytes(StandardCharsets.US_ASCII);
-    private static final int MOST_NAME = 255;
+    private static final int MAX_NAME_LENGTH = 255;
     private static final CBORFactory CBOR = new CBORFactory();
 
     private SnapshotFormat() {}
@@ -42,22 +42,22 @@
     public static byte[] encode(Snapshot snapshot) {
         ByteArrayOutputStream payload = new ByteArrayOutputStream(4096);
         try (CBORGenerator to = CBOR.createGenerator(payload)) {
-            write(to, snapshot);
+            writeSnapshot(to, snapshot);
         } catch (IOException e) {
             throw new UncheckedIOException("an array in memory takes all that is written to it", e);
         }
-        return frame(VERSION, payload.toByteArray());
+        return encodeFile(VERSION, payload.toByteArray());
     }
 
     /** Head, payload and checksum of a version. */
-    static byte[] frame(int version, byte[] payload) {
-        ByteBuffer file = ByteBuffer.allocate(HEAD + payload.length + TAIL);
+    static byte[] encodeFile(int version, byte[] payload) {
+        ByteBuffer file = ByteBuffer.allocate(HEADER_BYTES + payload.length + TRAILER_BYTES);
         file.put(MAGIC)
                 .putShort((short) version)
                 .putShort((short) 0)
                 .putInt(payload.length)
                 .put(payload);
-        file.putInt(checksum(file.array(), 0, HEAD + payload.length));
+        file.putInt(checksum(file.array(), 0, HEADER_BYTES + payload.length));
         return file.array();
     }
 
@@ -68,18 +68,18 @@
         return (int) crc.getValue();
     }
 
-    private static void write(CBORGenerator to, Snapshot snapshot) throws IOException {
+    private static void writeSnapshot(CBORGenerator to, Snapshot snapshot) throws IOException {
         LearnedState learned = snapshot.learned();
         to.writeStartArray(null, 9);
         to.writeString(snapshot.gateway());
-        to.writeNumber(snapshot.settingsPrint());
+        to.writeNumber(snapshot.settingsFingerprint());
         to.writeNumber(snapshot.generation());
         to.writeNumber(snapshot.wallMs());
-        to.writeBoolean(snapshot.clean());
+        to.writeBoolean(snapshot.cleanShutdown());
         to.writeNumber(learned.measuredSlots());
         to.writeNumber(learned.servedUnits());
         List<LearnedNode> nodes =
-                learned.nodes().subList(0, Math.min(learned.nodes().size(), Snapshot.MOST_NODES));
+                learned.nodes().subList(0, Math.min(learned.nodes().size(), Snapshot.MAX_NODES));
         to.writeStartArray(null, nodes.size());
         for (LearnedNode node : nodes) {
             to.writeStartArray(null, 8);
@@ -111,53 +111,55 @@
     }
 
     /** Reads a whole file; whatever is wrong is one fault that says where. */
-    public static Snapshot decode(byte[] file) throws StateFault {
-        if (file.length > MOST_BYTES) {
-            throw new StateFault(MOST_BYTES, "the file is longer than " + MOST_BYTES + " bytes");
+    public static Snapshot decode(byte[] file) throws FileFormatException {
+        if (file.length > MAX_FILE_BYTES) {
+            throw new FileFormatException(MAX_FILE_BYTES, "the file is longer than " + MAX_FILE_BYTES + " bytes");
         }
-        if (file.length < HEAD + TAIL) {
-            throw new StateFault(file.length, "the file ends early: it has no whole head and checksum");
+        if (file.length < HEADER_BYTES + TRAILER_BYTES) {
+            throw new FileFormatException(file.length, "the file ends early: it has no whole head and checksum");
         }
         if (!Arrays.equals(file, 0, MAGIC.length, MAGIC, 0, MAGIC.length)) {
-            throw new StateFault(0, "this is not a state file of petrelstand");
+            throw new FileFormatException(0, "this is not a state file of petrelstand");
         }
         ByteBuffer bytes = ByteBuffer.wrap(file);
         // A version that is not known may lay out all the rest in another way, so it is told first.
         int version = bytes.getShort(MAGIC.length) & 0xffff;
         if (version > VERSION) {
-            throw new StateFault(
+            throw new FileFormatException(
                     MAGIC.length, "version " + version + " is newer than " + VERSION + ", the newest that is read");
         }
         if (version < VERSION) {
-            throw new StateFault(
+            throw new FileFormatException(
                     MAGIC.length, "version " + version + " is older than " + VERSION + ", the oldest that is read");
         }
-        int length = bytes.getInt(HEAD - Integer.BYTES);
-        if (length != file.length - HEAD - TAIL) {
-            throw new StateFault(
-                    HEAD - Integer.BYTES,
-                    "the head says " + length + " bytes of content, the file has " + (file.length - HEAD - TAIL));
+        int length = bytes.getInt(HEADER_BYTES - Integer.BYTES);
+        if (length != file.length - HEADER_BYTES - TRAILER_BYTES) {
+            throw new FileFormatException(
+                    HEADER_BYTES - Integer.BYTES,
+                    "the head says " + length + " bytes of content, the file has "
+                            + (file.length - HEADER_BYTES - TRAILER_BYTES));
         }
-        int checksum = checksum(file, 0, HEAD + length);
-        if (bytes.getInt(HEAD + length) != checksum) {
-            throw new StateFault(
-                    HEAD + length,
+        int checksum = checksum(file, 0, HEADER_BYTES + length);
+        if (bytes.getInt(HEADER_BYTES + length) != checksum) {
+            throw new FileFormatException(
+                    HEADER_BYTES + length,
                     String.format(
-                            "the checksum is %08x, the content's is %08x", bytes.getInt(HEAD + length), checksum));
+                            "the checksum is %08x, the content's is %08x",
+                            bytes.getInt(HEADER_BYTES + length), checksum));
         }
         if (bytes.getShort(MAGIC.length + Short.BYTES) != 0) {
-            throw new StateFault(MAGIC.length + Short.BYTES, "the reserved bytes are not 0");
+            throw new FileFormatException(MAGIC.length + Short.BYTES, "the reserved bytes are not 0");
         }
-        try (CBORParser from = CBOR.createParser(file, HEAD, length)) {
+        try (CBORParser from = CBOR.createParser(file, HEADER_BYTES, length)) {
             Reader reader = new Reader(from);
-            Snapshot snapshot = reader.snapshot();
+            Snapshot snapshot = reader.readSnapshot();
             if (from.nextToken() != null) {
                 throw reader.fault("something follows the snapshot");
             }
             return snapshot;
         } catch (IOException e) {
-            throw new StateFault(
-                    HEAD,
+            throw new FileFormatException(
+                    HEADER_BYTES,
                     "the content is not CBOR: "
                             + String.valueOf(e.getMessage()).lines().findFirst().orElse(""));
         }
@@ -171,64 +173,65 @@
             this.from = from;
         }
 
-        StateFault fault(String what) {
-            return new StateFault(Math.max(HEAD, from.currentTokenLocation().getByteOffset()), what);
+        FileFormatException fault(String what) {
+            return new FileFormatException(
+                    Math.max(HEADER_BYTES, from.currentTokenLocation().getByteOffset()), what);
         }
 
-        Snapshot snapshot() throws IOException, StateFault {
-            begin("the snapshot");
-            String gateway = text("the gateway's name");
-            long print = whole("the settings' print");
-            long generation = whole("the generation");
-            long wallMs = whole("the time");
-            boolean clean = flag("the clean end");
-            double slots = number("the slots of all nodes");
-            double served = number("the units of all nodes");
+        Snapshot readSnapshot() throws IOException, FileFormatException {
+            beginArray("the snapshot");
+            String gateway = readText("the gateway's name");
+            long print = readLong("the settings' print");
+            long generation = readLong("the generation");
+            long wallMs = readLong("the time");
+            boolean clean = readBoolean("the clean end");
+            double slots = readDouble("the slots of all nodes");
+            double served = readDouble("the units of all nodes");
             List<LearnedNode> nodes = new ArrayList<>();
-            begin("the nodes");
-            while (more("node", nodes.size(), Snapshot.MOST_NODES)) {
+            beginArray("the nodes");
+            while (beginNextEntry("node", nodes.size(), Snapshot.MAX_NODES)) {
                 nodes.add(new LearnedNode(
-                        whole("a node's number"),
-                        number("a node's start"),
-                        number("a node's slots"),
-                        number("a node's units"),
-                        number("a node's window"),
-                        number("a node's latency"),
-                        number("a node's cold units"),
-                        number("a node's silence")));
-                end("a node");
+                        readLong("a node's number"),
+                        readDouble("a node's start"),
+                        readDouble("a node's slots"),
+                        readDouble("a node's units"),
+                        readDouble("a node's window"),
+                        readDouble("a node's latency"),
+                        readDouble("a node's cold units"),
+                        readDouble("a node's silence")));
+                endArray("a node");
             }
             List<LearnedVolume> volumes = new ArrayList<>();
-            begin("the volumes");
-            while (more("volume", volumes.size(), Policy.MAX_VOLUMES)) {
+            beginArray("the volumes");
+            while (beginNextEntry("volume", volumes.size(), Policy.MAX_VOLUMES)) {
                 volumes.add(new LearnedVolume(
-                        whole("a volume's number"),
-                        small("a volume's plan"),
-                        small("a volume's set"),
-                        number("a volume's part"),
-                        number("a volume's limit"),
-                        number("a volume's reserve"),
-                        number("a volume's share")));
-                end("a volume");
+                        readLong("a volume's number"),
+                        readInt("a volume's plan"),
+                        readInt("a volume's set"),
+                        readDouble("a volume's part"),
+                        readDouble("a volume's limit"),
+                        readDouble("a volume's reserve"),
+                        readDouble("a volume's share")));
+                endArray("a volume");
             }
-            end("the snapshot");
+            endArray("the snapshot");
             return new Snapshot(
                     gateway, print, generation, wallMs, clean, new LearnedState(wallMs, slots, served, nodes, volumes));
         }
 
-        private void begin(String what) throws IOException, StateFault {
+        private void beginArray(String what) throws IOException, FileFormatException {
             if (from.nextToken() != JsonToken.START_ARRAY) {
                 throw fault(what + ": a list is wanted here");
             }
         }
 
-        private void end(String what) throws IOException, StateFault {
+        private void endArray(String what) throws IOException, FileFormatException {
             if (from.nextToken() != JsonToken.END_ARRAY) {
                 throw fault(what + " has more fields than it should");
             }
         }
 
-        private boolean more(String what, int read, int most) throws IOException, StateFault {
+        private boolean beginNextEntry(String what, int read, int most) throws IOException, FileFormatException {
             JsonToken token = from.nextToken();
             if (token == JsonToken.END_ARRAY) {
                 return false;
@@ -242,14 +245,14 @@
             return true;
         }
 
-        private String text(String what) throws IOException, StateFault {
-            if (from.nextToken() != JsonToken.VALUE_STRING || from.getTextLength() > MOST_NAME) {
-                throw fault(what + ": a text of at most " + MOST_NAME + " characters is wanted here");
+        private String readText(String what) throws IOException, FileFormatException {
+            if (from.nextToken() != JsonToken.VALUE_STRING || from.getTextLength() > MAX_NAME_LENGTH) {
+                throw fault(what + ": a text of at most " + MAX_NAME_LENGTH + " characters is wanted here");
             }
             return from.getText();
         }
 
-        private long whole(String what) throws IOException, StateFault {
+        private long readLong(String what) throws IOException, FileFormatException {
             if (from.nextToken() != JsonToken.VALUE_NUMBER_INT
                     || from.getNumberType() == JsonParser.NumberType.BIG_INTEGER) {
                 throw fault(what + ": a whole number of 64 bits is wanted here");
@@ -257,22 +260,22 @@
             return from.getLongValue();
         }
 
-        private int small(String what) throws IOException, StateFault {
-            long value = whole(what);
+        private int readInt(String what) throws IOException, FileFormatException {
+            long value = readLong(what);
             if (value != (int) value) {
                 throw fault(what + ": " + value + " is out of range");
             }
             return (int) value;
         }
 
-        private double number(String what) throws IOException, StateFault {
+        private double readDouble(String what) throws IOException, FileFormatException {
             if (from.nextToken() != JsonToken.VALUE_NUMBER_FLOAT || !Double.isFinite(from.getDoubleValue())) {
                 throw fault(what + ": a finite floating-point number is wanted here");
             }
             return from.getDoubleValue();
         }
 
-        private boolean flag(String what) throws IOException, StateFault {
+        private boolean readBoolean(String what) throws IOException, FileFormatException {
             JsonToken token = from.nextToken();
             if (token != JsonToken.VALUE_TRUE && token != JsonToken.VALUE_FALSE) {
                 throw fault(what + ": true or false is wanted here");
--- a/src/main/java/petrelstand/store/StateKeeper.java
+++ b/src/main/java/petrelstand/store/StateKeeper.java
@@ -17,10 +17,10 @@
 import petrelstand.core.Timers;
 import petrelstand.decision.Scheduling.LearnedState;
 import petrelstand.decision.Scheduling.Settings;
-import petrelstand.state.Generations;
 import petrelstand.state.Snapshot;
-import petrelstand.state.Trust;
-import petrelstand.state.WritePlan;
+import petrelstand.state.SnapshotEvaluator;
+import petrelstand.state.SnapshotFiles;
+import petrelstand.state.SnapshotSchedule;
 
 /**
  * Keeps what a gateway has learned in a folder. It takes a snapshot on the loop's thread, which costs a look at each
@@ -29,39 +29,39 @@
  */
 public final class StateKeeper {
     /** A folder that has not answered by then is done without at the start. */
-    static final long OPEN_MS = 1_000;
+    static final long OPEN_TIMEOUT_MS = 1_000;
     /** How long the end of the gateway waits for the last write. */
-    public static final long LAST_WRITE_US = 400_000;
+    public static final long FINAL_WRITE_TIMEOUT_US = 400_000;
 
     /** Makes the folder, on the keeper's own thread. */
-    public interface Opening {
+    public interface FolderOpener {
         Folder open() throws IOException;
     }
 
-    private final Opening opening;
+    private final FolderOpener folderOpener;
     private final String gateway;
-    private long settingsPrint;
-    private final Trust trust;
+    private long settingsFingerprint;
+    private final SnapshotEvaluator evaluator;
     private final Timers timers;
     private final LongSupplier nowUs;
     private final LongSupplier wallMs;
     private final Executor loop;
     private final Counters counters;
     private final Consumer<String> log;
-    private final ExecutorService disk;
-    private final long everyUs;
+    private final ExecutorService diskThread;
+    private final long intervalUs;
     private Broker broker;
-    private WritePlan plan;
-    private LearnedState recalled;
+    private SnapshotSchedule schedule;
+    private LearnedState restoredState;
     /** Of the disk's thread alone. */
-    private StateStore store;
+    private SnapshotStore store;
 
-    private Runnable atLast;
-    private boolean off;
+    private Runnable afterWrite;
+    private boolean disabled;
 
     /** A keeper for a gateway; {@code wallMs} is the wall clock, by which a snapshot's age is told. */
     public StateKeeper(
-            Opening opening,
+            FolderOpener opening,
             long everyUs,
             String gateway,
             Settings settings,
@@ -71,18 +71,18 @@
             Executor loop,
             Counters counters,
             Consumer<String> log) {
-        this.opening = opening;
-        this.everyUs = everyUs;
+        this.folderOpener = opening;
+        this.intervalUs = everyUs;
         this.gateway = gateway;
-        this.settingsPrint = Snapshot.print(settings);
-        this.trust = new Trust(gateway, settings);
+        this.settingsFingerprint = Snapshot.fingerprint(settings);
+        this.evaluator = new SnapshotEvaluator(gateway, settings);
         this.timers = timers;
         this.nowUs = nowUs;
         this.wallMs = wallMs;
         this.loop = loop;
         this.counters = counters;
         this.log = line -> log.accept("state: " + line);
-        this.disk = Executors.newSingleThreadExecutor(task -> {
+        this.diskThread = Executors.newSingleThreadExecutor(task -> {
             Thread thread = new Thread(task, "state");
             thread.setDaemon(true);
             return thread;
@@ -106,22 +106,23 @@
     }
 
     /**
-     * Takes the folder and reads what was learned, before the gateway serves. Waits {@link #OPEN_MS} at most; whatever
-     * is wrong is one line, and the gateway starts without.
+     * Takes the folder and reads what was learned, before the gateway serves. Waits {@link #OPEN_TIMEOUT_MS} at most;
+     * whatever is wrong is one line, and the gateway starts without.
      */
     public void open() {
         try {
-            StateStore.Found found =
-                    disk.submit((Callable<StateStore.Found>) this::openStore).get(OPEN_MS, TimeUnit.MILLISECONDS);
+            SnapshotStore.OpenResult found = diskThread
+                    .submit((Callable<SnapshotStore.OpenResult>) this::openStore)
+                    .get(OPEN_TIMEOUT_MS, TimeUnit.MILLISECONDS);
             if (found == null) {
-                off = true;
+                disabled = true;
                 log.accept("another gateway has the folder; this one keeps nothing");
                 return;
             }
-            found.refused().forEach(line -> log.accept("refused and left in place: " + line));
-            weigh(found.newest());
+            found.rejected().forEach(line -> log.accept("refused and left in place: " + line));
+            evaluate(found.newest());
         } catch (TimeoutException e) {
-            log.accept("the folder did not answer in " + OPEN_MS + " ms; starting without what was learned");
+            log.accept("the folder did not answer in " + OPEN_TIMEOUT_MS + " ms; starting without what was learned");
         } catch (ExecutionException e) {
             log.accept("nothing remembered: " + reason(e.getCause()));
         } catch (InterruptedException e) {
@@ -129,10 +130,10 @@
         }
     }
 
-    private StateStore.Found openStore() throws IOException {
-        StateStore opened = new StateStore(opening.open());
+    private SnapshotStore.OpenResult openStore() throws IOException {
+        SnapshotStore opened = new SnapshotStore(folderOpener.open());
         try {
-            StateStore.Found found = opened.open();
+            SnapshotStore.OpenResult found = opened.open();
             if (found != null) {
                 store = opened;
             }
@@ -144,62 +145,65 @@
         }
     }
 
-    private void weigh(Snapshot newest) {
+    private void evaluate(Snapshot newest) {
         if (newest == null) {
             log.accept("nothing remembered: the folder holds no whole snapshot");
             return;
         }
-        Trust.Verdict verdict = trust.weigh(newest, wallMs.getAsLong());
-        if (verdict.refused() != null) {
-            log.accept("nothing remembered: " + Generations.name(newest.generation()) + ": " + verdict.refused());
+        SnapshotEvaluator.Evaluation verdict = evaluator.evaluate(newest, wallMs.getAsLong());
+        if (verdict.rejectionReason() != null) {
+            log.accept("nothing remembered: " + SnapshotFiles.fileName(newest.generation()) + ": "
+                    + verdict.rejectionReason());
             return;
         }
-        recalled = verdict.learned();
-        log.accept("remembered " + recalled.nodes().size() + " nodes (" + verdict.silent() + " silent) and "
-                + recalled.volumes().size() + " volumes, " + String.format(Locale.ROOT, "%.1f", verdict.ageMs() / 1000)
-                + " s old, generation " + newest.generation() + (newest.clean() ? ", after an orderly end" : "")
-                + (verdict.dropped() > 0 ? "; " + verdict.dropped() + " entries made no sense" : ""));
+        restoredState = verdict.learned();
+        log.accept("remembered " + restoredState.nodes().size() + " nodes (" + verdict.silentNodes() + " silent) and "
+                + restoredState.volumes().size() + " volumes, "
+                + String.format(Locale.ROOT, "%.1f", verdict.ageMs() / 1000)
+                + " s old, generation " + newest.generation() + (newest.cleanShutdown() ? ", after an orderly end" : "")
+                + (verdict.droppedEntries() > 0 ? "; " + verdict.droppedEntries() + " entries made no sense" : ""));
     }
 
     /** Gives the broker what was learned, before its first node list, and begins to keep what it learns. */
     public void start(Broker of) {
         broker = of;
-        if (recalled != null) {
-            broker.restoreLearnedState(recalled);
-            recalled = null;
+        if (restoredState != null) {
+            broker.restoreLearnedState(restoredState);
+            restoredState = null;
         }
-        if (!off) {
+        if (!disabled) {
             // The first look takes some 15 ms, for its code is not linked yet: better now than while it serves.
             broker.learnedState();
-            plan = new WritePlan(nowUs.getAsLong(), everyUs);
+            schedule = new SnapshotSchedule(nowUs.getAsLong(), intervalUs);
             tick();
         }
     }
 
     /** What is learned from now on is learned under other settings: a start under these will find it its own. */
     public void retune(Settings settings) {
-        settingsPrint = Snapshot.print(settings);
+        settingsFingerprint = Snapshot.fingerprint(settings);
     }
 
     private void tick() {
-        if (atLast != null) {
+        if (afterWrite != null) {
             return;
         }
         long now = nowUs.getAsLong();
-        if (plan.due(now)) {
-            write(false);
+        if (schedule.isDue(now)) {
+            startWrite(false);
         }
-        plan.look(now).ifPresent(line -> {
+        schedule.checkHung(now).ifPresent(line -> {
             counters.increment("state.hung");
             log.accept(line);
         });
-        timers.schedule(plan.nextUs(now), this::tick);
+        timers.schedule(schedule.nextCheckUs(now), this::tick);
     }
 
-    private void write(boolean clean) {
-        Snapshot snapshot = new Snapshot(gateway, settingsPrint, 0, wallMs.getAsLong(), clean, broker.learnedState());
-        plan.began(nowUs.getAsLong());
-        disk.execute(() -> {
+    private void startWrite(boolean clean) {
+        Snapshot snapshot =
+                new Snapshot(gateway, settingsFingerprint, 0, wallMs.getAsLong(), clean, broker.learnedState());
+        schedule.writeStarted(nowUs.getAsLong());
+        diskThread.execute(() -> {
             String fault = null;
             try {
                 if (store == null && openStore() == null) {
@@ -208,15 +212,15 @@
                 store.write(snapshot);
             } catch (IOException | RuntimeException e) {
                 fault = reason(e);
-                reset();
+                closeStore();
             }
             String how = fault;
-            loop.execute(() -> wrote(how));
+            loop.execute(() -> writeEnded(how));
         });
     }
 
     /** After a fault the folder is taken anew: it may have gone, and another may stand in its place. */
-    private void reset() {
+    private void closeStore() {
         try {
             if (store != null) {
                 store.close();
@@ -227,45 +231,45 @@
         store = null;
     }
 
-    private void wrote(String fault) {
+    private void writeEnded(String fault) {
         counters.increment(fault == null ? "state.written" : "state.failed");
-        plan.ended(nowUs.getAsLong(), fault).ifPresent(log);
-        if (atLast != null) {
-            Runnable next = atLast;
-            atLast = () -> {};
+        schedule.writeEnded(nowUs.getAsLong(), fault).ifPresent(log);
+        if (afterWrite != null) {
+            Runnable next = afterWrite;
+            afterWrite = () -> {};
             next.run();
         }
     }
 
     /**
      * All is answered: writes a last snapshot, marked as one after which nothing was sent, and goes on with the end
-     * once it is there, or {@link #LAST_WRITE_US} later at the latest.
+     * once it is there, or {@link #FINAL_WRITE_TIMEOUT_US} later at the latest.
      */
-    public void last(Runnable then) {
-        if (plan == null) {
+    public void writeFinalSnapshot(Runnable then) {
+        if (schedule == null) {
             then.run();
             return;
         }
-        long untilUs = nowUs.getAsLong() + LAST_WRITE_US;
+        long untilUs = nowUs.getAsLong() + FINAL_WRITE_TIMEOUT_US;
         Runnable[] once = {then};
         Runnable end = () -> {
             Runnable next = once[0];
             once[0] = () -> {};
             next.run();
         };
-        if (plan.writing()) {
+        if (schedule.isWriting()) {
             // One at a time: the one under way first. What it lacks is written after it, or not at all.
-            atLast = () -> {
-                atLast = end;
-                write(true);
+            afterWrite = () -> {
+                afterWrite = end;
+                startWrite(true);
             };
         } else {
-            atLast = end;
-            write(true);
+            afterWrite = end;
+            startWrite(true);
         }
         timers.schedule(untilUs, () -> {
-            if (plan.writing()) {
-                log.accept("the last snapshot was not written in " + LAST_WRITE_US / 1000 + " ms");
+            if (schedule.isWriting()) {
+                log.accept("the last snapshot was not written in " + FINAL_WRITE_TIMEOUT_US / 1000 + " ms");
             }
             end.run();
         });
--- a/src/test/java/petrelstand/cli/CliTest.java
+++ b/src/test/java/petrelstand/cli/CliTest.java
@@ -14,10 +14,10 @@
 import petrelstand.decision.Scheduling.LearnedNode;
 import petrelstand.decision.Scheduling.LearnedState;
 import petrelstand.decision.Scheduling.LearnedVolume;
-import petrelstand.state.Generations;
 import petrelstand.state.Snapshot;
+import petrelstand.state.SnapshotFiles;
 import petrelstand.store.DiskFolder;
-import petrelstand.store.StateStore;
+import petrelstand.store.SnapshotStore;
 import picocli.CommandLine;
 
 /** The command line as a user calls it. */
@@ -38,7 +38,7 @@
     }
 
     private void write(int times) throws Exception {
-        try (StateStore store = new StateStore(new DiskFolder(folder))) {
+        try (SnapshotStore store = new SnapshotStore(new DiskFolder(folder))) {
             store.open();
             for (int i = 0; i < times; i++) {
                 store.write(new Snapshot(
@@ -100,7 +100,7 @@
                         "state",
                         "inspect",
                         "--json",
-                        folder.resolve(Generations.name(1)).toString()));
+                        folder.resolve(SnapshotFiles.fileName(1)).toString()));
         assertEquals(
                 1,
                 JsonParser.parseString(out.toString())
@@ -115,7 +115,7 @@
         assertTrue(err.toString().contains("holds no snapshot"));
         write(2);
         assertEquals(0, run("state", "verify", folder.toString()));
-        Path newest = folder.resolve(Generations.name(2));
+        Path newest = folder.resolve(SnapshotFiles.fileName(2));
         byte[] bytes = Files.readAllBytes(newest);
         bytes[40] ^= 1;
         Files.write(newest, bytes);
@@ -127,10 +127,10 @@
         // The one before it is what inspect shows then.
         assertEquals(0, run("state", "inspect", folder.toString()));
         assertTrue(out.toString().contains("generation 1 of"));
-        Files.copy(folder.resolve(Generations.name(1)), folder.resolve(Generations.name(9)));
+        Files.copy(folder.resolve(SnapshotFiles.fileName(1)), folder.resolve(SnapshotFiles.fileName(9)));
         assertEquals(1, run("state", "verify", folder.toString()));
         assertTrue(
-                err.toString().contains(Generations.name(9) + ": offset 16: it says it is generation 1"),
+                err.toString().contains(SnapshotFiles.fileName(9) + ": offset 16: it says it is generation 1"),
                 err.toString());
     }
 }
--- a/src/test/java/petrelstand/report/ReportTest.java
+++ b/src/test/java/petrelstand/report/ReportTest.java
@@ -10,11 +10,11 @@
 import petrelstand.accounts.Cause;
 import petrelstand.accounts.Ledger;
 import petrelstand.report.Report.Query;
-import petrelstand.store.AccountsRecord.Names;
+import petrelstand.store.AccountsRecord.NameTable;
 
 /** Sums, filters and the page. */
 class ReportTest {
-    private static final Names NAMES = new Names("n<1>", List.of("tile-read", "bulk-export"), List.of("basic"));
+    private static final NameTable NAMES = new NameTable("n<1>", List.of("tile-read", "bulk-export"), List.of("basic"));
     private static final Query ALL = new Query(0, Long.MAX_VALUE, null, null, -1);
     private static final Cause TEAM = Cause.work(0xb0, 1);
     private final List<Book.Second> recorded = List.of(
--- a/src/test/java/petrelstand/state/TrustTest.java
+++ b/src/test/java/petrelstand/state/SnapshotEvaluatorTest.java
@@ -21,7 +21,7 @@
 import petrelstand.testing.Harness;
 
 /** What old knowledge is worth: never more than stated, whatever the file says. */
-class TrustTest {
+class SnapshotEvaluatorTest {
     private static final double NOW = 1_764_600_000_000.0;
     private static final double[] ODD = {
         0,
@@ -44,24 +44,24 @@
     private final Settings settings = SettingsReader.ofText(Harness.SETTINGS.replace("balancers=1", "balancers=4"));
     private final Settings limited = SettingsReader.ofText(
             Harness.SETTINGS.replace("balancers=1", "balancers=4") + "plans.0.limit=60\nplans.0.burst=40\n");
-    private final Trust trust = new Trust("n1", settings);
+    private final SnapshotEvaluator trust = new SnapshotEvaluator("n1", settings);
 
     private Snapshot snapshot(double ageMs, boolean clean, LearnedState learned) {
-        return new Snapshot("n1", Snapshot.print(settings), 5, (long) (NOW - ageMs), clean, learned);
+        return new Snapshot("n1", Snapshot.fingerprint(settings), 5, (long) (NOW - ageMs), clean, learned);
     }
 
     private static LearnedNode node(double served, double window, double latencyMs, double silentMs) {
         return new LearnedNode(1, 0, 100, served, window, latencyMs, 0, silentMs);
     }
 
-    private Trust.Verdict weigh(double ageMs, LearnedNode node) {
-        return trust.weigh(snapshot(ageMs, false, new LearnedState(0, 100, 200, List.of(node), List.of())), NOW);
+    private SnapshotEvaluator.Evaluation weigh(double ageMs, LearnedNode node) {
+        return trust.evaluate(snapshot(ageMs, false, new LearnedState(0, 100, 200, List.of(node), List.of())), NOW);
     }
 
     @Test
     void eachFigureFadesWithItsOwnHalfLifeTowardWhatAGatewayStartsWith() {
         LearnedNode fresh = weigh(0, node(200, 8, 300, 0)).learned().nodes().get(0);
-        assertEquals(Trust.MOST_NODE_SLOTS, fresh.measuredSlots());
+        assertEquals(SnapshotEvaluator.MAX_NODE_SLOTS, fresh.measuredSlots());
         assertEquals(2, fresh.servedUnits() / fresh.measuredSlots(), 1e-9);
         assertEquals(8, fresh.window());
         assertEquals(300, fresh.latencyMs());
@@ -70,56 +70,58 @@
         assertEquals((300 + 100) / 2.0, old.latencyMs(), 1e-9);
         LearnedNode older =
                 weigh(60_000, node(200, 8, 300, 0)).learned().nodes().get(0);
-        assertEquals(Trust.MOST_NODE_SLOTS / 2, older.measuredSlots(), 1e-9);
+        assertEquals(SnapshotEvaluator.MAX_NODE_SLOTS / 2, older.measuredSlots(), 1e-9);
         assertEquals(2, older.servedUnits() / older.measuredSlots(), 1e-9);
     }
 
     @Test
     void silenceIsBelievedForTwoHalfLivesAndThenDropped() {
-        assertEquals(1, weigh(19_000, node(200, 8, 300, 900)).silent());
-        assertEquals(0, weigh(21_000, node(200, 8, 300, 900)).silent());
+        assertEquals(1, weigh(19_000, node(200, 8, 300, 900)).silentNodes());
+        assertEquals(0, weigh(21_000, node(200, 8, 300, 900)).silentNodes());
     }
 
     @Test
     void whatIsTooOldOrOfAnotherOrFromTheFutureCountsForNothingAndSaysWhy() {
         LearnedState learned = new LearnedState(0, 1, 1, List.of(node(1, 1, 1, 0)), List.of());
-        assertTrue(trust.weigh(snapshot(Trust.OLDEST_MS + 1, true, learned), NOW)
-                .refused()
+        assertTrue(trust.evaluate(snapshot(SnapshotEvaluator.MAX_AGE_MS + 1, true, learned), NOW)
+                .rejectionReason()
                 .contains("older than"));
-        assertTrue(trust.weigh(snapshot(-1, true, learned), NOW).refused().contains("future"));
-        assertTrue(trust.weigh(new Snapshot("n2", Snapshot.print(settings), 1, (long) NOW, true, learned), NOW)
-                .refused()
+        assertTrue(trust.evaluate(snapshot(-1, true, learned), NOW)
+                .rejectionReason()
+                .contains("future"));
+        assertTrue(trust.evaluate(new Snapshot("n2", Snapshot.fingerprint(settings), 1, (long) NOW, true, learned), NOW)
+                .rejectionReason()
                 .contains("another gateway, 'n2'"));
-        Trust.Verdict changed =
-                trust.weigh(new Snapshot("n1", Snapshot.print(limited), 1, (long) NOW, true, learned), NOW);
-        assertTrue(changed.refused().contains("settings have changed"));
+        SnapshotEvaluator.Evaluation changed =
+                trust.evaluate(new Snapshot("n1", Snapshot.fingerprint(limited), 1, (long) NOW, true, learned), NOW);
+        assertTrue(changed.rejectionReason().contains("settings have changed"));
         assertEquals(LearnedState.empty(NOW), changed.learned());
-        assertNull(trust.weigh(snapshot(0, true, learned), NOW).refused());
+        assertNull(trust.evaluate(snapshot(0, true, learned), NOW).rejectionReason());
     }
 
     @Test
     void aNodeThatStartedAfterTheFileAndOneThatIsThereTwiceAreDropped() {
         LearnedNode late = new LearnedNode(2, NOW - 10, 1, 1, 1, 50, 0, 0);
-        Trust.Verdict verdict = trust.weigh(
+        SnapshotEvaluator.Evaluation verdict = trust.evaluate(
                 snapshot(
                         100,
                         true,
                         new LearnedState(0, 0, 0, List.of(node(1, 1, 1, 0), node(2, 2, 2, 0), late), List.of())),
                 NOW);
         assertEquals(1, verdict.learned().nodes().size());
-        assertEquals(2, verdict.dropped());
+        assertEquals(2, verdict.droppedEntries());
     }
 
     /** After a crash nobody knows what was spent meanwhile; after an orderly end nothing was. */
     @Test
     void aLimitsSpentUnitsNeverLookSmallerThanTheyMayBe() {
-        Trust of = new Trust("n1", limited);
+        SnapshotEvaluator of = new SnapshotEvaluator("n1", limited);
         LearnedVolume volume = new LearnedVolume(9, 0, 2, 0.5, 12, 3, 4);
         for (boolean clean : new boolean[] {true, false}) {
-            LearnedVolume kept = of.weigh(
+            LearnedVolume kept = of.evaluate(
                             new Snapshot(
                                     "n1",
-                                    Snapshot.print(limited),
+                                    Snapshot.fingerprint(limited),
                                     1,
                                     (long) NOW - 500,
                                     clean,
@@ -130,10 +132,10 @@
                     .get(0);
             assertEquals(clean ? 12 + 60 / 2 * 0.5 : 0, kept.limitLevel(), 1e-9);
         }
-        LearnedVolume below = of.weigh(
+        LearnedVolume below = of.evaluate(
                         new Snapshot(
                                 "n1",
-                                Snapshot.print(limited),
+                                Snapshot.fingerprint(limited),
                                 1,
                                 (long) NOW - 500,
                                 false,
@@ -151,11 +153,11 @@
         Settings cold = SettingsReader.ofText(Harness.SETTINGS + "rules.cold_from=0.26\nrules.warm_up_ms=18000\n"
                 + "rules.fall_ms=1500\nrules.overload_factor=2\nextra.cold_bears=20\n");
         LearnedNode sent = new LearnedNode(1, NOW - 3000, 0, 0, 3, 50, 17, 0);
-        Trust.Verdict verdict = new Trust("n1", cold)
-                .weigh(
+        SnapshotEvaluator.Evaluation verdict = new SnapshotEvaluator("n1", cold)
+                .evaluate(
                         new Snapshot(
                                 "n1",
-                                Snapshot.print(cold),
+                                Snapshot.fingerprint(cold),
                                 1,
                                 (long) NOW - 1400,
                                 false,
@@ -193,20 +195,22 @@
                     odd(random),
                     odd(random)));
         }
-        Trust.Verdict verdict = trust.weigh(
+        SnapshotEvaluator.Evaluation verdict = trust.evaluate(
                 snapshot(ageMs, clean, new LearnedState(odd(random), odd(random), odd(random), nodes, volumes)), NOW);
         LearnedState learned = verdict.learned();
-        assertTrue(learned.measuredSlots() >= 0 && learned.measuredSlots() <= Trust.MOST_POOL_SLOTS);
-        double mostRate = Trust.MOST_REQUESTS_A_SLOT * settings.mostUnits();
-        assertTrue(learned.servedUnits() >= 0 && learned.servedUnits() <= Trust.MOST_POOL_SLOTS * mostRate);
+        assertTrue(learned.measuredSlots() >= 0 && learned.measuredSlots() <= SnapshotEvaluator.MAX_POOL_SLOTS);
+        double mostRate = SnapshotEvaluator.MAX_REQUESTS_PER_SLOT * settings.mostUnits();
+        assertTrue(learned.servedUnits() >= 0 && learned.servedUnits() <= SnapshotEvaluator.MAX_POOL_SLOTS * mostRate);
         for (LearnedNode node : learned.nodes()) {
-            assertTrue(node.measuredSlots() >= 0 && node.measuredSlots() <= Trust.MOST_NODE_SLOTS, node.toString());
+            assertTrue(
+                    node.measuredSlots() >= 0 && node.measuredSlots() <= SnapshotEvaluator.MAX_NODE_SLOTS,
+                    node.toString());
             assertTrue(
                     node.servedUnits() >= 0 && node.servedUnits() <= node.measuredSlots() * mostRate * (1 + 1e-9),
                     node.toString());
             assertTrue(node.window() >= 0.9999 && node.window() <= Policy.MAX_WINDOW, node.toString());
             assertTrue(node.latencyMs() > 0 && node.latencyMs() <= 1500, node.toString());
-            assertTrue(node.silentMs() >= 0 && node.silentMs() <= Trust.OLDEST_MS, node.toString());
+            assertTrue(node.silentMs() >= 0 && node.silentMs() <= SnapshotEvaluator.MAX_AGE_MS, node.toString());
             assertTrue(Double.isFinite(node.coldSentUnits()) && node.coldSentUnits() >= 0, node.toString());
         }
         for (LearnedVolume volume : learned.volumes()) {
@@ -226,7 +230,7 @@
                 lines * 2,
                 learned.nodes().size()
                         + learned.volumes().size()
-                        + (verdict.refused() == null ? verdict.dropped() : lines * 2));
+                        + (verdict.rejectionReason() == null ? verdict.droppedEntries() : lines * 2));
     }
 
     private static double odd(Random random) {
--- a/src/test/java/petrelstand/store/AccountsLogTest.java
+++ b/src/test/java/petrelstand/store/AccountsLogTest.java
@@ -28,8 +28,8 @@
 
 /** Records of the accounts: read back as written, torn anywhere, rotated, and never in the loop's way. */
 class AccountsLogTest {
-    private static final AccountsRecord.Names NAMES =
-            new AccountsRecord.Names("n1", List.of("tile-read", "survey-write", "bulk-export"), List.of("basic"));
+    private static final AccountsRecord.NameTable NAMES =
+            new AccountsRecord.NameTable("n1", List.of("tile-read", "survey-write", "bulk-export"), List.of("basic"));
 
     @TempDir
     Path folder;
@@ -47,10 +47,10 @@
 
     private static byte[] file(int seconds) throws IOException {
         ByteArrayOutputStream all = new ByteArrayOutputStream();
-        all.write(AccountsRecord.head());
-        all.write(AccountsRecord.frame(NAMES));
+        all.write(AccountsRecord.header());
+        all.write(AccountsRecord.encodeFrame(NAMES));
         for (int i = 1; i <= seconds; i++) {
-            all.write(AccountsRecord.frame(second(i)));
+            all.write(AccountsRecord.encodeFrame(second(i)));
         }
         return all.toByteArray();
     }
@@ -62,13 +62,13 @@
         assertEquals(NAMES, content.names());
         assertEquals(List.of(second(1), second(2), second(3), second(4), second(5)), content.seconds());
         assertNull(content.fault());
-        int frame = AccountsRecord.frame(second(1)).length;
-        for (int cut = AccountsRecord.HEAD; cut < whole.length; cut++) {
+        int frame = AccountsRecord.encodeFrame(second(1)).length;
+        for (int cut = AccountsRecord.HEADER_BYTES; cut < whole.length; cut++) {
             AccountsRecord.Content torn = AccountsRecord.read(Arrays.copyOf(whole, cut));
             int expected = Math.max(0, 5 - (whole.length - cut + frame - 1) / frame);
             assertEquals(expected, torn.seconds().size(), "cut at " + cut);
         }
-        for (int at = AccountsRecord.HEAD; at < whole.length; at++) {
+        for (int at = AccountsRecord.HEADER_BYTES; at < whole.length; at++) {
             byte[] flipped = whole.clone();
             flipped[at] ^= 0x41;
             AccountsRecord.Content bad = AccountsRecord.read(flipped);
@@ -78,11 +78,11 @@
         for (int at = 0; at < 10; at++) {
             byte[] flipped = whole.clone();
             flipped[at] ^= 0x41;
-            assertThrows(StateFault.class, () -> AccountsRecord.read(flipped));
+            assertThrows(FileFormatException.class, () -> AccountsRecord.read(flipped));
         }
     }
 
-    private AccountsLog log(AccountsLog.Opening opening, int mostBytes) {
+    private AccountsLog log(AccountsLog.FolderOpener opening, int mostBytes) {
         Consumer<Runnable> on = loop::add;
         return new AccountsLog(opening, NAMES, mostBytes, counters, on, log::add);
     }
@@ -101,10 +101,10 @@
         try (Stream<Path> all = Files.list(folder)) {
             files = all.filter(file -> file.getFileName().toString().startsWith("accounts-"))
                     .sorted(java.util.Comparator.comparingLong(
-                            f -> AccountsLog.number(f.getFileName().toString())))
+                            f -> AccountsLog.fileNumber(f.getFileName().toString())))
                     .toList();
         }
-        assertEquals(AccountsLog.MOST_KEPT, files.size());
+        assertEquals(AccountsLog.MAX_FILES, files.size());
         List<Long> seconds = new ArrayList<>();
         for (Path file : files) {
             AccountsRecord.Content content = AccountsRecord.read(Files.readAllBytes(file));
@@ -157,7 +157,7 @@
     void theBookTellsEachSecondAndMinuteOnce() {
         Book book = new Book();
         List<Book.Second> seconds = new ArrayList<>();
-        List<AccountsRecord.Minute> minutes = new ArrayList<>();
+        List<AccountsRecord.MinuteRecord> minutes = new ArrayList<>();
         book.keep(new Book.Keeper() {
             @Override
             public void over(Book.Second one) {
@@ -166,7 +166,7 @@
 
             @Override
             public void over(Book.Minute one) {
-                minutes.add(AccountsRecord.of(one));
+                minutes.add(AccountsRecord.toRecord(one));
             }
         });
         for (int i = 0; i < 130; i++) {
@@ -191,8 +191,11 @@
                 130 * 4_000, seconds.stream().mapToLong(Book.Second::waitUs).sum());
         assertEquals(
                 List.of(0L, 60L, 120L),
-                minutes.stream().map(AccountsRecord.Minute::fromSecond).toList());
+                minutes.stream().map(AccountsRecord.MinuteRecord::fromSecond).toList());
         assertEquals(
-                130, minutes.stream().mapToLong(AccountsRecord.Minute::requests).sum());
+                130,
+                minutes.stream()
+                        .mapToLong(AccountsRecord.MinuteRecord::requests)
+                        .sum());
     }
 }
--- a/src/test/java/petrelstand/store/SimFolder.java
+++ b/src/test/java/petrelstand/store/SimFolder.java
@@ -36,21 +36,21 @@
     private final List<Change> unsynced = new ArrayList<>();
     private int steps;
     /** The step before which the power is cut; steps count from 0. */
-    int cutBefore = Integer.MAX_VALUE;
+    int failBeforeStep = Integer.MAX_VALUE;
     /** Called before each step; may throw in its place. */
-    Consumer<String> before = step -> {};
+    Consumer<String> beforeStep = step -> {};
 
-    boolean taken;
+    boolean lockedByOther;
 
     /** The power was cut. */
-    static final class Cut extends RuntimeException {
+    static final class PowerLoss extends RuntimeException {
         private static final long serialVersionUID = 1;
     }
 
     private void step(String what) {
-        before.accept(what);
-        if (steps++ >= cutBefore) {
-            throw new Cut();
+        beforeStep.accept(what);
+        if (steps++ >= failBeforeStep) {
+            throw new PowerLoss();
         }
     }
 
@@ -68,12 +68,12 @@
     }
 
     /** How many ways a cut now can leave the disk. */
-    int outcomes() {
+    int crashOutcomes() {
         return 1 << Math.min(12, unsynced.size());
     }
 
     /** The folder as found after a cut: a subset of the unsynced changes, and one of the ways to lose content. */
-    SimFolder after(int subset, int loss) {
+    SimFolder afterCrash(int subset, int loss) {
         SimFolder found = new SimFolder();
         Map<String, File> left = new TreeMap<>(onDisk);
         for (int i = 0; i < unsynced.size(); i++) {
@@ -89,7 +89,7 @@
             }
         }
         left.forEach((name, file) -> {
-            byte[] content = file.onDisk != null ? file.onDisk : lose(file.content, loss);
+            byte[] content = file.onDisk != null ? file.onDisk : loseContent(file.content, loss);
             File kept = new File(content, content);
             found.names.put(name, kept);
             found.onDisk.put(name, kept);
@@ -97,9 +97,9 @@
         return found;
     }
 
-    static final int LOSSES = 4;
+    static final int LOSS_MODES = 4;
 
-    private static byte[] lose(byte[] content, int loss) {
+    private static byte[] loseContent(byte[] content, int loss) {
         byte[] noise = new byte[content.length];
         return switch (loss) {
             case 0 -> new byte[0];
@@ -114,8 +114,8 @@
     }
 
     @Override
-    public boolean lock() {
-        return !taken;
+    public boolean tryLock() {
+        return !lockedByOther;
     }
 
     @Override
@@ -161,7 +161,7 @@
     }
 
     @Override
-    public void syncNames() {
+    public void syncDirectory() {
         step("sync names");
         for (Change change : unsynced) {
             if (change.file == null) {
--- a/src/test/java/petrelstand/store/StateStoreTest.java
+++ b/src/test/java/petrelstand/store/SnapshotStoreTest.java
@@ -21,11 +21,11 @@
 import petrelstand.decision.Scheduling.LearnedNode;
 import petrelstand.decision.Scheduling.LearnedState;
 import petrelstand.decision.Scheduling.LearnedVolume;
-import petrelstand.state.Generations;
 import petrelstand.state.Snapshot;
+import petrelstand.state.SnapshotFiles;
 
 /** Files that are never half written, on a disk that loses, tears and reorders, and on a real one. */
-class StateStoreTest {
+class SnapshotStoreTest {
     @TempDir
     Path folder;
 
@@ -41,7 +41,8 @@
     }
 
     private static Snapshot same(Snapshot of, long generation) {
-        return new Snapshot(of.gateway(), of.settingsPrint(), generation, of.wallMs(), of.clean(), of.learned());
+        return new Snapshot(
+                of.gateway(), of.settingsFingerprint(), generation, of.wallMs(), of.cleanShutdown(), of.learned());
     }
 
     @Test
@@ -59,24 +60,24 @@
         boolean goesOn = true;
         for (int cut = 0; goesOn; cut++) {
             SimFolder disk = new SimFolder();
-            disk.cutBefore = cut;
+            disk.failBeforeStep = cut;
             int durable = 0;
             int begun = 0;
             try {
-                StateStore store = new StateStore(disk);
+                SnapshotStore store = new SnapshotStore(disk);
                 assertNotNull(store.open());
                 for (begun = 1; begun <= 8; begun++) {
                     store.write(snapshot(begun));
                     durable = begun;
                 }
                 goesOn = false;
-            } catch (SimFolder.Cut e) {
+            } catch (SimFolder.PowerLoss e) {
                 // The disk is looked at below.
             }
-            for (int subset = 0; subset < disk.outcomes(); subset++) {
-                for (int loss = 0; loss < SimFolder.LOSSES; loss++) {
-                    SimFolder found = disk.after(subset, loss);
-                    StateStore store = new StateStore(found);
+            for (int subset = 0; subset < disk.crashOutcomes(); subset++) {
+                for (int loss = 0; loss < SimFolder.LOSS_MODES; loss++) {
+                    SimFolder found = disk.afterCrash(subset, loss);
+                    SnapshotStore store = new SnapshotStore(found);
                     Snapshot newest = store.open().newest();
                     long number = newest == null ? 0 : newest.wallMs();
                     assertTrue(
@@ -88,7 +89,7 @@
                     }
                     // And it can be written on from there.
                     store.write(snapshot(50));
-                    assertEquals(50, new StateStore(found).open().newest().wallMs());
+                    assertEquals(50, new SnapshotStore(found).open().newest().wallMs());
                     tried++;
                 }
             }
@@ -103,10 +104,13 @@
             @Override
             public void sync(String name) {}
         };
-        new StateStore(disk).write(snapshot(1));
+        new SnapshotStore(disk).write(snapshot(1));
         boolean lost = false;
-        for (int loss = 0; loss < SimFolder.LOSSES; loss++) {
-            lost |= new StateStore(disk.after(disk.outcomes() - 1, loss)).open().newest() == null;
+        for (int loss = 0; loss < SimFolder.LOSS_MODES; loss++) {
+            lost |= new SnapshotStore(disk.afterCrash(disk.crashOutcomes() - 1, loss))
+                            .open()
+                            .newest()
+                    == null;
         }
         assertTrue(lost);
     }
@@ -118,33 +122,34 @@
             for (int flip : new int[] {1, 0x80, 0xff}) {
                 byte[] bad = good.clone();
                 bad[at] ^= (byte) flip;
-                StateFault fault = assertThrows(StateFault.class, () -> SnapshotFormat.decode(bad));
+                FileFormatException fault = assertThrows(FileFormatException.class, () -> SnapshotFormat.decode(bad));
                 assertTrue(fault.offset() >= 0
                         && fault.offset() <= good.length
                         && !fault.getMessage().contains("\n"));
             }
             byte[] cut = Arrays.copyOf(good, at);
-            assertThrows(StateFault.class, () -> SnapshotFormat.decode(cut));
+            assertThrows(FileFormatException.class, () -> SnapshotFormat.decode(cut));
         }
-        assertThrows(StateFault.class, () -> SnapshotFormat.decode(Arrays.copyOf(good, good.length + 1)));
+        assertThrows(FileFormatException.class, () -> SnapshotFormat.decode(Arrays.copyOf(good, good.length + 1)));
     }
 
     /** A checksum that fits does not make nonsense sense. */
     @Test
     void nonsenseThatIsWellFormedIsRefusedWithItsPlace() throws Exception {
         byte[] good = SnapshotFormat.encode(same(snapshot(1), 1));
-        byte[] payload = Arrays.copyOfRange(good, SnapshotFormat.HEAD, good.length - SnapshotFormat.TAIL);
-        refused(SnapshotFormat.frame(2, payload), "offset 8: version 2 is newer than 1");
-        refused(SnapshotFormat.frame(0, payload), "offset 8: version 0 is older than 1");
-        refused(SnapshotFormat.frame(1, new byte[0]), "a list is wanted here");
-        refused(SnapshotFormat.frame(1, Arrays.copyOf(payload, payload.length - 1)), "offset");
-        refused(SnapshotFormat.frame(1, Arrays.copyOf(payload, payload.length + 1)), "something follows");
+        byte[] payload =
+                Arrays.copyOfRange(good, SnapshotFormat.HEADER_BYTES, good.length - SnapshotFormat.TRAILER_BYTES);
+        refused(SnapshotFormat.encodeFile(2, payload), "offset 8: version 2 is newer than 1");
+        refused(SnapshotFormat.encodeFile(0, payload), "offset 8: version 0 is older than 1");
+        refused(SnapshotFormat.encodeFile(1, new byte[0]), "a list is wanted here");
+        refused(SnapshotFormat.encodeFile(1, Arrays.copyOf(payload, payload.length - 1)), "offset");
+        refused(SnapshotFormat.encodeFile(1, Arrays.copyOf(payload, payload.length + 1)), "something follows");
         refused(SnapshotFormat.encode(with(new LearnedNode(1, 0, Double.NaN, 1, 1, 1, 0, 0))), "a node's slots");
         refused(
                 SnapshotFormat.encode(with(new LearnedNode(1, 0, 1, 1, 1, Double.POSITIVE_INFINITY, 0, 0))),
                 "a node's latency");
-        refused(SnapshotFormat.frame(1, nodes(1_000_000 / 8)), "there are more than 4096 nodes");
-        refused(new byte[SnapshotFormat.MOST_BYTES + 1], "the file is longer than");
+        refused(SnapshotFormat.encodeFile(1, nodes(1_000_000 / 8)), "there are more than 4096 nodes");
+        refused(new byte[SnapshotFormat.MAX_FILE_BYTES + 1], "the file is longer than");
         refused(
                 "this is a text and not a state file".getBytes(java.nio.charset.StandardCharsets.US_ASCII),
                 "offset 0: this is not a state file");
@@ -173,7 +178,7 @@
                     to.writeNumber(1.0f);
                 }
                 to.writeEndArray();
-                if (bytes.size() > SnapshotFormat.MOST_BYTES - 100_000) {
+                if (bytes.size() > SnapshotFormat.MAX_FILE_BYTES - 100_000) {
                     break;
                 }
             }
@@ -181,73 +186,76 @@
         } catch (IOException e) {
             // The list was left open on purpose: its length is what it claims.
         }
-        return Arrays.copyOf(bytes.toByteArray(), Math.min(bytes.size(), SnapshotFormat.MOST_BYTES - 1000));
+        return Arrays.copyOf(bytes.toByteArray(), Math.min(bytes.size(), SnapshotFormat.MAX_FILE_BYTES - 1000));
     }
 
     private static void refused(byte[] file, String why) {
-        String message = assertThrows(StateFault.class, () -> SnapshotFormat.decode(file), why)
+        String message = assertThrows(FileFormatException.class, () -> SnapshotFormat.decode(file), why)
                 .getMessage();
         assertTrue(message.contains(why), message + " should be: " + why);
     }
 
     @Test
     void whatIsRefusedStaysAndTheOneBeforeIsUsed() throws Exception {
-        Path older = folder.resolve(Generations.name(1));
-        try (StateStore store = new StateStore(new DiskFolder(folder))) {
+        Path older = folder.resolve(SnapshotFiles.fileName(1));
+        try (SnapshotStore store = new SnapshotStore(new DiskFolder(folder))) {
             store.open();
             store.write(snapshot(1));
             store.write(snapshot(2));
         }
-        Path newer = Files.write(folder.resolve(Generations.name(3)), SnapshotFormat.frame(7, new byte[9]));
-        Path torn = Files.write(folder.resolve(Generations.name(4)), Arrays.copyOf(Files.readAllBytes(older), 100));
-        Path link = Files.createSymbolicLink(folder.resolve(Generations.name(5)), older);
-        Files.writeString(folder.resolve(Generations.temporary(6)), "half");
-        try (StateStore store = new StateStore(new DiskFolder(folder))) {
-            StateStore.Found found = store.open();
+        Path newer = Files.write(folder.resolve(SnapshotFiles.fileName(3)), SnapshotFormat.encodeFile(7, new byte[9]));
+        Path torn =
+                Files.write(folder.resolve(SnapshotFiles.fileName(4)), Arrays.copyOf(Files.readAllBytes(older), 100));
+        Path link = Files.createSymbolicLink(folder.resolve(SnapshotFiles.fileName(5)), older);
+        Files.writeString(folder.resolve(SnapshotFiles.temporaryFileName(6)), "half");
+        try (SnapshotStore store = new SnapshotStore(new DiskFolder(folder))) {
+            SnapshotStore.OpenResult found = store.open();
             assertEquals(2, found.newest().wallMs());
-            assertEquals(3, found.refused().size(), found.refused().toString());
+            assertEquals(3, found.rejected().size(), found.rejected().toString());
             assertTrue(
-                    found.refused().get(2).contains("version 7 is newer than 1"),
-                    found.refused().toString());
+                    found.rejected().get(2).contains("version 7 is newer than 1"),
+                    found.rejected().toString());
             for (int i = 10; i < 14; i++) {
                 store.write(snapshot(i));
             }
         }
         assertTrue(Files.exists(newer) && Files.exists(torn) && Files.isSymbolicLink(link));
-        assertTrue(Files.notExists(older) && Files.notExists(folder.resolve(Generations.temporary(6))));
-        assertTrue(
-                Files.exists(folder.resolve(Generations.name(8))) && Files.exists(folder.resolve(Generations.name(9))));
+        assertTrue(Files.notExists(older) && Files.notExists(folder.resolve(SnapshotFiles.temporaryFileName(6))));
+        assertTrue(Files.exists(folder.resolve(SnapshotFiles.fileName(8)))
+                && Files.exists(folder.resolve(SnapshotFiles.fileName(9))));
         assertEquals(
                 "rw-------",
-                PosixFilePermissions.toString(Files.getPosixFilePermissions(folder.resolve(Generations.name(9)))));
+                PosixFilePermissions.toString(
+                        Files.getPosixFilePermissions(folder.resolve(SnapshotFiles.fileName(9)))));
     }
 
     @Test
     void aLinkPutInTheWayIsNotFollowed() throws Exception {
         Path precious = Files.writeString(folder.resolve("precious"), "keep me");
         Path state = folder.resolve("state");
-        try (StateStore store = new StateStore(new DiskFolder(state))) {
+        try (SnapshotStore store = new SnapshotStore(new DiskFolder(state))) {
             store.open();
-            Files.createSymbolicLink(state.resolve(Generations.temporary(1)), precious);
-            Files.createSymbolicLink(state.resolve(Generations.name(1)), precious);
+            Files.createSymbolicLink(state.resolve(SnapshotFiles.temporaryFileName(1)), precious);
+            Files.createSymbolicLink(state.resolve(SnapshotFiles.fileName(1)), precious);
             store.write(snapshot(1));
         }
         assertEquals("keep me", Files.readString(precious));
-        assertTrue(Files.isRegularFile(state.resolve(Generations.name(1)), java.nio.file.LinkOption.NOFOLLOW_LINKS));
+        assertTrue(
+                Files.isRegularFile(state.resolve(SnapshotFiles.fileName(1)), java.nio.file.LinkOption.NOFOLLOW_LINKS));
         Path other = Files.createDirectory(folder.resolve("other"));
-        Files.createSymbolicLink(other.resolve(DiskFolder.LOCK), precious);
-        assertThrows(IOException.class, () -> new StateStore(new DiskFolder(other)).open());
+        Files.createSymbolicLink(other.resolve(DiskFolder.LOCK_FILE_NAME), precious);
+        assertThrows(IOException.class, () -> new SnapshotStore(new DiskFolder(other)).open());
     }
 
     @Test
     void theSecondOfTwoOnOneFolderGoesWithout() throws Exception {
-        try (StateStore first = new StateStore(new DiskFolder(folder));
-                StateStore second = new StateStore(new DiskFolder(folder))) {
+        try (SnapshotStore first = new SnapshotStore(new DiskFolder(folder));
+                SnapshotStore second = new SnapshotStore(new DiskFolder(folder))) {
             assertNotNull(first.open());
             assertNull(second.open());
             first.write(snapshot(1));
         }
-        try (StateStore third = new StateStore(new DiskFolder(folder))) {
+        try (SnapshotStore third = new SnapshotStore(new DiskFolder(folder))) {
             assertEquals(1, third.open().newest().wallMs());
         }
     }
@@ -255,12 +263,12 @@
     @Test
     void aFolderThatWasReplacedIsNotWrittenTo() throws Exception {
         Path state = folder.resolve("state");
-        try (StateStore store = new StateStore(new DiskFolder(state))) {
+        try (SnapshotStore store = new SnapshotStore(new DiskFolder(state))) {
             store.open();
             Files.move(state, folder.resolve("moved"));
             assertThrows(IOException.class, () -> store.write(snapshot(1)));
             Files.createDirectory(state);
-            Files.writeString(state.resolve(DiskFolder.LOCK), "");
+            Files.writeString(state.resolve(DiskFolder.LOCK_FILE_NAME), "");
             assertTrue(assertThrows(IOException.class, () -> store.write(snapshot(1)))
                     .getMessage()
                     .contains("not the one that was locked"));
--- a/src/test/java/petrelstand/store/StateKeeperTest.java
+++ b/src/test/java/petrelstand/store/StateKeeperTest.java
@@ -19,7 +19,7 @@
 import petrelstand.decision.Scheduling.LearnedNode;
 import petrelstand.decision.Scheduling.NodeState;
 import petrelstand.decision.Scheduling.Outcome;
-import petrelstand.state.WritePlan;
+import petrelstand.state.SnapshotSchedule;
 import petrelstand.testing.Harness;
 import petrelstand.testing.SilentClient;
 
@@ -29,7 +29,7 @@
     private final SimFolder disk = new SimFolder();
     private final LinkedBlockingQueue<Runnable> loop = new LinkedBlockingQueue<>();
     private final Harness world = new Harness();
-    private StateKeeper.Opening opening = () -> disk;
+    private StateKeeper.FolderOpener opening = () -> disk;
 
     private final class Server implements NodeTransport {
         @Override
@@ -103,7 +103,7 @@
         LearnedNode before = broker.learnedState().nodes().get(0);
         assertTrue(before.latencyMs() < 40, before.toString());
         boolean[] ended = new boolean[1];
-        first.last(() -> ended[0] = true);
+        first.writeFinalSnapshot(() -> ended[0] = true);
         // A write of the ordinary pace may be under way; the last one follows it.
         while (!ended[0]) {
             took();
@@ -155,7 +155,7 @@
         Broker broker = broker();
         keeper.start(broker);
         world.list(Harness.node("s-00000001", 3, NodeState.READY, 0));
-        disk.before = step -> {
+        disk.beforeStep = step -> {
             if (step.equals("create")) {
                 throw new UncheckedIOException(new IOException("No space left on device"));
             }
@@ -168,7 +168,7 @@
         assertEquals(5, world.counters.get("answered.served"));
         assertEquals(1, lines("No space left on device"), world.log.toString());
         assertEquals(2, world.counters.get("state.failed"));
-        disk.before = step -> {};
+        disk.beforeStep = step -> {};
         world.run(60_000_000);
         took();
         assertEquals(1, lines("state: written again"));
@@ -178,7 +178,7 @@
     /** A folder that goes away is opened anew, and taken again, when it comes back. */
     @Test
     void aFolderThatGoesAwayAndComesBackIsUsedAgain() throws Exception {
-        StateKeeper.Opening there = opening;
+        StateKeeper.FolderOpener there = opening;
         opening = () -> {
             throw new java.nio.file.NoSuchFileException("/state");
         };
@@ -202,14 +202,14 @@
         Broker broker = broker();
         keeper.start(broker);
         world.list(Harness.node("s-00000001", 3, NodeState.READY, 0));
-        disk.before = step -> {
+        disk.beforeStep = step -> {
             try {
                 hangs.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         };
-        world.run(EVERY_US + WritePlan.HUNG_US + 1_000);
+        world.run(EVERY_US + SnapshotSchedule.HUNG_WRITE_US + 1_000);
         assertEquals(1, lines("a write has not ended in 2 s"), world.log.toString());
         serve(broker, 5);
         world.run(10_000_000);
@@ -217,8 +217,8 @@
         assertEquals(1, lines("a write has not ended"));
         // The end does not wait for it longer than stated.
         boolean[] ended = new boolean[1];
-        keeper.last(() -> ended[0] = true);
-        world.run(StateKeeper.LAST_WRITE_US - 1);
+        keeper.writeFinalSnapshot(() -> ended[0] = true);
+        world.run(StateKeeper.FINAL_WRITE_TIMEOUT_US - 1);
         assertTrue(!ended[0]);
         world.run(1);
         assertTrue(ended[0]);
@@ -230,7 +230,7 @@
 
     @Test
     void aFolderThatAnotherHasIsLeftAlone() throws Exception {
-        disk.taken = true;
+        disk.lockedByOther = true;
         StateKeeper keeper = keeper();
         keeper.open();
         keeper.start(broker());
@@ -238,7 +238,7 @@
         assertEquals(List.of("state: another gateway has the folder; this one keeps nothing"), world.log);
         assertEquals(0, disk.steps());
         boolean[] ended = new boolean[1];
-        keeper.last(() -> ended[0] = true);
+        keeper.writeFinalSnapshot(() -> ended[0] = true);
         assertTrue(ended[0]);
     }
 }
--- a/src/test/java/petrelstand/store/StoredAccountsCompatibilityTest.java
+++ b/src/test/java/petrelstand/store/StoredAccountsCompatibilityTest.java
@@ -28,7 +28,7 @@
     private static final String FILE = "accounts/accounts-3.log";
     private static final long CLOSE_WITHIN_MS = 20_000;
 
-    private static final AccountsRecord.Names NAMES = new AccountsRecord.Names(
+    private static final AccountsRecord.NameTable NAMES = new AccountsRecord.NameTable(
             "gateway-north", List.of("tile-read", "survey-write", "bulk-export"), List.of("basic", "priority"));
 
     private static final Book.Second SECOND = new Book.Second(
@@ -42,7 +42,7 @@
                     new Ledger.Entry(new Ledger.Cell(9, 12, 3, Cause.UNSEEN), 30_004, 70_000),
                     new Ledger.Entry(new Ledger.Cell(10, 13, 4, Cause.OTHERS), 4_557, 5)));
 
-    private static final AccountsRecord.Minute MINUTE = new AccountsRecord.Minute(
+    private static final AccountsRecord.MinuteRecord MINUTE = new AccountsRecord.MinuteRecord(
             1_796_000_100L,
             977,
             955,
@@ -77,16 +77,16 @@
 
     static byte[] head() throws IOException {
         ByteArrayOutputStream record = new ByteArrayOutputStream();
-        record.write(AccountsRecord.head());
-        record.write(AccountsRecord.frame(NAMES));
-        record.write(AccountsRecord.frame(SECOND));
+        record.write(AccountsRecord.header());
+        record.write(AccountsRecord.encodeFrame(NAMES));
+        record.write(AccountsRecord.encodeFrame(SECOND));
         return record.toByteArray();
     }
 
     static byte[] record() throws IOException {
         ByteArrayOutputStream record = new ByteArrayOutputStream();
         record.write(head());
-        record.write(AccountsRecord.frame(MINUTE));
+        record.write(AccountsRecord.encodeFrame(MINUTE));
         return record.toByteArray();
     }
 
--- a/src/test/java/petrelstand/store/StoredIncarnationCompatibilityTest.java
+++ b/src/test/java/petrelstand/store/StoredIncarnationCompatibilityTest.java
@@ -13,7 +13,7 @@
 
 /**
  * Guards against an incarnation that goes back because the file of an earlier version is not read. The file is what
- * {@link Incarnations#write} made of {@link #STORED}.
+ * {@link IncarnationFile#write} made of {@link #STORED}.
  */
 class StoredIncarnationCompatibilityTest {
     private static final String FOLDER = "incarnation";
@@ -30,9 +30,9 @@
         StoredFiles.copyFolder(FOLDER, folder);
         List<String> warnings = new ArrayList<>();
         try (DiskFolder disk = new DiskFolder(folder)) {
-            assertEquals(STORED, Incarnations.read(disk));
-            assertEquals(1_796_000_123_456_790L, Incarnations.begin(disk, WALL_CLOCK_US, warnings::add));
-            assertEquals(1_796_000_124_505_366L, Incarnations.read(disk));
+            assertEquals(STORED, IncarnationFile.read(disk));
+            assertEquals(1_796_000_123_456_790L, IncarnationFile.reserve(disk, WALL_CLOCK_US, warnings::add));
+            assertEquals(1_796_000_124_505_366L, IncarnationFile.read(disk));
         }
         assertEquals(List.of(), warnings);
     }
@@ -40,7 +40,7 @@
     @Test
     void writingTheIncarnationGivesTheStoredBytes() throws Exception {
         try (DiskFolder disk = new DiskFolder(folder)) {
-            Incarnations.write(disk, STORED);
+            IncarnationFile.write(disk, STORED);
         }
         assertArrayEquals(StoredFiles.read(FOLDER + "/" + FILE), Files.readAllBytes(folder.resolve(FILE)));
     }
--- a/src/test/java/petrelstand/store/StoredRulesTextCompatibilityTest.java
+++ b/src/test/java/petrelstand/store/StoredRulesTextCompatibilityTest.java
@@ -13,7 +13,7 @@
 
 /**
  * Guards against losing the last known rules because the file of an earlier version is not read. The file is what
- * {@link KeptText#keep} made of {@link #VERSION} and {@link #TEXT}.
+ * {@link VersionedTextFile#save} made of {@link #VERSION} and {@link #TEXT}.
  */
 class StoredRulesTextCompatibilityTest {
     private static final String FOLDER = "rules-text";
@@ -29,7 +29,7 @@
         StoredFiles.copyFolder(FOLDER, folder);
         List<String> warnings = new ArrayList<>();
         try (DiskFolder disk = new DiskFolder(folder)) {
-            KeptText stored = new KeptText(disk, warnings::add);
+            VersionedTextFile stored = new VersionedTextFile(disk, warnings::add);
             assertEquals(VERSION, stored.version());
             assertEquals(TEXT, stored.text());
         }
@@ -39,7 +39,7 @@
     @Test
     void keepingTheTextGivesTheStoredBytes() throws Exception {
         try (DiskFolder disk = new DiskFolder(folder)) {
-            new KeptText(disk, line -> {}).keep(VERSION, TEXT);
+            new VersionedTextFile(disk, line -> {}).save(VERSION, TEXT);
         }
         assertArrayEquals(StoredFiles.read(FOLDER + "/" + FILE), Files.readAllBytes(folder.resolve(FILE)));
     }
--- a/src/test/java/petrelstand/store/StoredSnapshotCompatibilityTest.java
+++ b/src/test/java/petrelstand/store/StoredSnapshotCompatibilityTest.java
@@ -45,8 +45,8 @@
     @Test
     void storeReadsEveryFieldOfTheStoredSnapshot() throws Exception {
         StoredFiles.copyFolder(FOLDER, folder);
-        try (StateStore store = new StateStore(new DiskFolder(folder))) {
-            assertEquals(new StateStore.Found(STORED, List.of()), store.open());
+        try (SnapshotStore store = new SnapshotStore(new DiskFolder(folder))) {
+            assertEquals(new SnapshotStore.OpenResult(STORED, List.of()), store.open());
         }
     }
 
--- a/src/test/java/petrelstand/store/VoteFilesTest.java
+++ b/src/test/java/petrelstand/store/VoteFilesTest.java
@@ -95,7 +95,7 @@
         boolean goesOn = true;
         for (int cut = 0; goesOn; cut++) {
             SimFolder disk = new SimFolder();
-            disk.cutBefore = cut;
+            disk.failBeforeStep = cut;
             int durable = 0;
             try {
                 RaftFiles files = new RaftFiles(disk, line -> {});
@@ -104,13 +104,13 @@
                     durable = n;
                 }
                 goesOn = false;
-            } catch (SimFolder.Cut e) {
+            } catch (SimFolder.PowerLoss e) {
                 // The disk is looked at below.
             }
-            int outcomes = disk.outcomes();
+            int outcomes = disk.crashOutcomes();
             for (int subset = 0; subset < outcomes; subset += Math.max(1, outcomes / 16)) {
-                for (int loss = 0; loss < SimFolder.LOSSES; loss++) {
-                    SimFolder found = disk.after(subset, loss);
+                for (int loss = 0; loss < SimFolder.LOSS_MODES; loss++) {
+                    SimFolder found = disk.afterCrash(subset, loss);
                     RaftFiles files = new RaftFiles(found, line -> {});
                     String now = state(files);
                     assertTrue(
@@ -141,18 +141,18 @@
         for (int at = 0; at < middle.length; at++) {
             byte[] bad = middle.clone();
             bad[at] ^= 0x40;
-            SimFolder found = disk.after(0, 0);
+            SimFolder found = disk.afterCrash(0, 0);
             found.delete("vote-000000000005");
             found.create("vote-000000000005", bad);
-            StateFault fault = assertThrows(StateFault.class, () -> new RaftFiles(found, line -> {}));
+            FileFormatException fault = assertThrows(FileFormatException.class, () -> new RaftFiles(found, line -> {}));
             assertTrue(fault.getMessage().contains("vote-000000000005: "), fault.getMessage());
         }
-        SimFolder gap = disk.after(0, 0);
+        SimFolder gap = disk.afterCrash(0, 0);
         gap.delete("vote-000000000005");
-        assertTrue(assertThrows(StateFault.class, () -> new RaftFiles(gap, line -> {}))
+        assertTrue(assertThrows(FileFormatException.class, () -> new RaftFiles(gap, line -> {}))
                 .getMessage()
                 .contains("a file before vote-000000000006 is missing"));
-        SimFolder torn = disk.after(0, 0);
+        SimFolder torn = disk.afterCrash(0, 0);
         byte[] last = torn.read("vote-000000000012", 10_000);
         torn.delete("vote-000000000012");
         torn.create("vote-000000000012", java.util.Arrays.copyOf(last, last.length - 3));
