--- a/src/main/java/petrelstand/Gateway.java
+++ b/src/main/java/petrelstand/Gateway.java
@@ -212,10 +212,10 @@
 
     /** Switches the accounts on; where they are off nothing of them is loaded. */
     private void account(OperatorConfig.AccountsConfig how) {
-        AccountsPage page = AccountsPage.watch(broker, how.nodeCores());
+        AccountsPage page = AccountsPage.observe(broker, how.nodeCores());
         accounts = page;
         if (how.folder() != null) {
-            page.record(how.folder(), config.name(), counters, loop::execute, log);
+            page.startRecording(how.folder(), config.name(), counters, loop::execute, log);
         }
         if (how.metrics()) {
             front.addPage("/metrics", page.metrics()::text);
--- a/src/main/java/petrelstand/accounts/NodeModel.java
+++ b/src/main/java/petrelstand/accounts/NodeModel.java
@@ -14,13 +14,13 @@
  */
 final class NodeModel {
     /** Requests that wait in the model at most; more are not modelled, and wait for what is unseen. */
-    static final int MOST_QUEUED = 512;
+    static final int MAX_QUEUED = 512;
     /** How long the work done is remembered. */
-    static final long REMEMBERED_US = 10_000_000;
+    static final long WORK_KEPT_US = 10_000_000;
 
-    static final int MOST_REMEMBERED = 1024;
+    static final int MAX_WORK_KEPT = 1024;
     /** Owners that a wait is shared among at most. */
-    static final int MOST_OWNERS = 16;
+    static final int MAX_OWNERS = 16;
 
     /** One attempt at the node. */
     static final class Job {
@@ -28,12 +28,12 @@
         private final long arrivedUs;
         private final long workUs;
         /** When the model began and ended it; -1 where it has not. */
-        private long beganUs = -1;
+        private long startedUs = -1;
 
         private long endedUs = -1;
         private boolean queued;
         /** Whose work made it wait in the model; in core microseconds, and in proportion only. */
-        private List<Done> blame = List.of();
+        private List<CoreTime> waitedFor = List.of();
 
         private Job(Cause owner, long arrivedUs, long workUs) {
             this.owner = owner;
@@ -45,32 +45,32 @@
             return arrivedUs;
         }
 
-        boolean begun() {
-            return beganUs >= 0;
+        boolean hasStarted() {
+            return startedUs >= 0;
         }
     }
 
     /** Work that an owner's requests did in a stretch of time, in core microseconds. */
-    record Done(Cause owner, long us) {}
+    record CoreTime(Cause owner, long us) {}
 
     private final Job[] cores;
     private final ArrayDeque<Job> queue = new ArrayDeque<>();
     /** Work done and in hand, the oldest first. */
-    private final ArrayDeque<Job> work = new ArrayDeque<>();
+    private final ArrayDeque<Job> startedJobs = new ArrayDeque<>();
 
     private long nowUs;
-    private long longestUs;
+    private long longestWorkUs;
 
     NodeModel(int cores) {
         this.cores = new Job[cores];
     }
 
     int size() {
-        return queue.size() + work.size();
+        return queue.size() + startedJobs.size();
     }
 
     /** True where nothing of ours is there. */
-    boolean idle(long atUs) {
+    boolean advanceAndCheckIdle(long atUs) {
         advance(atUs);
         for (Job job : cores) {
             if (job != null) {
@@ -84,10 +84,10 @@
     Job arrive(long atUs, Cause owner, long workUs) {
         advance(atUs);
         Job job = new Job(owner, nowUs, Math.max(1, workUs));
-        if (queue.size() < MOST_QUEUED) {
+        if (queue.size() < MAX_QUEUED) {
             job.queued = true;
             queue.addLast(job);
-            fill(nowUs);
+            startQueuedJobs(nowUs);
         }
         return job;
     }
@@ -95,50 +95,51 @@
     /** Runs the model up to a time. */
     private void advance(long toUs) {
         while (true) {
-            int first = -1;
+            int nextCore = -1;
             for (int i = 0; i < cores.length; i++) {
-                if (cores[i] != null && (first < 0 || end(cores[i]) < end(cores[first]))) {
-                    first = i;
+                if (cores[i] != null && (nextCore < 0 || plannedEndUs(cores[i]) < plannedEndUs(cores[nextCore]))) {
+                    nextCore = i;
                 }
             }
-            if (first < 0 || end(cores[first]) > toUs) {
+            if (nextCore < 0 || plannedEndUs(cores[nextCore]) > toUs) {
                 break;
             }
-            long atUs = end(cores[first]);
-            cores[first].endedUs = atUs;
-            cores[first] = null;
-            fill(atUs);
+            long atUs = plannedEndUs(cores[nextCore]);
+            cores[nextCore].endedUs = atUs;
+            cores[nextCore] = null;
+            startQueuedJobs(atUs);
         }
         nowUs = Math.max(nowUs, toUs);
-        forget();
+        dropOldJobs();
     }
 
-    private static long end(Job job) {
-        return job.beganUs + job.workUs;
+    private static long plannedEndUs(Job job) {
+        return job.startedUs + job.workUs;
     }
 
-    private void fill(long atUs) {
+    private void startQueuedJobs(long atUs) {
         for (int i = 0; i < cores.length && !queue.isEmpty(); i++) {
             if (cores[i] == null) {
                 Job job = queue.removeFirst();
                 job.queued = false;
-                job.beganUs = atUs;
-                longestUs = Math.max(longestUs, job.workUs);
+                job.startedUs = atUs;
+                longestWorkUs = Math.max(longestWorkUs, job.workUs);
                 if (atUs > job.arrivedUs) {
                     nowUs = Math.max(nowUs, atUs);
-                    job.blame = doneIn(job.arrivedUs, atUs, job);
+                    job.waitedFor = coreTimeBetween(job.arrivedUs, atUs, job);
                 }
                 cores[i] = job;
-                work.addLast(job);
+                startedJobs.addLast(job);
             }
         }
     }
 
-    private void forget() {
-        while (!work.isEmpty()
-                && (work.size() > MOST_REMEMBERED
-                        || work.peekFirst().endedUs >= 0 && work.peekFirst().endedUs < nowUs - REMEMBERED_US)) {
-            work.removeFirst();
+    private void dropOldJobs() {
+        while (!startedJobs.isEmpty()
+                && (startedJobs.size() > MAX_WORK_KEPT
+                        || startedJobs.peekFirst().endedUs >= 0
+                                && startedJobs.peekFirst().endedUs < nowUs - WORK_KEPT_US)) {
+            startedJobs.removeFirst();
         }
     }
 
@@ -152,8 +153,8 @@
             queue.remove(job);
             job.queued = false;
         }
-        if (job.beganUs < 0) {
-            job.beganUs = nowUs;
+        if (job.startedUs < 0) {
+            job.startedUs = nowUs;
             job.endedUs = nowUs;
         }
         for (int i = 0; i < cores.length; i++) {
@@ -163,15 +164,15 @@
             }
         }
         if (!ran) {
-            work.remove(job);
-            job.endedUs = job.beganUs;
+            startedJobs.remove(job);
+            job.endedUs = job.startedUs;
         }
-        fill(nowUs);
+        startQueuedJobs(nowUs);
     }
 
     /** How long the model made a request wait, up to now where it still does. */
     long waitUs(Job job) {
-        return Math.max(0, (job.beganUs >= 0 ? job.beganUs : nowUs) - job.arrivedUs);
+        return Math.max(0, (job.startedUs >= 0 ? job.startedUs : nowUs) - job.arrivedUs);
     }
 
     /**
@@ -180,32 +181,33 @@
      * itself, stands there by the fault of those for whom it waited; so a read that an export delayed is not blamed for
      * the export.
      */
-    List<Done> doneIn(long fromUs, long toUs, Job but) {
-        Map<Cause, Long> done = new LinkedHashMap<>();
-        for (Iterator<Job> all = work.descendingIterator(); all.hasNext(); ) {
-            Job job = all.next();
-            if (job.beganUs < fromUs - longestUs) {
+    List<CoreTime> coreTimeBetween(long fromUs, long toUs, Job excluded) {
+        Map<Cause, Long> byOwner = new LinkedHashMap<>();
+        for (Iterator<Job> newestFirst = startedJobs.descendingIterator(); newestFirst.hasNext(); ) {
+            Job job = newestFirst.next();
+            if (job.startedUs < fromUs - longestWorkUs) {
                 break;
             }
-            long endUs = job.endedUs >= 0 ? job.endedUs : Math.max(job.beganUs, nowUs);
-            long overlap = overlap(fromUs, toUs, job.beganUs, endUs);
-            if (job == but || overlap == 0) {
+            long endUs = job.endedUs >= 0 ? job.endedUs : Math.max(job.startedUs, nowUs);
+            long overlap = overlap(fromUs, toUs, job.startedUs, endUs);
+            if (job == excluded || overlap == 0) {
                 continue;
             }
-            long anyway = Math.min(overlap, overlap(fromUs, toUs, job.arrivedUs, job.arrivedUs + endUs - job.beganUs));
-            long delayed = job.blame.isEmpty() ? 0 : overlap - anyway;
+            long undelayed =
+                    Math.min(overlap, overlap(fromUs, toUs, job.arrivedUs, job.arrivedUs + endUs - job.startedUs));
+            long delayed = job.waitedFor.isEmpty() ? 0 : overlap - undelayed;
             if (overlap > delayed) {
-                done.merge(job.owner, overlap - delayed, Long::sum);
+                byOwner.merge(job.owner, overlap - delayed, Long::sum);
             }
             if (delayed > 0) {
-                long[] parts = Split.exact(
-                        delayed, job.blame.stream().mapToLong(Done::us).toArray());
+                long[] parts = ProportionalSplit.split(
+                        delayed, job.waitedFor.stream().mapToLong(CoreTime::us).toArray());
                 for (int i = 0; i < parts.length; i++) {
-                    done.merge(job.blame.get(i).owner(), parts[i], Long::sum);
+                    byOwner.merge(job.waitedFor.get(i).owner(), parts[i], Long::sum);
                 }
             }
         }
-        return most(done);
+        return largest(byOwner);
     }
 
     private static long overlap(long fromUs, long toUs, long otherFromUs, long otherToUs) {
@@ -213,22 +215,22 @@
     }
 
     /** The heaviest few; what the rest did goes to {@link Cause#OTHERS}, so that the sum stays. */
-    private static List<Done> most(Map<Cause, Long> done) {
-        List<Done> all = new ArrayList<>();
-        done.forEach((owner, us) -> {
+    private static List<CoreTime> largest(Map<Cause, Long> byOwner) {
+        List<CoreTime> coreTimes = new ArrayList<>();
+        byOwner.forEach((owner, us) -> {
             if (us > 0) {
-                all.add(new Done(owner, us));
+                coreTimes.add(new CoreTime(owner, us));
             }
         });
-        if (all.size() <= MOST_OWNERS) {
-            return all;
+        if (coreTimes.size() <= MAX_OWNERS) {
+            return coreTimes;
         }
-        all.sort((a, b) -> Long.compare(b.us, a.us));
-        long rest = all.subList(MOST_OWNERS, all.size()).stream()
-                .mapToLong(Done::us)
+        coreTimes.sort((a, b) -> Long.compare(b.us, a.us));
+        long rest = coreTimes.subList(MAX_OWNERS, coreTimes.size()).stream()
+                .mapToLong(CoreTime::us)
                 .sum();
-        List<Done> kept = new ArrayList<>(all.subList(0, MOST_OWNERS));
-        kept.add(new Done(Cause.OTHERS, rest));
+        List<CoreTime> kept = new ArrayList<>(coreTimes.subList(0, MAX_OWNERS));
+        kept.add(new CoreTime(Cause.OTHERS, rest));
         return kept;
     }
 
@@ -237,7 +239,7 @@
         advance(atUs);
         queue.forEach(job -> {
             job.queued = false;
-            job.beganUs = nowUs;
+            job.startedUs = nowUs;
             job.endedUs = nowUs;
         });
         queue.clear();
--- a/src/main/java/petrelstand/cli/AccountsCommand.java
+++ b/src/main/java/petrelstand/cli/AccountsCommand.java
@@ -12,10 +12,10 @@
 import java.util.List;
 import java.util.concurrent.Callable;
 import java.util.stream.Stream;
-import petrelstand.accounts.Book;
+import petrelstand.accounts.LatencyHistory;
 import petrelstand.report.HtmlReport;
-import petrelstand.report.Report;
 import petrelstand.report.TextReport;
+import petrelstand.report.WaitReport;
 import petrelstand.store.AccountsRecord;
 import petrelstand.store.StateFault;
 import picocli.CommandLine.Command;
@@ -83,7 +83,7 @@
             PrintWriter out = spec.commandLine().getOut();
             PrintWriter err = spec.commandLine().getErr();
             AccountsRecord.Names names = null;
-            List<Book.Second> seconds = new ArrayList<>();
+            List<LatencyHistory.SecondStats> seconds = new ArrayList<>();
             List<AccountsRecord.Minute> minutes = new ArrayList<>();
             for (Path file : files()) {
                 try {
@@ -113,9 +113,9 @@
             }
             long first = second("--from", from, 0);
             long last = second("--to", to, Long.MAX_VALUE);
-            Report report = Report.of(
+            WaitReport report = WaitReport.summarize(
                     seconds,
-                    new Report.Query(
+                    new WaitReport.Query(
                             first,
                             last,
                             hex("--node", node == null ? null : node.replaceFirst("^s-", "")),
@@ -125,7 +125,7 @@
                     .filter(minute -> minute.fromSecond() + 59 >= first && minute.fromSecond() <= last)
                     .toList();
             if (html != null) {
-                Files.writeString(html, HtmlReport.page(report, names, within));
+                Files.writeString(html, HtmlReport.render(report, names, within));
             }
             if (json) {
                 out.println(
--- a/src/main/java/petrelstand/lab/AccountsCost.java
+++ b/src/main/java/petrelstand/lab/AccountsCost.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.SplittableRandom;
-import petrelstand.accounts.Accounts;
-import petrelstand.accounts.Book;
+import petrelstand.accounts.LatencyAttributor;
+import petrelstand.accounts.LatencyHistory;
 import petrelstand.core.Counters;
 import petrelstand.core.Demand;
 import petrelstand.core.Node;
@@ -38,8 +38,8 @@
         long[] freeUs = new long[nodes];
         ArrayDeque<Out> out = new ArrayDeque<>();
         long before = used();
-        Book book = new Book();
-        Accounts accounts = new Accounts(2, 18_000, book);
+        LatencyHistory book = new LatencyHistory();
+        LatencyAttributor accounts = new LatencyAttributor(2, 18_000, book);
         AccountsLog log = record == null
                 ? null
                 : AccountsLog.onDisk(
@@ -52,7 +52,7 @@
                         Runnable::run,
                         System.err::println);
         if (log != null) {
-            book.keep(log);
+            book.setListener(log);
         }
         var threads = java.lang.management.ManagementFactory.getThreadMXBean();
         long requests = (long) perSecond * seconds;
@@ -103,8 +103,8 @@
                 seconds,
                 us,
                 held / 1048576.0,
-                (book.running() == null ? 0 : book.running().requests())
-                        + (book.last() == null ? 0 : book.last().requests()));
+                (book.currentMinute() == null ? 0 : book.currentMinute().requests())
+                        + (book.lastMinute() == null ? 0 : book.lastMinute().requests()));
     }
 
     private static long used() {
--- a/src/main/java/petrelstand/lab/WaitTrial.java
+++ b/src/main/java/petrelstand/lab/WaitTrial.java
@@ -5,8 +5,8 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.SplittableRandom;
-import petrelstand.accounts.Accounts;
 import petrelstand.accounts.Cause;
+import petrelstand.accounts.LatencyAttributor;
 import petrelstand.config.IniFile;
 import petrelstand.core.Attempt;
 import petrelstand.core.Broker;
@@ -97,7 +97,7 @@
         }
         this.broker =
                 new Broker(WORLD.settings(0), seed, () -> nowUs, timers, new Server(), new Counters(), line -> {});
-        Accounts accounts = new Accounts(WORLD.cores(), LabNode.WARM_MS, this::over);
+        LatencyAttributor accounts = new LatencyAttributor(WORLD.cores(), LabNode.WARM_MS, this::over);
         broker.setObserver(accounts);
         broker.updateNodes(
                 NodeListKind.FULL,
@@ -189,13 +189,13 @@
                 exchange -> measured.put(exchange.id(), counts));
     }
 
-    private void over(Accounts.Account account) {
+    private void over(LatencyAttributor.RequestLatency account) {
         if (!Boolean.TRUE.equals(measured.remove(account.request()))) {
             return;
         }
         waits.reads++;
         waits.all += account.heldUs() + account.waitedUs();
-        for (Accounts.Share share : account.shares()) {
+        for (LatencyAttributor.WaitShare share : account.shares()) {
             if (share.cause().volume() == TEAM && share.cause().kind() == Cause.Kind.WORK) {
                 waits.team += share.us();
             } else {
--- a/src/main/java/petrelstand/report/AccountsPage.java
+++ b/src/main/java/petrelstand/report/AccountsPage.java
@@ -7,10 +7,10 @@
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import petrelstand.accounts.Accounts;
-import petrelstand.accounts.Book;
 import petrelstand.accounts.Cause;
-import petrelstand.accounts.Ledger;
+import petrelstand.accounts.LatencyAttributor;
+import petrelstand.accounts.LatencyHistory;
+import petrelstand.accounts.TopWaits;
 import petrelstand.core.Broker;
 import petrelstand.core.Counters;
 import petrelstand.decision.Scheduling.Settings;
@@ -19,30 +19,32 @@
 
 /** The accounts as JSON: what {@code GET /accounts} answers. Made on the loop, so it names the heaviest only. */
 public final class AccountsPage {
-    private static final int MOST_ENTRIES = 50;
-    private static final int MOST_SECONDS = 10;
-    private static final int MOST_CAUSES = 8;
-    private static final long LAST_WRITE_MS = 300;
+    private static final int MAX_ENTRIES = 50;
+    private static final int MAX_SECONDS = 10;
+    private static final int MAX_CAUSES = 8;
+    private static final long FINAL_WRITE_TIMEOUT_MS = 300;
 
     /** As they are now: a class keeps its place, and others may come. */
     private final Supplier<Settings> settings;
 
     private final Broker broker;
-    private final Accounts accounts;
-    private final Book book;
-    private AccountsLog records;
+    private final LatencyAttributor attributor;
+    private final LatencyHistory history;
+    private AccountsLog accountsLog;
 
     /** Switches accounts on before nodes of so many cores; from here on the broker tells them all. */
-    public static AccountsPage watch(Broker broker, int nodeCores) {
-        Book book = new Book();
-        Accounts accounts = new Accounts(nodeCores, broker.settings().rules().warmUpMs(), book);
-        broker.setObserver(accounts);
-        return new AccountsPage(broker, accounts, book);
+    public static AccountsPage observe(Broker broker, int nodeCores) {
+        LatencyHistory history = new LatencyHistory();
+        LatencyAttributor attributor =
+                new LatencyAttributor(nodeCores, broker.settings().rules().warmUpMs(), history);
+        broker.setObserver(attributor);
+        return new AccountsPage(broker, attributor, history);
     }
 
     /** Records in a folder from now on; what is logged and counted is on the loop. */
-    public void record(Path folder, String gateway, Counters counters, Consumer<Runnable> loop, Consumer<String> log) {
-        records = AccountsLog.onDisk(
+    public void startRecording(
+            Path folder, String gateway, Counters counters, Consumer<Runnable> loop, Consumer<String> log) {
+        accountsLog = AccountsLog.onDisk(
                 folder,
                 new AccountsRecord.Names(
                         gateway,
@@ -51,24 +53,24 @@
                 counters,
                 loop,
                 log);
-        book.keep(records);
+        history.setListener(accountsLog);
     }
 
     /** The end: what runs is recorded as over; goes on once it is written, or soon at the latest. */
-    public void close(Consumer<Runnable> loop, Runnable then) {
-        if (records == null) {
-            then.run();
+    public void close(Consumer<Runnable> loop, Runnable afterClose) {
+        if (accountsLog == null) {
+            afterClose.run();
             return;
         }
-        book.close();
+        history.close();
         Thread thread = new Thread(
                 () -> {
                     try {
-                        records.close(LAST_WRITE_MS);
+                        accountsLog.close(FINAL_WRITE_TIMEOUT_MS);
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
                     }
-                    loop.accept(then);
+                    loop.accept(afterClose);
                 },
                 "accounts-end");
         thread.setDaemon(true);
@@ -77,33 +79,34 @@
 
     /** The same accounts as metrics. */
     public MetricsPage metrics() {
-        return new MetricsPage(settings, book, broker.requestCounts());
+        return new MetricsPage(settings, history, broker.requestCounts());
     }
 
-    AccountsPage(Broker broker, Accounts accounts, Book book) {
+    AccountsPage(Broker broker, LatencyAttributor attributor, LatencyHistory history) {
         this.broker = broker;
         this.settings = broker::settings;
-        this.accounts = accounts;
-        this.book = book;
+        this.attributor = attributor;
+        this.history = history;
     }
 
     /** The minute that runs, the one before it, and the worst of the last seconds with their causes. */
     public String json(long nowUs) {
         JsonObject page = new JsonObject();
         page.addProperty("now_ms", nowUs / 1000);
-        page.addProperty("unlinked_repeats", accounts.unlinkedRepeats());
-        page.add("running_minute", minute(book.running()));
-        page.add("last_minute", minute(book.last()));
+        page.addProperty("unlinked_repeats", attributor.unlinkedRetries());
+        page.add("running_minute", minuteJson(history.currentMinute()));
+        page.add("last_minute", minuteJson(history.lastMinute()));
         JsonArray worst = new JsonArray();
-        book.seconds(nowUs).stream()
-                .sorted(Comparator.comparingLong(Book.Second::waitUs).reversed())
-                .limit(MOST_SECONDS)
-                .forEach(second -> worst.add(second(second)));
+        history.seconds(nowUs).stream()
+                .sorted(Comparator.comparingLong(LatencyHistory.SecondStats::waitUs)
+                        .reversed())
+                .limit(MAX_SECONDS)
+                .forEach(second -> worst.add(secondJson(second)));
         page.add("worst_seconds", worst);
         return page + "\n";
     }
 
-    private JsonObject minute(Book.Minute minute) {
+    private JsonObject minuteJson(LatencyHistory.MinuteStats minute) {
         JsonObject json = new JsonObject();
         if (minute == null) {
             return json;
@@ -111,75 +114,76 @@
         json.addProperty("from_ms", minute.fromUs() / 1000);
         json.addProperty("requests", minute.requests());
         json.addProperty("served", minute.served());
-        Ledger ledger = minute.ledger();
-        json.addProperty("wait_ms", ledger.totalUs() / 1000.0);
+        TopWaits topWaits = minute.topWaits();
+        json.addProperty("wait_ms", topWaits.totalWaitUs() / 1000.0);
         JsonObject kinds = new JsonObject();
         for (Cause.Kind kind : Cause.Kind.values()) {
-            kinds.addProperty(kind.name().toLowerCase(java.util.Locale.ROOT) + "_ms", ledger.us(kind) / 1000.0);
+            kinds.addProperty(kind.name().toLowerCase(java.util.Locale.ROOT) + "_ms", topWaits.waitUs(kind) / 1000.0);
         }
         json.add("by_kind", kinds);
-        JsonArray who = new JsonArray();
-        List<Ledger.Entry> entries = ledger.entries();
-        entries.stream().limit(MOST_ENTRIES).forEach(entry -> who.add(entry(entry)));
-        json.add("who_waited_for_whom", who);
-        json.addProperty("cells_left_out", Math.max(0, entries.size() - MOST_ENTRIES));
-        json.addProperty("cells_pushed_out", ledger.pushedOut());
+        JsonArray waits = new JsonArray();
+        List<TopWaits.Entry> entries = topWaits.entries();
+        entries.stream().limit(MAX_ENTRIES).forEach(entry -> waits.add(entryJson(entry)));
+        json.add("who_waited_for_whom", waits);
+        json.addProperty("cells_left_out", Math.max(0, entries.size() - MAX_ENTRIES));
+        json.addProperty("cells_pushed_out", topWaits.evictions());
         JsonArray phases = new JsonArray();
-        for (Book.Group group : minute.groups()) {
-            JsonObject of = new JsonObject();
+        for (LatencyHistory.RequestGroup group : minute.groups()) {
+            JsonObject groupJson = new JsonObject();
             if (group.node() >= 0) {
-                of.addProperty("node", String.format("%08x", group.node()));
+                groupJson.addProperty("node", String.format("%08x", group.node()));
             } else if (group.requestClass() >= 0) {
-                of.addProperty(
+                groupJson.addProperty(
                         "class",
                         settings.get().classes().get(group.requestClass()).name());
-                of.addProperty("plan", settings.get().plans().get(group.plan()).name());
+                groupJson.addProperty(
+                        "plan", settings.get().plans().get(group.plan()).name());
             } else {
-                of.addProperty("others", true);
+                groupJson.addProperty("others", true);
             }
-            for (Book.Phase phase : Book.Phase.values()) {
-                Book.Percentiles p = minute.percentiles(group, phase);
-                JsonObject one = new JsonObject();
-                one.addProperty("count", p.count());
-                one.addProperty("p50_ms", p.p50() / 1000.0);
-                one.addProperty("p90_ms", p.p90() / 1000.0);
-                one.addProperty("p99_ms", p.p99() / 1000.0);
-                one.addProperty("max_ms", p.max() / 1000.0);
-                of.add(phase.name().toLowerCase(java.util.Locale.ROOT), one);
+            for (LatencyHistory.Phase phase : LatencyHistory.Phase.values()) {
+                LatencyHistory.Percentiles percentiles = minute.percentiles(group, phase);
+                JsonObject phaseJson = new JsonObject();
+                phaseJson.addProperty("count", percentiles.count());
+                phaseJson.addProperty("p50_ms", percentiles.p50Us() / 1000.0);
+                phaseJson.addProperty("p90_ms", percentiles.p90Us() / 1000.0);
+                phaseJson.addProperty("p99_ms", percentiles.p99Us() / 1000.0);
+                phaseJson.addProperty("max_ms", percentiles.maxUs() / 1000.0);
+                groupJson.add(phase.name().toLowerCase(java.util.Locale.ROOT), phaseJson);
             }
-            phases.add(of);
+            phases.add(groupJson);
         }
         json.add("phases", phases);
         return json;
     }
 
-    private JsonObject second(Book.Second second) {
+    private JsonObject secondJson(LatencyHistory.SecondStats second) {
         JsonObject json = new JsonObject();
         json.addProperty("second", second.second());
         json.addProperty("requests", second.requests());
         json.addProperty("wait_ms", second.waitUs() / 1000.0);
         JsonArray causes = new JsonArray();
-        second.causes().stream().limit(MOST_CAUSES).forEach(entry -> causes.add(entry(entry)));
+        second.topWaits().stream().limit(MAX_CAUSES).forEach(entry -> causes.add(entryJson(entry)));
         json.add("causes", causes);
         return json;
     }
 
-    private JsonObject entry(Ledger.Entry entry) {
+    private JsonObject entryJson(TopWaits.Entry entry) {
         JsonObject json = new JsonObject();
-        Ledger.Cell cell = entry.cell();
-        json.addProperty("node", String.format("%08x", cell.node()));
-        json.addProperty("volume", String.format("%016x", cell.volume()));
+        TopWaits.WaitKey key = entry.key();
+        json.addProperty("node", String.format("%08x", key.node()));
+        json.addProperty("volume", String.format("%016x", key.volume()));
         json.addProperty(
-                "class", settings.get().classes().get(cell.requestClass()).name());
-        json.addProperty("cause", cell.cause().kind().name().toLowerCase(java.util.Locale.ROOT));
-        if (cell.cause().kind() == Cause.Kind.WORK) {
-            json.addProperty("cause_volume", String.format("%016x", cell.cause().volume()));
+                "class", settings.get().classes().get(key.requestClass()).name());
+        json.addProperty("cause", key.cause().kind().name().toLowerCase(java.util.Locale.ROOT));
+        if (key.cause().kind() == Cause.Kind.WORK) {
+            json.addProperty("cause_volume", String.format("%016x", key.cause().volume()));
             json.addProperty(
                     "cause_class",
-                    settings.get().classes().get(cell.cause().requestClass()).name());
+                    settings.get().classes().get(key.cause().requestClass()).name());
         }
-        json.addProperty("ms", entry.us() / 1000.0);
-        json.addProperty("over_by_at_most_ms", entry.overUs() / 1000.0);
+        json.addProperty("ms", entry.waitUs() / 1000.0);
+        json.addProperty("over_by_at_most_ms", entry.maxErrorUs() / 1000.0);
         return json;
     }
 }
--- a/src/main/java/petrelstand/report/HtmlReport.java
+++ b/src/main/java/petrelstand/report/HtmlReport.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import petrelstand.accounts.Book;
 import petrelstand.accounts.Cause;
+import petrelstand.accounts.LatencyHistory;
 import petrelstand.store.AccountsRecord.GroupPhases;
 import petrelstand.store.AccountsRecord.Minute;
 import petrelstand.store.AccountsRecord.Names;
@@ -15,12 +15,12 @@
  * sheet, so that they follow the reader's light or dark, and wide ones scroll on a phone.
  */
 public final class HtmlReport {
-    private static final int MOST_COLUMNS = 240;
-    private static final int MOST_WAITERS = 20;
-    private static final int MOST_CAUSES = 12;
-    private static final int MOST_ROWS = 100;
-    private static final int MOST_GROUPS = 16;
-    private static final int HEIGHT = 180;
+    private static final int MAX_COLUMNS = 240;
+    private static final int MAX_WAITERS = 20;
+    private static final int MAX_CAUSES = 12;
+    private static final int MAX_ROWS = 100;
+    private static final int MAX_GROUPS = 16;
+    private static final int CHART_HEIGHT = 180;
     private static final String STYLE = """
             :root{color-scheme:light dark;--ink:#1c2530;--dim:#5d6b7a;--paper:#fff;--line:#d6dde4;--work:#c2571a;
             --node:#7b3fa0;--window:#2f7d4f;--unseen:#8a97a5;--others:#b59a2a;--heat:194,87,26}
@@ -40,8 +40,8 @@
     private HtmlReport() {}
 
     /** The page. */
-    public static String page(Report report, Names names, List<Minute> minutes) {
-        Words words = new Words(names);
+    public static String render(WaitReport report, Names names, List<Minute> minutes) {
+        ReportLabels labels = new ReportLabels(names);
         StringBuilder html = new StringBuilder("<!doctype html><html lang=\"en\"><meta charset=\"utf-8\">"
                 + "<meta name=\"viewport\" content=\"width=device-width,initial-scale=1\"><title>Who waited for whom, "
                 + escape(names.gateway()) + "</title><style>" + STYLE
@@ -49,22 +49,22 @@
                 + escape(names.gateway()));
         if (!report.seconds().isEmpty()) {
             html.append(", ")
-                    .append(Words.time(report.seconds().get(0).second()))
+                    .append(ReportLabels.formatTime(report.seconds().get(0).second()))
                     .append(" to ")
-                    .append(Words.time(
+                    .append(ReportLabels.formatTime(
                             report.seconds().get(report.seconds().size() - 1).second()));
         }
         html.append(". ")
-                .append(Words.ms(report.totalUs()))
+                .append(ReportLabels.formatMs(report.totalWaitUs()))
                 .append(" ms were held and waited, ")
-                .append(Words.ms(report.unnamedUs()))
+                .append(ReportLabels.formatMs(report.unattributedUs()))
                 .append(" ms of it is recorded without a name.</p>");
-        kinds(html, report);
-        bySecond(html, report);
-        worst(html, report, words);
-        heat(html, report, words);
-        phases(html, minutes, words);
-        rows(html, report, words);
+        appendKinds(html, report);
+        appendWaitBySecond(html, report);
+        appendWorstSeconds(html, report, labels);
+        appendHeatMap(html, report, labels);
+        appendPhases(html, minutes, labels);
+        appendRows(html, report, labels);
         return html.append("</html>\n").toString();
     }
 
@@ -75,20 +75,24 @@
                 .replace("\"", "&quot;");
     }
 
-    private static String name(Cause.Kind kind) {
+    private static String kindLabel(Cause.Kind kind) {
         return kind.name().toLowerCase(Locale.ROOT);
     }
 
-    private static void kinds(StringBuilder html, Report report) {
+    private static void appendKinds(StringBuilder html, WaitReport report) {
         html.append("<div class=\"wide\"><table><tr><th>cause</th><th class=\"n\">ms</th><th class=\"n\">%</th></tr>");
         for (Cause.Kind kind : Cause.Kind.values()) {
-            cells(html, name(kind), Words.ms(report.us(kind)), Words.percent(report.us(kind), report.totalUs()));
+            appendRow(
+                    html,
+                    kindLabel(kind),
+                    ReportLabels.formatMs(report.waitUs(kind)),
+                    ReportLabels.formatPercent(report.waitUs(kind), report.totalWaitUs()));
         }
         html.append("</table></div>");
     }
 
     /** A row: the first cells are texts, the last two numbers. */
-    private static void cells(StringBuilder html, String... cells) {
+    private static void appendRow(StringBuilder html, String... cells) {
         html.append("<tr>");
         for (int i = 0; i < cells.length; i++) {
             html.append(i >= cells.length - 2 ? "<td class=\"n\">" : "<td>")
@@ -99,128 +103,128 @@
     }
 
     /** Bars by second, or by as many seconds as make the columns fit, stacked by kind of cause. */
-    private static void bySecond(StringBuilder html, Report report) {
-        List<Report.At> seconds = report.seconds();
+    private static void appendWaitBySecond(StringBuilder html, WaitReport report) {
+        List<WaitReport.SecondSummary> seconds = report.seconds();
         if (seconds.isEmpty()) {
             return;
         }
-        long first = seconds.get(0).second();
-        long span = seconds.get(seconds.size() - 1).second() - first + 1;
-        long step = (span + MOST_COLUMNS - 1) / MOST_COLUMNS;
-        int columns = (int) ((span + step - 1) / step);
+        long firstSecond = seconds.get(0).second();
+        long spanSeconds = seconds.get(seconds.size() - 1).second() - firstSecond + 1;
+        long secondsPerColumn = (spanSeconds + MAX_COLUMNS - 1) / MAX_COLUMNS;
+        int columns = (int) ((spanSeconds + secondsPerColumn - 1) / secondsPerColumn);
         long[][] sums = new long[columns][Cause.Kind.values().length];
-        long most = 1;
-        for (Report.At at : seconds) {
-            int column = (int) ((at.second() - first) / step);
+        long maxUs = 1;
+        for (WaitReport.SecondSummary second : seconds) {
+            int column = (int) ((second.second() - firstSecond) / secondsPerColumn);
             long sum = 0;
             for (int kind = 0; kind < sums[column].length; kind++) {
-                sums[column][kind] += at.byKind()[kind];
+                sums[column][kind] += second.byKind()[kind];
                 sum += sums[column][kind];
             }
-            most = Math.max(most, sum);
+            maxUs = Math.max(maxUs, sum);
         }
-        int wide = Math.max(2, 900 / columns);
+        int columnWidth = Math.max(2, 900 / columns);
         html.append("<h2>Wait by ")
-                .append(step == 1 ? "second" : step + " seconds")
+                .append(secondsPerColumn == 1 ? "second" : secondsPerColumn + " seconds")
                 .append("</h2><p class=\"key\">");
         for (Cause.Kind kind : Cause.Kind.values()) {
             html.append("<span style=\"background:var(--")
-                    .append(name(kind))
+                    .append(kindLabel(kind))
                     .append(")\"></span>")
-                    .append(name(kind));
+                    .append(kindLabel(kind));
         }
         html.append("</p><figure class=\"wide\"><svg width=\"")
-                .append(columns * wide + 70)
+                .append(columns * columnWidth + 70)
                 .append("\" height=\"")
-                .append(HEIGHT + 30)
+                .append(CHART_HEIGHT + 30)
                 .append("\" role=\"img\" aria-label=\"wait by second, stacked by cause\">");
         html.append("<text x=\"0\" y=\"12\">")
-                .append(Words.ms(most))
+                .append(ReportLabels.formatMs(maxUs))
                 .append(" ms</text><line class=\"axis\" x1=\"65\" x2=\"")
-                .append(columns * wide + 65)
+                .append(columns * columnWidth + 65)
                 .append("\" y1=\"")
-                .append(HEIGHT)
+                .append(CHART_HEIGHT)
                 .append("\" y2=\"")
-                .append(HEIGHT)
+                .append(CHART_HEIGHT)
                 .append("\"/>");
         for (int column = 0; column < columns; column++) {
-            double top = HEIGHT;
+            double top = CHART_HEIGHT;
             for (int kind = 0; kind < sums[column].length; kind++) {
-                double high = (HEIGHT - 4.0) * sums[column][kind] / most;
-                if (high >= 0.05) {
-                    top -= high;
+                double barHeight = (CHART_HEIGHT - 4.0) * sums[column][kind] / maxUs;
+                if (barHeight >= 0.05) {
+                    top -= barHeight;
                     html.append(String.format(
                             Locale.ROOT,
                             "<rect class=\"%s\" x=\"%d\" y=\"%.1f\" width=\"%d\" height=\"%.1f\">"
                                     + "<title>%s: %s ms %s</title></rect>",
-                            name(Cause.Kind.values()[kind]),
-                            65 + column * wide,
+                            kindLabel(Cause.Kind.values()[kind]),
+                            65 + column * columnWidth,
                             top,
-                            Math.max(1, wide - 1),
-                            high,
-                            Words.time(first + column * step),
-                            Words.ms(sums[column][kind]),
-                            name(Cause.Kind.values()[kind])));
+                            Math.max(1, columnWidth - 1),
+                            barHeight,
+                            ReportLabels.formatTime(firstSecond + column * secondsPerColumn),
+                            ReportLabels.formatMs(sums[column][kind]),
+                            kindLabel(Cause.Kind.values()[kind])));
                 }
             }
         }
         html.append("<text x=\"65\" y=\"")
-                .append(HEIGHT + 16)
+                .append(CHART_HEIGHT + 16)
                 .append("\">")
-                .append(Words.time(first))
+                .append(ReportLabels.formatTime(firstSecond))
                 .append("</text></svg></figure>");
     }
 
-    private static void worst(StringBuilder html, Report report, Words words) {
+    private static void appendWorstSeconds(StringBuilder html, WaitReport report, ReportLabels labels) {
         html.append(
                 "<h2>Worst seconds</h2><div class=\"wide\"><table><tr><th>second</th><th>requests</th><th>main cause"
                         + "</th><th class=\"n\">wait ms</th><th class=\"n\">% by it</th></tr>");
-        for (Report.At at : report.worst(10)) {
-            cells(
+        for (WaitReport.SecondSummary second : report.worstSeconds(10)) {
+            appendRow(
                     html,
-                    Words.time(at.second()),
-                    Long.toString(at.requests()),
-                    words.cause(at.main()),
-                    Words.ms(at.waitUs()),
-                    Words.percent(at.mainUs(), at.waitUs()));
+                    ReportLabels.formatTime(second.second()),
+                    Long.toString(second.requests()),
+                    labels.cause(second.mainCause()),
+                    ReportLabels.formatMs(second.waitUs()),
+                    ReportLabels.formatPercent(second.mainCauseUs(), second.waitUs()));
         }
         html.append("</table></div>");
     }
 
     /** Waiters against causes, the heaviest of each. */
-    private static void heat(StringBuilder html, Report report, Words words) {
-        List<Map.Entry<Report.Waiter, Long>> waiters = report.waiters(MOST_WAITERS);
-        List<Map.Entry<Cause, Long>> causes = report.causes(MOST_CAUSES);
+    private static void appendHeatMap(StringBuilder html, WaitReport report, ReportLabels labels) {
+        List<Map.Entry<WaitReport.Waiter, Long>> waiters = report.topWaiters(MAX_WAITERS);
+        List<Map.Entry<Cause, Long>> causes = report.topCauses(MAX_CAUSES);
         if (waiters.isEmpty()) {
             return;
         }
-        long most = 1;
+        long maxUs = 1;
         List<long[]> sums = new ArrayList<>();
-        for (Map.Entry<Report.Waiter, Long> waiter : waiters) {
+        for (Map.Entry<WaitReport.Waiter, Long> waiter : waiters) {
             long[] row = new long[causes.size()];
             for (int i = 0; i < row.length; i++) {
-                row[i] = report.us(waiter.getKey(), causes.get(i).getKey());
-                most = Math.max(most, row[i]);
+                row[i] = report.waitUs(waiter.getKey(), causes.get(i).getKey());
+                maxUs = Math.max(maxUs, row[i]);
             }
             sums.add(row);
         }
         html.append("<h2>Waiter against cause, ms</h2><div class=\"wide\"><table><tr><th>waiter</th>");
         causes.forEach(cause -> html.append("<th class=\"n\">")
-                .append(escape(words.cause(cause.getKey())).replace(" ", "<br>"))
+                .append(escape(labels.cause(cause.getKey())).replace(" ", "<br>"))
                 .append("</th>"));
         html.append("</tr>");
         for (int i = 0; i < waiters.size(); i++) {
-            Report.Waiter waiter = waiters.get(i).getKey();
+            WaitReport.Waiter waiter = waiters.get(i).getKey();
             html.append("<tr><td>")
-                    .append(escape(words.waiter(waiter.volume(), waiter.requestClass())))
+                    .append(escape(labels.waiter(waiter.volume(), waiter.requestClass())))
                     .append("</td>");
             for (long us : sums.get(i)) {
                 // The root makes small parts seen beside large ones.
                 html.append(String.format(
                         Locale.ROOT,
                         "<td class=\"n\" style=\"background:rgba(var(--heat),%.2f)\">%s</td>",
-                        0.7 * Math.sqrt((double) us / most),
-                        us == 0 ? "" : Words.ms(us)));
+                        0.7 * Math.sqrt((double) us / maxUs),
+                        us == 0 ? "" : ReportLabels.formatMs(us)));
             }
             html.append("</tr>");
         }
@@ -228,67 +232,74 @@
     }
 
     /** Percentiles by phase of the groups that waited longest, of all minutes: the longest minute of each. */
-    private static void phases(StringBuilder html, List<Minute> minutes, Words words) {
-        Map<Book.Group, GroupPhases> worst = new java.util.LinkedHashMap<>();
+    private static void appendPhases(StringBuilder html, List<Minute> minutes, ReportLabels labels) {
+        Map<LatencyHistory.RequestGroup, GroupPhases> slowestMinutes = new java.util.LinkedHashMap<>();
         for (Minute minute : minutes) {
             for (GroupPhases group : minute.groups()) {
-                worst.merge(group.group(), group, (a, b) -> total(a).p99() >= total(b).p99() ? a : b);
+                slowestMinutes.merge(
+                        group.group(),
+                        group,
+                        (a, b) -> totalPercentiles(a).p99Us()
+                                        >= totalPercentiles(b).p99Us()
+                                ? a
+                                : b);
             }
         }
-        if (worst.isEmpty()) {
+        if (slowestMinutes.isEmpty()) {
             return;
         }
         html.append(
                 "<h2>Phases, in each group's slowest minute</h2><div class=\"wide\"><table><tr><th>group</th><th>phase"
                         + "</th><th></th><th class=\"n\">p50 ms</th><th class=\"n\">p99 ms</th></tr>");
-        long most = Math.max(
+        long maxUs = Math.max(
                 1,
-                worst.values().stream()
-                        .mapToLong(group -> total(group).p99())
+                slowestMinutes.values().stream()
+                        .mapToLong(group -> totalPercentiles(group).p99Us())
                         .max()
                         .orElse(1));
-        worst.values().stream()
-                .sorted((a, b) -> Long.compare(total(b).p99(), total(a).p99()))
-                .limit(MOST_GROUPS)
+        slowestMinutes.values().stream()
+                .sorted((a, b) -> Long.compare(
+                        totalPercentiles(b).p99Us(), totalPercentiles(a).p99Us()))
+                .limit(MAX_GROUPS)
                 .forEach(group -> {
-                    for (Book.Phase phase : Book.Phase.values()) {
-                        Book.Percentiles p = group.phases().get(phase.ordinal());
+                    for (LatencyHistory.Phase phase : LatencyHistory.Phase.values()) {
+                        LatencyHistory.Percentiles percentiles = group.phases().get(phase.ordinal());
                         html.append(String.format(
                                 Locale.ROOT,
                                 "<tr><td>%s</td><td>%s</td><td><svg width=\"200\" "
                                         + "height=\"14\" role=\"img\"><rect class=\"unseen\" x=\"0\" y=\"4\" width=\"%.1f\" height=\"6\"/>"
                                         + "<rect class=\"work\" x=\"0\" y=\"2\" width=\"%.1f\" height=\"10\"/></svg></td><td class=\"n\">"
                                         + "%s</td><td class=\"n\">%s</td></tr>",
-                                phase.ordinal() == 0 ? escape(words.group(group.group())) : "",
+                                phase.ordinal() == 0 ? escape(labels.group(group.group())) : "",
                                 phase.name().toLowerCase(Locale.ROOT),
-                                200.0 * Math.min(p.p99(), most) / most,
-                                200.0 * Math.min(p.p50(), most) / most,
-                                Words.ms(p.p50()),
-                                Words.ms(p.p99())));
+                                200.0 * Math.min(percentiles.p99Us(), maxUs) / maxUs,
+                                200.0 * Math.min(percentiles.p50Us(), maxUs) / maxUs,
+                                ReportLabels.formatMs(percentiles.p50Us()),
+                                ReportLabels.formatMs(percentiles.p99Us())));
                     }
                 });
         html.append("</table></div><p>The thick bar is the median, the thin one the 99th percentile.</p>");
     }
 
-    private static Book.Percentiles total(GroupPhases group) {
-        return group.phases().get(Book.Phase.TOTAL.ordinal());
+    private static LatencyHistory.Percentiles totalPercentiles(GroupPhases group) {
+        return group.phases().get(LatencyHistory.Phase.TOTAL.ordinal());
     }
 
-    private static void rows(StringBuilder html, Report report, Words words) {
+    private static void appendRows(StringBuilder html, WaitReport report, ReportLabels labels) {
         html.append("<h2>By node</h2><p>The ")
-                .append(Math.min(MOST_ROWS, report.rows().size()))
+                .append(Math.min(MAX_ROWS, report.rows().size()))
                 .append(" heaviest of ")
                 .append(report.rows().size())
                 .append(" rows.</p><div class=\"wide\"><table><tr><th>node</th><th>waiter</th>"
                         + "<th>cause</th><th class=\"n\">ms</th><th class=\"n\">%</th></tr>");
-        for (Report.Row row : report.rows().stream().limit(MOST_ROWS).toList()) {
-            cells(
+        for (WaitReport.Row row : report.rows().stream().limit(MAX_ROWS).toList()) {
+            appendRow(
                     html,
-                    Words.node(row.cell().node()),
-                    words.waiter(row.cell().volume(), row.cell().requestClass()),
-                    words.cause(row.cell().cause()),
-                    Words.ms(row.us()),
-                    Words.percent(row.us(), report.totalUs()));
+                    ReportLabels.node(row.key().node()),
+                    labels.waiter(row.key().volume(), row.key().requestClass()),
+                    labels.cause(row.key().cause()),
+                    ReportLabels.formatMs(row.waitUs()),
+                    ReportLabels.formatPercent(row.waitUs(), report.totalWaitUs()));
         }
         html.append("</table></div>");
     }
--- a/src/main/java/petrelstand/report/MetricsPage.java
+++ b/src/main/java/petrelstand/report/MetricsPage.java
@@ -15,8 +15,8 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 import java.util.function.Supplier;
-import petrelstand.accounts.Book;
 import petrelstand.accounts.Cause;
+import petrelstand.accounts.LatencyHistory;
 import petrelstand.core.RequestCounts;
 import petrelstand.decision.Scheduling.Settings;
 
@@ -25,25 +25,25 @@
  * plans, phases and kinds of cause, all of which the settings bound; no volume and no node is a label.
  */
 public final class MetricsPage {
-    private static final int MOST_NAMED = 16;
-    private static final double US = 1e6;
+    private static final int MAX_NAMES = 16;
+    private static final double US_PER_SECOND = 1e6;
 
     private final Supplier<Settings> settings;
-    private final Book book;
-    private final RequestCounts figures;
+    private final LatencyHistory history;
+    private final RequestCounts requestCounts;
 
-    MetricsPage(Supplier<Settings> settings, Book book, RequestCounts figures) {
-        this.figures = figures;
+    MetricsPage(Supplier<Settings> settings, LatencyHistory history, RequestCounts requestCounts) {
+        this.requestCounts = requestCounts;
         this.settings = settings;
-        this.book = book;
+        this.history = history;
     }
 
-    private String className(int place) {
-        return settings.get().classes().get(place).name();
+    private String className(int index) {
+        return settings.get().classes().get(index).name();
     }
 
-    private String planName(int place) {
-        return settings.get().plans().get(place).name();
+    private String planName(int index) {
+        return settings.get().plans().get(index).name();
     }
 
     /** The page, made on the loop: a few hundred lines at most. */
@@ -54,36 +54,39 @@
         CounterSnapshot.Builder ended = CounterSnapshot.builder()
                 .name("petrelstand_requests")
                 .help("Requests that are over, by class, plan and whether they were served");
-        int classes = Math.min(MOST_NAMED, settings.get().classes().size());
-        int plans = Math.min(MOST_NAMED, settings.get().plans().size());
-        for (int kind = 0; kind < classes; kind++) {
+        int classes = Math.min(MAX_NAMES, settings.get().classes().size());
+        int plans = Math.min(MAX_NAMES, settings.get().plans().size());
+        for (int classIndex = 0; classIndex < classes; classIndex++) {
             for (Cause.Kind cause : Cause.Kind.values()) {
                 waits.dataPoint(CounterDataPointSnapshot.builder()
                         .labels(Labels.of(
-                                "class", className(kind), "cause", cause.name().toLowerCase(Locale.ROOT)))
-                        .value(book.waitUs(kind, cause) / US)
+                                "class",
+                                className(classIndex),
+                                "cause",
+                                cause.name().toLowerCase(Locale.ROOT)))
+                        .value(history.totalWaitUs(classIndex, cause) / US_PER_SECOND)
                         .build());
             }
-            for (int plan = 0; plan < plans; plan++) {
+            for (int planIndex = 0; planIndex < plans; planIndex++) {
                 for (boolean served : new boolean[] {true, false}) {
                     ended.dataPoint(CounterDataPointSnapshot.builder()
                             .labels(Labels.of(
                                     "class",
-                                    className(kind),
+                                    className(classIndex),
                                     "plan",
-                                    planName(plan),
+                                    planName(planIndex),
                                     "served",
                                     Boolean.toString(served)))
-                            .value(book.ended(kind, plan, served))
+                            .value(history.finishedRequests(classIndex, planIndex, served))
                             .build());
                 }
             }
         }
-        MetricSnapshots all =
-                new MetricSnapshots(waits.build(), ended.build(), phases(classes, plans), ends(), tries());
+        MetricSnapshots snapshots = new MetricSnapshots(
+                waits.build(), ended.build(), phaseTimes(classes, plans), resultCounts(), attemptCount());
         ByteArrayOutputStream text = new ByteArrayOutputStream();
         try {
-            PrometheusTextFormatWriter.create().write(text, all);
+            PrometheusTextFormatWriter.create().write(text, snapshots);
         } catch (IOException e) {
             throw new UncheckedIOException("an array in memory takes all that is written to it", e);
         }
@@ -91,45 +94,47 @@
     }
 
     /** The same counts as the operators' address gives. */
-    private CounterSnapshot ends() {
-        CounterSnapshot.Builder ends = CounterSnapshot.builder()
+    private CounterSnapshot resultCounts() {
+        CounterSnapshot.Builder builder = CounterSnapshot.builder()
                 .name("petrelstand_ends")
                 .help("Requests that are over, by class and how they ended");
-        for (String kind : figures.classNames()) {
-            for (RequestCounts.RequestResult end : RequestCounts.RequestResult.values()) {
-                ends.dataPoint(CounterDataPointSnapshot.builder()
-                        .labels(Labels.of("class", kind, "how", end.name().toLowerCase(Locale.ROOT)))
-                        .value(figures.count(kind, end))
+        for (String className : requestCounts.classNames()) {
+            for (RequestCounts.RequestResult result : RequestCounts.RequestResult.values()) {
+                builder.dataPoint(CounterDataPointSnapshot.builder()
+                        .labels(Labels.of(
+                                "class", className, "how", result.name().toLowerCase(Locale.ROOT)))
+                        .value(requestCounts.count(className, result))
                         .build());
             }
         }
-        return ends.build();
+        return builder.build();
     }
 
-    private CounterSnapshot tries() {
+    private CounterSnapshot attemptCount() {
         return CounterSnapshot.builder()
                 .name("petrelstand_upstream_tries")
                 .help("Attempts written whole to storage nodes")
                 .dataPoint(CounterDataPointSnapshot.builder()
-                        .value(figures.attempts())
+                        .value(requestCounts.attempts())
                         .build())
                 .build();
     }
 
     /** Percentiles of the last whole minute, or of the one that runs while there is no other. */
-    private SummarySnapshot phases(int classes, int plans) {
-        SummarySnapshot.Builder phases = SummarySnapshot.builder()
+    private SummarySnapshot phaseTimes(int classes, int plans) {
+        SummarySnapshot.Builder builder = SummarySnapshot.builder()
                 .name("petrelstand_phase_seconds")
                 .help("Time of a request's phases in the last whole minute, by class and plan");
-        Book.Minute minute = book.last() != null ? book.last() : book.running();
+        LatencyHistory.MinuteStats minute =
+                history.lastMinute() != null ? history.lastMinute() : history.currentMinute();
         if (minute != null) {
-            for (Book.Group group : minute.groups()) {
+            for (LatencyHistory.RequestGroup group : minute.groups()) {
                 if (group.requestClass() < 0 || group.requestClass() >= classes || group.plan() >= plans) {
                     continue;
                 }
-                for (Book.Phase phase : Book.Phase.values()) {
-                    Book.Percentiles p = minute.percentiles(group, phase);
-                    phases.dataPoint(SummaryDataPointSnapshot.builder()
+                for (LatencyHistory.Phase phase : LatencyHistory.Phase.values()) {
+                    LatencyHistory.Percentiles percentiles = minute.percentiles(group, phase);
+                    builder.dataPoint(SummaryDataPointSnapshot.builder()
                             .labels(Labels.of(
                                     "class",
                                     className(group.requestClass()),
@@ -137,15 +142,15 @@
                                     planName(group.plan()),
                                     "phase",
                                     phase.name().toLowerCase(Locale.ROOT)))
-                            .count(p.count())
+                            .count(percentiles.count())
                             .quantiles(Quantiles.of(
-                                    new Quantile(0.5, p.p50() / US),
-                                    new Quantile(0.9, p.p90() / US),
-                                    new Quantile(0.99, p.p99() / US)))
+                                    new Quantile(0.5, percentiles.p50Us() / US_PER_SECOND),
+                                    new Quantile(0.9, percentiles.p90Us() / US_PER_SECOND),
+                                    new Quantile(0.99, percentiles.p99Us() / US_PER_SECOND)))
                             .build());
                 }
             }
         }
-        return phases.build();
+        return builder.build();
     }
 }
--- a/src/main/java/petrelstand/report/Words.java
+++ b/src/main/java/petrelstand/report/ReportLabels.java
@@ -2,28 +2,28 @@
 
 import java.util.List;
 import java.util.Locale;
-import petrelstand.accounts.Book;
 import petrelstand.accounts.Cause;
+import petrelstand.accounts.LatencyHistory;
 import petrelstand.store.AccountsRecord.Names;
 
 /** What figures are called in the report, by the names that the record carries. */
-final class Words {
+final class ReportLabels {
     private final Names names;
 
-    Words(Names names) {
+    ReportLabels(Names names) {
         this.names = names;
     }
 
-    private static String at(List<String> list, int place, String kind) {
-        return place >= 0 && place < list.size() ? list.get(place) : kind + " " + place;
+    private static String nameAt(List<String> nameList, int index, String kind) {
+        return index >= 0 && index < nameList.size() ? nameList.get(index) : kind + " " + index;
     }
 
-    String requestClass(int place) {
-        return at(names.classes(), place, "class");
+    String requestClass(int index) {
+        return nameAt(names.classes(), index, "class");
     }
 
-    String plan(int place) {
-        return at(names.plans(), place, "plan");
+    String plan(int index) {
+        return nameAt(names.plans(), index, "plan");
     }
 
     static String node(long node) {
@@ -46,21 +46,21 @@
                         : cause.kind().name().toLowerCase(Locale.ROOT);
     }
 
-    String group(Book.Group group) {
+    String group(LatencyHistory.RequestGroup group) {
         return group.node() >= 0
                 ? node(group.node())
                 : group.requestClass() >= 0 ? requestClass(group.requestClass()) + ", " + plan(group.plan()) : "others";
     }
 
-    static String ms(long us) {
+    static String formatMs(long us) {
         return String.format(Locale.ROOT, "%,.1f", us / 1000.0);
     }
 
-    static String percent(long part, long of) {
-        return of <= 0 ? "-" : String.format(Locale.ROOT, "%.1f", 100.0 * part / of);
+    static String formatPercent(long part, long total) {
+        return total <= 0 ? "-" : String.format(Locale.ROOT, "%.1f", 100.0 * part / total);
     }
 
-    static String time(long second) {
+    static String formatTime(long second) {
         return java.time.Instant.ofEpochSecond(second).toString();
     }
 }
--- a/src/main/java/petrelstand/store/AccountsLog.java
+++ b/src/main/java/petrelstand/store/AccountsLog.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import petrelstand.accounts.Book;
+import petrelstand.accounts.LatencyHistory;
 import petrelstand.core.Counters;
 
 /**
@@ -21,7 +21,7 @@
  * of at most {@link #MOST_BYTES}, {@link #MOST_KEPT} of them, and a new one at each start, so that nothing is ever
  * appended to a torn end. What the thread does not take in time is dropped and counted; the loop never waits.
  */
-public final class AccountsLog implements Book.Keeper {
+public final class AccountsLog implements LatencyHistory.Listener {
     static final int MOST_BYTES = 8 << 20;
     static final int MOST_KEPT = 4;
     private static final int MOST_WAITING = 256;
@@ -73,12 +73,12 @@
     }
 
     @Override
-    public void over(Book.Second second) {
+    public void periodFinished(LatencyHistory.SecondStats second) {
         offer(AccountsRecord.frame(second));
     }
 
     @Override
-    public void over(Book.Minute minute) {
+    public void periodFinished(LatencyHistory.MinuteStats minute) {
         offer(AccountsRecord.frame(AccountsRecord.of(minute)));
     }
 
--- a/src/main/java/petrelstand/store/AccountsRecord.java
+++ b/src/main/java/petrelstand/store/AccountsRecord.java
@@ -12,9 +12,9 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import petrelstand.accounts.Book;
 import petrelstand.accounts.Cause;
-import petrelstand.accounts.Ledger;
+import petrelstand.accounts.LatencyHistory;
+import petrelstand.accounts.TopWaits;
 
 /**
  * The bytes of an accounts record, as docs/ACCOUNTS.md lays them out: a head of 12 bytes, then frames, each a length, a
@@ -32,14 +32,14 @@
     /** Whose record it is, and the names of its classes and plans by place. */
     public record Names(String gateway, List<String> classes, List<String> plans) {}
 
-    /** Percentiles of a group in a minute, by phase in the order of {@link Book.Phase}. */
-    public record GroupPhases(Book.Group group, List<Book.Percentiles> phases) {}
+    /** Percentiles of a group in a minute, by phase in the order of {@link LatencyHistory.Phase}. */
+    public record GroupPhases(LatencyHistory.RequestGroup group, List<LatencyHistory.Percentiles> phases) {}
 
     /** A minute, from a second on. */
     public record Minute(long fromSecond, long requests, long served, List<GroupPhases> groups) {}
 
     /** What a file holds, and why it ended early (null: it did not). */
-    public record Content(Names names, List<Book.Second> seconds, List<Minute> minutes, String fault) {}
+    public record Content(Names names, List<LatencyHistory.SecondStats> seconds, List<Minute> minutes, String fault) {}
 
     private AccountsRecord() {}
 
@@ -84,23 +84,23 @@
         });
     }
 
-    static byte[] frame(Book.Second second) {
+    static byte[] frame(LatencyHistory.SecondStats second) {
         return frame(to -> {
             to.writeString("second");
             to.writeNumber(second.second());
             to.writeNumber(second.requests());
             to.writeNumber(second.waitUs());
             to.writeStartArray();
-            for (Ledger.Entry entry : second.causes()) {
-                Ledger.Cell cell = entry.cell();
+            for (TopWaits.Entry entry : second.topWaits()) {
+                TopWaits.WaitKey cell = entry.key();
                 to.writeNumber(cell.node());
                 to.writeNumber(cell.volume());
                 to.writeNumber(cell.requestClass());
                 to.writeNumber(cell.cause().kind().ordinal());
                 to.writeNumber(cell.cause().volume());
                 to.writeNumber(cell.cause().requestClass());
-                to.writeNumber(entry.us());
-                to.writeNumber(entry.overUs());
+                to.writeNumber(entry.waitUs());
+                to.writeNumber(entry.maxErrorUs());
             }
             to.writeEndArray();
         });
@@ -117,8 +117,8 @@
                 to.writeNumber(group.group().requestClass());
                 to.writeNumber(group.group().plan());
                 to.writeNumber(group.group().node());
-                for (Book.Percentiles p : group.phases()) {
-                    for (long value : new long[] {p.count(), p.p50(), p.p90(), p.p99(), p.max()}) {
+                for (LatencyHistory.Percentiles p : group.phases()) {
+                    for (long value : new long[] {p.count(), p.p50Us(), p.p90Us(), p.p99Us(), p.maxUs()}) {
                         to.writeNumber(value);
                     }
                 }
@@ -128,12 +128,12 @@
     }
 
     /** A minute's figures, taken on the loop: its histograms go on with the book. */
-    static Minute of(Book.Minute minute) {
+    static Minute of(LatencyHistory.MinuteStats minute) {
         List<GroupPhases> groups = new ArrayList<>();
-        for (Book.Group group : minute.groups()) {
+        for (LatencyHistory.RequestGroup group : minute.groups()) {
             groups.add(new GroupPhases(
                     group,
-                    Arrays.stream(Book.Phase.values())
+                    Arrays.stream(LatencyHistory.Phase.values())
                             .map(phase -> minute.percentiles(group, phase))
                             .toList()));
         }
@@ -150,7 +150,7 @@
             throw new StateFault(MAGIC.length, "version " + version + " is not " + VERSION + ", the one that is read");
         }
         Names names = new Names("", List.of(), List.of());
-        List<Book.Second> seconds = new ArrayList<>();
+        List<LatencyHistory.SecondStats> seconds = new ArrayList<>();
         List<Minute> minutes = new ArrayList<>();
         ByteBuffer in = ByteBuffer.wrap(file);
         int at = HEAD;
@@ -215,11 +215,11 @@
         return from.getLongValue();
     }
 
-    private static Book.Second second(CBORParser from) throws IOException {
+    private static LatencyHistory.SecondStats second(CBORParser from) throws IOException {
         long second = whole(from);
         long requests = whole(from);
         long waitUs = whole(from);
-        List<Ledger.Entry> causes = new ArrayList<>();
+        List<TopWaits.Entry> causes = new ArrayList<>();
         for (JsonToken token = begin(from); token != JsonToken.END_ARRAY; token = from.nextToken()) {
             long node = value(from);
             long volume = whole(from);
@@ -228,9 +228,9 @@
             Cause cause = new Cause(
                     Cause.Kind.values()[Math.floorMod(causeKind, Cause.Kind.values().length)], whole(from), (int)
                             whole(from));
-            causes.add(new Ledger.Entry(new Ledger.Cell(node, volume, kind, cause), whole(from), whole(from)));
+            causes.add(new TopWaits.Entry(new TopWaits.WaitKey(node, volume, kind, cause), whole(from), whole(from)));
         }
-        return new Book.Second(second, requests, waitUs, causes);
+        return new LatencyHistory.SecondStats(second, requests, waitUs, causes);
     }
 
     private static Minute minute(CBORParser from) throws IOException {
@@ -239,10 +239,12 @@
         long served = whole(from);
         List<GroupPhases> groups = new ArrayList<>();
         for (JsonToken token = begin(from); token != JsonToken.END_ARRAY; token = from.nextToken()) {
-            Book.Group group = new Book.Group((int) value(from), (int) whole(from), whole(from));
-            List<Book.Percentiles> phases = new ArrayList<>();
-            for (int i = 0; i < Book.Phase.values().length; i++) {
-                phases.add(new Book.Percentiles(whole(from), whole(from), whole(from), whole(from), whole(from)));
+            LatencyHistory.RequestGroup group =
+                    new LatencyHistory.RequestGroup((int) value(from), (int) whole(from), whole(from));
+            List<LatencyHistory.Percentiles> phases = new ArrayList<>();
+            for (int i = 0; i < LatencyHistory.Phase.values().length; i++) {
+                phases.add(new LatencyHistory.Percentiles(
+                        whole(from), whole(from), whole(from), whole(from), whole(from)));
             }
             groups.add(new GroupPhases(group, phases));
         }
--- a/src/test/java/petrelstand/store/AccountsLogTest.java
+++ b/src/test/java/petrelstand/store/AccountsLogTest.java
@@ -19,11 +19,11 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import petrelstand.accounts.Accounts.Account;
-import petrelstand.accounts.Accounts.Share;
-import petrelstand.accounts.Book;
 import petrelstand.accounts.Cause;
-import petrelstand.accounts.Ledger;
+import petrelstand.accounts.LatencyAttributor.RequestLatency;
+import petrelstand.accounts.LatencyAttributor.WaitShare;
+import petrelstand.accounts.LatencyHistory;
+import petrelstand.accounts.TopWaits;
 import petrelstand.core.Counters;
 
 /** Records of the accounts: read back as written, torn anywhere, rotated, and never in the loop's way. */
@@ -38,11 +38,11 @@
     private final List<String> log = new ArrayList<>();
     private final LinkedBlockingQueue<Runnable> loop = new LinkedBlockingQueue<>();
 
-    static Book.Second second(long number) {
-        List<Ledger.Entry> causes = List.of(
-                new Ledger.Entry(new Ledger.Cell(7, 0xa1, 0, Cause.work(-5, 2)), 5_000 + number, 10),
-                new Ledger.Entry(new Ledger.Cell(7, -1, 1, Cause.NODE), 700, 0));
-        return new Book.Second(number, 12, 5_700 + number, causes);
+    static LatencyHistory.SecondStats second(long number) {
+        List<TopWaits.Entry> causes = List.of(
+                new TopWaits.Entry(new TopWaits.WaitKey(7, 0xa1, 0, Cause.work(-5, 2)), 5_000 + number, 10),
+                new TopWaits.Entry(new TopWaits.WaitKey(7, -1, 1, Cause.NODE), 700, 0));
+        return new LatencyHistory.SecondStats(number, 12, 5_700 + number, causes);
     }
 
     private static byte[] file(int seconds) throws IOException {
@@ -91,11 +91,11 @@
     void filesAreRotatedAndANewStartBeginsANewOne() throws Exception {
         AccountsLog first = log(() -> new DiskFolder(folder), 2_000);
         for (int i = 1; i <= 200; i++) {
-            first.over(second(i));
+            first.periodFinished(second(i));
         }
         assertTrue(first.close(20_000));
         AccountsLog second = log(() -> new DiskFolder(folder), 2_000);
-        second.over(second(201));
+        second.periodFinished(second(201));
         assertTrue(second.close(20_000));
         List<Path> files;
         try (Stream<Path> all = Files.list(folder)) {
@@ -133,7 +133,7 @@
                 },
                 1 << 20);
         for (int i = 0; i < 1_000; i++) {
-            hung.over(second(i));
+            hung.periodFinished(second(i));
         }
         assertEquals(1_000 - 256, counters.get("accounts.dropped"));
         assertTrue(!hung.close(50));
@@ -147,7 +147,7 @@
                     throw new IOException("No space left on device");
                 },
                 1 << 20);
-        none.over(second(1));
+        none.periodFinished(second(1));
         Runnable line = loop.poll(20, TimeUnit.SECONDS);
         line.run();
         assertEquals(List.of("accounts: not recorded: No space left on device; service goes on without"), log);
@@ -155,22 +155,22 @@
 
     @Test
     void theBookTellsEachSecondAndMinuteOnce() {
-        Book book = new Book();
-        List<Book.Second> seconds = new ArrayList<>();
+        LatencyHistory book = new LatencyHistory();
+        List<LatencyHistory.SecondStats> seconds = new ArrayList<>();
         List<AccountsRecord.Minute> minutes = new ArrayList<>();
-        book.keep(new Book.Keeper() {
+        book.setListener(new LatencyHistory.Listener() {
             @Override
-            public void over(Book.Second one) {
+            public void periodFinished(LatencyHistory.SecondStats one) {
                 seconds.add(one);
             }
 
             @Override
-            public void over(Book.Minute one) {
+            public void periodFinished(LatencyHistory.MinuteStats one) {
                 minutes.add(AccountsRecord.of(one));
             }
         });
         for (int i = 0; i < 130; i++) {
-            book.over(new Account(
+            book.requestFinished(new RequestLatency(
                     i,
                     1,
                     0,
@@ -183,12 +183,13 @@
                     10_000,
                     0,
                     i * 1_000_000L + 500,
-                    List.of(new Share(7, Cause.NODE, 4_000))));
+                    List.of(new WaitShare(7, Cause.NODE, 4_000))));
         }
         book.close();
         assertEquals(130, seconds.size());
         assertEquals(
-                130 * 4_000, seconds.stream().mapToLong(Book.Second::waitUs).sum());
+                130 * 4_000,
+                seconds.stream().mapToLong(LatencyHistory.SecondStats::waitUs).sum());
         assertEquals(
                 List.of(0L, 60L, 120L),
                 minutes.stream().map(AccountsRecord.Minute::fromSecond).toList());
--- a/src/test/java/petrelstand/store/StoredAccountsCompatibilityTest.java
+++ b/src/test/java/petrelstand/store/StoredAccountsCompatibilityTest.java
@@ -12,11 +12,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import petrelstand.accounts.Book;
-import petrelstand.accounts.Book.Percentiles;
-import petrelstand.accounts.Book.Phase;
 import petrelstand.accounts.Cause;
-import petrelstand.accounts.Ledger;
+import petrelstand.accounts.LatencyHistory;
+import petrelstand.accounts.LatencyHistory.Percentiles;
+import petrelstand.accounts.LatencyHistory.Phase;
+import petrelstand.accounts.TopWaits;
 import petrelstand.core.Counters;
 import petrelstand.testing.StoredFiles;
 
@@ -31,16 +31,16 @@
     private static final AccountsRecord.Names NAMES = new AccountsRecord.Names(
             "gateway-north", List.of("tile-read", "survey-write", "bulk-export"), List.of("basic", "priority"));
 
-    private static final Book.Second SECOND = new Book.Second(
+    private static final LatencyHistory.SecondStats SECOND = new LatencyHistory.SecondStats(
             1_796_000_117L,
             42,
             1_234_567,
             List.of(
-                    new Ledger.Entry(new Ledger.Cell(0xabcdL, 0xa1, 2, Cause.work(-5, 1)), 800_001, 17),
-                    new Ledger.Entry(new Ledger.Cell(7, -11, 1, Cause.NODE), 300_002, 260),
-                    new Ledger.Entry(new Ledger.Cell(8, 0x1122334455667788L, 0, Cause.WINDOW), 100_003, 3),
-                    new Ledger.Entry(new Ledger.Cell(9, 12, 3, Cause.UNSEEN), 30_004, 70_000),
-                    new Ledger.Entry(new Ledger.Cell(10, 13, 4, Cause.OTHERS), 4_557, 5)));
+                    new TopWaits.Entry(new TopWaits.WaitKey(0xabcdL, 0xa1, 2, Cause.work(-5, 1)), 800_001, 17),
+                    new TopWaits.Entry(new TopWaits.WaitKey(7, -11, 1, Cause.NODE), 300_002, 260),
+                    new TopWaits.Entry(new TopWaits.WaitKey(8, 0x1122334455667788L, 0, Cause.WINDOW), 100_003, 3),
+                    new TopWaits.Entry(new TopWaits.WaitKey(9, 12, 3, Cause.UNSEEN), 30_004, 70_000),
+                    new TopWaits.Entry(new TopWaits.WaitKey(10, 13, 4, Cause.OTHERS), 4_557, 5)));
 
     private static final AccountsRecord.Minute MINUTE = new AccountsRecord.Minute(
             1_796_000_100L,
@@ -48,7 +48,7 @@
             955,
             List.of(
                     new AccountsRecord.GroupPhases(
-                            new Book.Group(2, 1, -1),
+                            new LatencyHistory.RequestGroup(2, 1, -1),
                             List.of(
                                     new Percentiles(401, 1_011, 1_021, 1_031, 1_041),
                                     new Percentiles(402, 2_012, 2_022, 2_032, 2_042),
@@ -56,7 +56,7 @@
                                     new Percentiles(404, 4_014, 4_024, 4_034, 4_044),
                                     new Percentiles(405, 10_015, 10_025, 10_035, 60_000_045))),
                     new AccountsRecord.GroupPhases(
-                            new Book.Group(-1, -1, 0xabcdL),
+                            new LatencyHistory.RequestGroup(-1, -1, 0xabcdL),
                             List.of(
                                     new Percentiles(501, 11, 21, 31, 41),
                                     new Percentiles(502, 12, 22, 32, 42),
@@ -64,7 +64,7 @@
                                     new Percentiles(504, 14, 24, 34, 44),
                                     new Percentiles(505, 15, 25, 35, 45))),
                     new AccountsRecord.GroupPhases(
-                            Book.Group.OTHERS,
+                            LatencyHistory.RequestGroup.OTHERS,
                             List.of(
                                     new Percentiles(71, 611, 621, 631, 641),
                                     new Percentiles(72, 612, 622, 632, 642),
@@ -116,7 +116,7 @@
     @Test
     void accountsLogWritesTheStoredBytes() throws Exception {
         AccountsLog log = AccountsLog.onDisk(folder, NAMES, new Counters(), Runnable::run, line -> {});
-        log.over(SECOND);
+        log.periodFinished(SECOND);
         assertTrue(log.close(CLOSE_WITHIN_MS));
         byte[] written = Files.readAllBytes(folder.resolve("accounts-1.log"));
         assertArrayEquals(Arrays.copyOf(StoredFiles.read(FILE), head().length), written);
