--- a/src/main/java/petrelstand/Gateway.java
+++ b/src/main/java/petrelstand/Gateway.java
@@ -32,9 +32,9 @@
 import petrelstand.net.LoopClock;
 import petrelstand.net.SocketAddresses;
 import petrelstand.report.AccountsPage;
-import petrelstand.rsync.ByWire;
+import petrelstand.rsync.NodeTransportRouter;
 import petrelstand.rsync.RsyncFront;
-import petrelstand.rsync.RsyncNodes;
+import petrelstand.rsync.RsyncNodeTransport;
 import petrelstand.store.StateKeeper;
 
 /** One real gateway: the parts put together, started, drained and ended. */
@@ -207,7 +207,7 @@
     /** The pool, and beside it the nodes that speak the rsync protocol. */
     private NodeTransport withRsyncNodes(NodeConnectionPool pool) {
         double connectMs = config.settings().may().connectTimeoutMs();
-        return new ByWire(pool, new RsyncNodes(loop::connect, clock::nowUs, timers, connectMs));
+        return new NodeTransportRouter(pool, new RsyncNodeTransport(loop::connect, clock::nowUs, timers, connectMs));
     }
 
     /** Switches the accounts on; where they are off nothing of them is loaded. */
@@ -484,7 +484,7 @@
         }
         boolean ending = life.phase() == Lifecycle.Phase.ENDING;
         if (rsyncFront != null) {
-            rsyncFront.takes(life.isReady());
+            rsyncFront.setAcceptingTransfers(life.isReady());
         }
         if (ending && !life.acceptsConnections(now)) {
             stopListening();
@@ -510,7 +510,7 @@
         listeners.forEach(loop::stopListening);
         listeners.clear();
         if (rsyncFront != null) {
-            rsyncFront.closeIdle();
+            rsyncFront.closeIdleSessions();
         }
     }
 
@@ -519,7 +519,7 @@
         boolean answered = broker.openRequests() == 0 && front.answeringCount() == 0 && !loop.hasPendingAccepts();
         answeredUs = !answered ? 0 : answeredUs == 0 ? now : answeredUs;
         return answered
-                && (front.connectionsDelayingExit() + (rsync == null ? 0 : rsyncFront.sessions()) == 0
+                && (front.connectionsDelayingExit() + (rsync == null ? 0 : rsyncFront.sessionCount()) == 0
                         || now >= answeredUs + LAST_LINGER_US);
     }
 
--- a/src/main/java/petrelstand/rsync/ByWire.java
+++ b/src/main/java/petrelstand/rsync/NodeTransportRouter.java
@@ -5,7 +5,7 @@
 import petrelstand.core.NodeTransport;
 
 /** Sends each attempt to the server side that speaks its node's wire: private shards are rsync nodes. */
-public record ByWire(NodeTransport platform, NodeTransport rsync) implements NodeTransport {
+public record NodeTransportRouter(NodeTransport platform, NodeTransport rsync) implements NodeTransport {
     private NodeTransport of(Node node) {
         return node.isPrivate() ? rsync : platform;
     }
--- a/src/main/java/petrelstand/rsync/RsyncFront.java
+++ b/src/main/java/petrelstand/rsync/RsyncFront.java
@@ -20,7 +20,7 @@
     private final Timers timers;
     private RsyncConfig config;
     private final Consumer<String> log;
-    private final Set<ClientSession> sessions = new LinkedHashSet<>();
+    private final Set<ClientSession> sessionCount = new LinkedHashSet<>();
     private boolean draining;
 
     public RsyncFront(Broker broker, Timers timers, RsyncConfig config, Consumer<String> log) {
@@ -31,24 +31,27 @@
     }
 
     public Connection accept(EndPoint endPoint) {
-        if (sessions.size() >= REFUSED_TIMES * config.mostTransfers()) {
-            sessions.stream().filter(ClientSession::isRefusedOnly).findFirst().ifPresent(ClientSession::close);
+        if (sessionCount.size() >= REFUSED_TIMES * config.mostTransfers()) {
+            sessionCount.stream()
+                    .filter(ClientSession::isRefusedOnly)
+                    .findFirst()
+                    .ifPresent(ClientSession::close);
         }
-        boolean full = sessions.size() >= config.mostTransfers();
+        boolean full = sessionCount.size() >= config.mostTransfers();
         ClientSession session = new ClientSession(endPoint, this, full);
-        sessions.add(session);
+        sessionCount.add(session);
         broker.counters().increment("rsync.connections");
         return session;
     }
 
     /** Whether new transfers are taken; those that were go on to their end. */
-    public void takes(boolean any) {
-        draining = !any;
+    public void setAcceptingTransfers(boolean accepting) {
+        draining = !accepting;
     }
 
     /** Ends the sessions that have asked for nothing yet. */
-    public void closeIdle() {
-        List.copyOf(sessions).forEach(ClientSession::endIfIdle);
+    public void closeIdleSessions() {
+        List.copyOf(sessionCount).forEach(ClientSession::endIfIdle);
     }
 
     /** Takes the operator's file as it is now; transfers that were taken go on. */
@@ -56,8 +59,8 @@
         config = changed;
     }
 
-    public int sessions() {
-        return sessions.size();
+    public int sessionCount() {
+        return sessionCount.size();
     }
 
     boolean isDraining() {
@@ -86,6 +89,6 @@
     }
 
     void closed(ClientSession session) {
-        sessions.remove(session);
+        sessionCount.remove(session);
     }
 }
--- a/src/main/java/petrelstand/rsync/RsyncNodes.java
+++ b/src/main/java/petrelstand/rsync/RsyncNodeTransport.java
@@ -15,7 +15,7 @@
 import petrelstand.net.SocketAddresses;
 
 /** The side that faces the rsync nodes: one new connection an attempt, since a daemon serves one transfer on each. */
-public final class RsyncNodes implements NodeTransport {
+public final class RsyncNodeTransport implements NodeTransport {
     /** Connect time-outs within which a node must have opened the module. */
     private static final int OPENING_TIMES = 4;
 
@@ -24,7 +24,8 @@
     private final Timers timers;
     private final long connectUs;
 
-    public RsyncNodes(NodeConnectionPool.Dialer dialer, LongSupplier clock, Timers timers, double connectTimeoutMs) {
+    public RsyncNodeTransport(
+            NodeConnectionPool.Dialer dialer, LongSupplier clock, Timers timers, double connectTimeoutMs) {
         this.dialer = dialer;
         this.clock = clock;
         this.timers = timers;
--- a/src/test/java/petrelstand/LoopbackTest.java
+++ b/src/test/java/petrelstand/LoopbackTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import petrelstand.config.GatewayConfig;
 import petrelstand.config.OperatorConfig;
-import petrelstand.rsync.Golden;
+import petrelstand.rsync.GoldenTransfers;
 import petrelstand.testing.Configs;
 import petrelstand.testing.StandIns;
 import petrelstand.testing.StandIns.Client;
@@ -67,12 +67,12 @@
     private static Server goldenDaemon() throws IOException {
         return StandIns.rsyncDaemon((arguments, in, out) -> {
             boolean pull = arguments.contains("--sender");
-            out.write(pull ? Golden.pullDown() : Golden.SEED);
+            out.write(pull ? GoldenTransfers.pullFromNode() : GoldenTransfers.CHECKSUM_SEED);
             assertArrayEquals(
-                    pull ? Golden.pullUp() : Golden.pushUp(),
-                    in.readNBytes((pull ? Golden.pullUp() : Golden.pushUp()).length));
+                    pull ? GoldenTransfers.pullFromClient() : GoldenTransfers.pushFromClient(),
+                    in.readNBytes((pull ? GoldenTransfers.pullFromClient() : GoldenTransfers.pushFromClient()).length));
             if (!pull) {
-                out.write(Golden.pushDown(), 4, Golden.pushDown().length - 4);
+                out.write(GoldenTransfers.pushFromNode(), 4, GoldenTransfers.pushFromNode().length - 4);
             }
         });
     }
@@ -89,10 +89,10 @@
     void aPullPassesUnchangedAndEndsWhole() throws Exception {
         startWith(opened(goldenDaemon()));
         Client client = asked("charts", "@RSYNCD: OK\n");
-        client.send(Golden.ARGUMENTS);
-        byte[] down = client.in.readNBytes(Golden.pullDown().length);
-        client.out.write(Golden.pullUp());
-        assertArrayEquals(Golden.pullDown(), down);
+        client.send(GoldenTransfers.PULL_ARGUMENTS);
+        byte[] down = client.in.readNBytes(GoldenTransfers.pullFromNode().length);
+        client.out.write(GoldenTransfers.pullFromClient());
+        assertArrayEquals(GoldenTransfers.pullFromNode(), down);
         assertEquals(-1, client.in.read());
         awaitCount("answered.served", 1);
         awaitCount("outcome.served", 1);
@@ -102,9 +102,9 @@
     void aPushPassesUnchangedAndEndsWhole() throws Exception {
         startWith(opened(goldenDaemon()));
         Client client = asked("charts", "@RSYNCD: OK\n");
-        client.send(Golden.PUSH_ARGUMENTS);
-        client.out.write(Golden.pushUp());
-        assertArrayEquals(Golden.pushDown(), client.in.readAllBytes());
+        client.send(GoldenTransfers.PUSH_ARGUMENTS);
+        client.out.write(GoldenTransfers.pushFromClient());
+        assertArrayEquals(GoldenTransfers.pushFromNode(), client.in.readAllBytes());
         awaitCount("answered.served", 1);
     }
 
@@ -139,11 +139,11 @@
 
     @Test
     void aTransferCutHalfwayIsVisiblyIncompleteAndNotSentAgain() throws Exception {
-        byte[] half = java.util.Arrays.copyOf(Golden.pullDown(), 60);
+        byte[] half = java.util.Arrays.copyOf(GoldenTransfers.pullFromNode(), 60);
         Server daemon = opened(StandIns.rsyncDaemon((arguments, in, out) -> out.write(half)));
         startWith(daemon);
         Client client = asked("charts", "@RSYNCD: OK\n");
-        client.send(Golden.ARGUMENTS);
+        client.send(GoldenTransfers.PULL_ARGUMENTS);
         assertArrayEquals(half, client.in.readAllBytes());
         awaitCount("answered.cut", 1);
         awaitCount("outcome.reset", 1);
@@ -152,10 +152,10 @@
 
     @Test
     void aCutBetweenFramesIsToldInWords() throws Exception {
-        byte[] seed = Golden.SEED;
+        byte[] seed = GoldenTransfers.CHECKSUM_SEED;
         startWith(opened(StandIns.rsyncDaemon((arguments, in, out) -> out.write(seed))));
         Client client = asked("charts", "@RSYNCD: OK\n");
-        client.send(Golden.ARGUMENTS);
+        client.send(GoldenTransfers.PULL_ARGUMENTS);
         String answer = new String(client.in.readAllBytes(), StandardCharsets.ISO_8859_1);
         assertEquals("@ERROR: failed, the transfer is not complete\n", answer.substring(8));
     }
@@ -208,21 +208,21 @@
     void aDrainingGatewayEndsWhatItTookAndRefusesTheRest() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         startWith(opened(StandIns.rsyncDaemon((arguments, in, out) -> {
-            out.write(Golden.SEED);
+            out.write(GoldenTransfers.CHECKSUM_SEED);
             go.await();
-            out.write(Golden.pullDown(), 4, Golden.pullDown().length - 4);
-            in.readNBytes(Golden.pullUp().length);
+            out.write(GoldenTransfers.pullFromNode(), 4, GoldenTransfers.pullFromNode().length - 4);
+            in.readNBytes(GoldenTransfers.pullFromClient().length);
         })));
         Client client = asked("charts", "@RSYNCD: OK\n");
-        client.send(Golden.ARGUMENTS);
+        client.send(GoldenTransfers.PULL_ARGUMENTS);
         byte[] first = client.in.readNBytes(4);
         gateway.execute(gateway::drain);
         asked("charts", "@ERROR: draining, come again in 2.0 s\n");
         go.countDown();
-        byte[] rest = client.in.readNBytes(Golden.pullDown().length - 4);
-        client.out.write(Golden.pullUp());
+        byte[] rest = client.in.readNBytes(GoldenTransfers.pullFromNode().length - 4);
+        client.out.write(GoldenTransfers.pullFromClient());
         assertEquals(-1, client.in.read());
-        assertArrayEquals(Golden.pullDown(), Golden.join(first, rest));
+        assertArrayEquals(GoldenTransfers.pullFromNode(), GoldenTransfers.join(first, rest));
     }
 
     /**
@@ -267,7 +267,7 @@
         start(opened(StandIns.storageNode(1)), 300, Map.of(daemon.port(), "HEALTHY"));
         Client client = opened(Client.small(rsyncPort));
         client.ask("charts");
-        client.send(Golden.ARGUMENTS);
+        client.send(GoldenTransfers.PULL_ARGUMENTS);
         awaitCount("rsync.idle", 1);
         awaitCount("client_gone", 1);
         awaitCount("outcome.cancelled", 1);
@@ -277,14 +277,15 @@
 
     /** The golden pull up to its data, then one token of a gigabyte. */
     private static byte[] endlessStart() {
-        byte[] files = java.util.Arrays.copyOf(Golden.pullDown(), 4 + 4 + filesLength());
-        byte[] token = Golden.hex("01000000" + "0080" + "00000000" + "00000000" + "00000000" + "00000000" + "00000040");
-        byte[] head = Golden.hex("1a000007");
-        return Golden.join(files, head, token);
+        byte[] files = java.util.Arrays.copyOf(GoldenTransfers.pullFromNode(), 4 + 4 + filesLength());
+        byte[] token = GoldenTransfers.hex(
+                "01000000" + "0080" + "00000000" + "00000000" + "00000000" + "00000000" + "00000040");
+        byte[] head = GoldenTransfers.hex("1a000007");
+        return GoldenTransfers.join(files, head, token);
     }
 
     private static int filesLength() {
-        byte[] down = Golden.pullDown();
+        byte[] down = GoldenTransfers.pullFromNode();
         return (down[4] & 0xff) | (down[5] & 0xff) << 8 | (down[6] & 0xff) << 16;
     }
 
@@ -295,7 +296,7 @@
         start(opened(StandIns.storageNode(2)), 20_000, Map.of(daemon.port(), "HEALTHY"));
         Client stalled = opened(Client.small(rsyncPort));
         stalled.ask("charts");
-        stalled.send(Golden.ARGUMENTS);
+        stalled.send(GoldenTransfers.PULL_ARGUMENTS);
         Client silent = opened(new Client(rsyncPort));
         ExecutorService clients = Executors.newFixedThreadPool(16);
         List<Future<Integer>> served = new ArrayList<>();
--- a/src/test/java/petrelstand/rsync/Golden.java
+++ b/src/test/java/petrelstand/rsync/GoldenTransfers.java
@@ -10,12 +10,12 @@
  * Bytes of transfers in protocol 29, laid out by hand from the published protocol: a directory and a file of ten bytes
  * sent whole, with the options "-logDtpr".
  */
-public final class Golden {
-    private Golden() {}
+public final class GoldenTransfers {
+    private GoldenTransfers() {}
 
-    public static final String ARGUMENTS = "--server\n--sender\n-logDtpr\n.\ncharts/nord\n\n";
+    public static final String PULL_ARGUMENTS = "--server\n--sender\n-logDtpr\n.\ncharts/nord\n\n";
     public static final String PUSH_ARGUMENTS = "--server\n-logDtpr\n.\ncharts/nord\n\n";
-    public static final byte[] SEED = hex("5a17c0de");
+    public static final byte[] CHECKSUM_SEED = hex("5a17c0de");
 
     /** The file list: ".", then "s.txt" with the same owner and time; names of user 1000 and group 100; no errors. */
     private static final byte[] FILES =
@@ -37,9 +37,9 @@
     private static final byte[] REQUEST = hex("01000000" + "0080" + "00000000" + "00000000" + "00000000" + "00000000");
 
     /** What a daemon sends on a pull after the arguments: seed, then frames; with a message frame in between. */
-    public static byte[] pullDown() {
+    public static byte[] pullFromNode() {
         return join(
-                SEED,
+                CHECKSUM_SEED,
                 frame(0, FILES),
                 frame(2, "motd\n".getBytes(StandardCharsets.UTF_8)),
                 frame(0, DATA),
@@ -47,18 +47,18 @@
     }
 
     /** What a client sends on a pull after the arguments: no filters, the request, three phases, the goodbye. */
-    public static byte[] pullUp() {
+    public static byte[] pullFromClient() {
         return join(hex("00000000"), REQUEST, DONE, DONE, DONE, DONE);
     }
 
     /** What a client sends on a push after the arguments. */
-    public static byte[] pushUp() {
+    public static byte[] pushFromClient() {
         return join(FILES, DATA, DONE, DONE, DONE);
     }
 
     /** What a daemon sends on a push. */
-    public static byte[] pushDown() {
-        return join(SEED, frame(0, join(REQUEST, DONE, DONE, DONE)), frame(0, DONE));
+    public static byte[] pushFromNode() {
+        return join(CHECKSUM_SEED, frame(0, join(REQUEST, DONE, DONE, DONE)), frame(0, DONE));
     }
 
     static byte[] frame(int code, byte[] bytes) {
--- a/src/test/java/petrelstand/rsync/ReadersTest.java
+++ b/src/test/java/petrelstand/rsync/ReadersTest.java
@@ -63,14 +63,14 @@
     @Test
     void goldenTransfersEndWhole() {
         Transfer pull = transfer(PULL);
-        down(pull, Golden.pullDown(), 0, Golden.pullDown().length);
+        down(pull, GoldenTransfers.pullFromNode(), 0, GoldenTransfers.pullFromNode().length);
         assertFalse(pull.whole());
-        up(pull, Golden.pullUp(), 0, Golden.pullUp().length);
+        up(pull, GoldenTransfers.pullFromClient(), 0, GoldenTransfers.pullFromClient().length);
         assertTrue(pull.whole());
         Transfer push = transfer(PUSH);
-        up(push, Golden.pushUp(), 0, Golden.pushUp().length);
+        up(push, GoldenTransfers.pushFromClient(), 0, GoldenTransfers.pushFromClient().length);
         assertFalse(push.whole());
-        down(push, Golden.pushDown(), 0, Golden.pushDown().length);
+        down(push, GoldenTransfers.pushFromNode(), 0, GoldenTransfers.pushFromNode().length);
         assertTrue(push.whole());
     }
 
@@ -79,8 +79,8 @@
     void aTransferIsWholeWithItsLastByteOnly(
             @ForAll boolean pulls, @ForAll @Size(min = 1, max = 12) List<@IntRange(min = 1, max = 90) Integer> cuts) {
         Transfer transfer = transfer(pulls ? PULL : PUSH);
-        byte[] down = pulls ? Golden.pullDown() : Golden.pushDown();
-        byte[] up = pulls ? Golden.pullUp() : Golden.pushUp();
+        byte[] down = pulls ? GoldenTransfers.pullFromNode() : GoldenTransfers.pushFromNode();
+        byte[] up = pulls ? GoldenTransfers.pullFromClient() : GoldenTransfers.pushFromClient();
         int downAt = 0;
         int upAt = 0;
         for (int i = 0; downAt < down.length || upAt < up.length; i++) {
@@ -112,21 +112,21 @@
     @Test
     void bytesAfterTheEndAreMalformed() {
         Transfer push = transfer(PUSH);
-        byte[] more = Golden.join(Golden.pushUp(), Golden.hex("00"));
+        byte[] more = GoldenTransfers.join(GoldenTransfers.pushFromClient(), GoldenTransfers.hex("00"));
         assertThrows(RecordReader.Malformed.class, () -> up(push, more, 0, more.length));
     }
 
     @Test
     void aRecordThatGrowsWithoutEndIsMalformed() {
         Transfer push = transfer(PUSH);
-        byte[] name = Golden.join(Golden.hex("40" + "00000001"), new byte[20_000]);
+        byte[] name = GoldenTransfers.join(GoldenTransfers.hex("40" + "00000001"), new byte[20_000]);
         assertThrows(RecordReader.Malformed.class, () -> up(push, name, 0, name.length));
     }
 
     @Test
     void anErrorCanBePutInBetweenFramesOnly() {
         Transfer pull = transfer(PULL);
-        byte[] down = Golden.pullDown();
+        byte[] down = GoldenTransfers.pullFromNode();
         assertTrue(pull.untouched());
         down(pull, down, 0, 4);
         assertTrue(pull.atFrame());
@@ -136,8 +136,9 @@
 
     @Test
     void anErrorFrameHasTheServersForm() {
-        byte[] expected =
-                Golden.join(Golden.hex("00000000"), Golden.frame(3, "@ERROR: no\n".getBytes(StandardCharsets.UTF_8)));
+        byte[] expected = GoldenTransfers.join(
+                GoldenTransfers.hex("00000000"),
+                GoldenTransfers.frame(3, "@ERROR: no\n".getBytes(StandardCharsets.UTF_8)));
         byte[] frame = new byte[expected.length];
         Lines.errorFrame("no", true).get(frame);
         org.junit.jupiter.api.Assertions.assertArrayEquals(expected, frame);
--- a/src/test/java/petrelstand/rsync/SessionModelTest.java
+++ b/src/test/java/petrelstand/rsync/SessionModelTest.java
@@ -24,15 +24,16 @@
                     Configs.operator(2000), Configs.xds(Map.of(8731, "HEALTHY")), world.settings)
             .rsync();
     private final RsyncFront front = new RsyncFront(
-            world.broker(new RsyncNodes(world::dial, () -> world.nowUs, world.timers, 250)),
+            world.broker(new RsyncNodeTransport(world::dial, () -> world.nowUs, world.timers, 250)),
             world.timers,
             config,
             world.log::add);
     private final MemoryEndPoint client;
     private final StringBuilder clientGot = new StringBuilder();
     private final StringBuilder nodeGot = new StringBuilder();
-    private String clientScript = "@RSYNCD: 31.0\ncharts\n" + Golden.ARGUMENTS + text(Golden.pullUp());
-    private String nodeScript = "@RSYNCD: 31.0\n@RSYNCD: OK\n" + text(Golden.pullDown());
+    private String clientScript =
+            "@RSYNCD: 31.0\ncharts\n" + GoldenTransfers.PULL_ARGUMENTS + text(GoldenTransfers.pullFromClient());
+    private String nodeScript = "@RSYNCD: 31.0\n@RSYNCD: OK\n" + text(GoldenTransfers.pullFromNode());
     private MemoryEndPoint node;
     private int dials;
 
@@ -110,7 +111,7 @@
         test.world.run(12_000_000);
         test.collect();
         assertEquals(0, test.world.broker.openRequests());
-        assertEquals(0, test.front.sessions());
+        assertEquals(0, test.front.sessionCount());
         assertEquals(
                 test.count(TAKEN),
                 test.count("answered.served")
@@ -124,10 +125,13 @@
                 test.clientScript.isEmpty()
                         && test.nodeScript.isEmpty()
                         && test.dials == 1
-                        && test.clientGot.toString().equals("@RSYNCD: 29.0\n@RSYNCD: OK\n" + text(Golden.pullDown()))
+                        && test.clientGot
+                                .toString()
+                                .equals("@RSYNCD: 29.0\n@RSYNCD: OK\n" + text(GoldenTransfers.pullFromNode()))
                         && test.nodeGot
                                 .toString()
-                                .equals("@RSYNCD: 29.0\ncharts\n" + Golden.ARGUMENTS + text(Golden.pullUp())));
+                                .equals("@RSYNCD: 29.0\ncharts\n" + GoldenTransfers.PULL_ARGUMENTS
+                                        + text(GoldenTransfers.pullFromClient())));
     }
 
     @Test
@@ -154,7 +158,7 @@
         nodeSends(26);
         node.sendEof();
         node = null;
-        nodeScript = "@RSYNCD: 31.0\n@RSYNCD: OK\n" + text(Golden.pullDown());
+        nodeScript = "@RSYNCD: 31.0\n@RSYNCD: OK\n" + text(GoldenTransfers.pullFromNode());
         world.run(400_000);
         for (int i = 0; i < 40; i++) {
             clientSends(50);
@@ -166,7 +170,7 @@
 
     @Test
     void aTransferPastItsDeadlineIsCutOnceAndItsNodeLetGo() {
-        clientSends(22 + Golden.ARGUMENTS.length());
+        clientSends(22 + GoldenTransfers.PULL_ARGUMENTS.length());
         nodeSends(26);
         for (int i = 0; i < 60; i++) {
             world.run(100_000);
