--- a/src/main/java/petrelstand/fleet/FleetService.java
+++ b/src/main/java/petrelstand/fleet/FleetService.java
@@ -24,7 +24,7 @@
 import petrelstand.members.Message.Envelope;
 import petrelstand.members.ViewChange;
 import petrelstand.store.DiskFolder;
-import petrelstand.store.Incarnations;
+import petrelstand.store.IncarnationFile;
 
 /**
  * Runs {@link Membership} in a gateway: on its event loop, clock and timers, over UDP, with the stored incarnation, the
@@ -87,7 +87,7 @@
             Counters counters,
             Consumer<String> log) {
         this.config = config;
-        this.name = config.name() == null ? gatewayName : config.name();
+        this.name = config.memberName() == null ? gatewayName : config.memberName();
         this.seed = seed;
         this.timers = timers;
         this.nowUs = nowUs;
@@ -110,15 +110,15 @@
     public void open() throws IOException {
         try {
             transport =
-                    new DatagramTransport(config.listen(), config.keys(), loop, this::receive, this::incrementCounter);
+                    new DatagramTransport(config.listenAddress(), config.keys(), loop, this::receive, this::incrementCounter);
         } catch (IOException e) {
-            throw new IOException("cannot listen on " + config.listen() + " for the fleet: " + e.getMessage(), e);
+            throw new IOException("cannot listen on " + config.listenAddress() + " for the fleet: " + e.getMessage(), e);
         }
         incarnation = wallClockMs.getAsLong() * MICROS_PER_MILLI;
-        if (config.folder() != null) {
+        if (config.incarnationFolder() != null) {
             FutureTask<Long> keptIncarnation = new FutureTask<>(() -> {
-                folder = new DiskFolder(config.folder());
-                return Incarnations.begin(folder, incarnation, log);
+                folder = new DiskFolder(config.incarnationFolder());
+                return IncarnationFile.reserve(folder, incarnation, log);
             });
             Thread thread = new Thread(keptIncarnation, "fleet-folder");
             thread.setDaemon(true);
@@ -135,8 +135,8 @@
                 Thread.currentThread().interrupt();
             }
         }
-        if (config.history() != null) {
-            history = new HistoryWriter(config.history(), log);
+        if (config.historyFile() != null) {
+            history = new HistoryWriter(config.historyFile(), log);
         }
     }
 
@@ -147,16 +147,16 @@
                 name,
                 new SecureRandom().nextLong(),
                 incarnation,
-                config.advertise(),
+                config.advertisedAddress(),
                 MemberState.JOINING,
                 "",
                 wallClockMs.getAsLong(),
                 build == null ? "unpacked" : build,
                 config.abilities());
         membership = membershipFactory.create(
-                nowUs.getAsLong(), config.fleet(), self, config.seeds(), config.size(), config.timing(), seed, this);
-        log.accept("joining " + config.fleet() + " as " + name + ", incarnation " + incarnation + ", listening on "
-                + config.listen());
+                nowUs.getAsLong(), config.fleetName(), self, config.seedAddresses(), config.expectedSize(), config.timing(), seed, this);
+        log.accept("joining " + config.fleetName() + " as " + name + ", incarnation " + incarnation + ", listening on "
+                + config.listenAddress());
         recordEvent("started", memberJson(self));
         transport.start();
         tick();
@@ -211,10 +211,10 @@
     /** Applies changed settings; only the keys can change without a restart. */
     public void reload(FleetConfig changed) {
         transport.setKeys(changed.keys());
-        boolean needsRestart = !changed.listen().equals(config.listen())
-                || !changed.seeds().equals(config.seeds())
-                || !changed.fleet().equals(config.fleet())
-                || changed.size() != config.size();
+        boolean needsRestart = !changed.listenAddress().equals(config.listenAddress())
+                || !changed.seedAddresses().equals(config.seedAddresses())
+                || !changed.fleetName().equals(config.fleetName())
+                || changed.expectedSize() != config.expectedSize();
         log.accept("reloaded the keys, " + changed.keys().size() + " valid"
                 + (needsRestart ? "; other changes to [fleet] need a restart" : ""));
     }
@@ -340,7 +340,7 @@
     public String membersJson() {
         JsonObject page = new JsonObject();
         long now = nowUs.getAsLong();
-        page.addProperty("fleet", config.fleet());
+        page.addProperty("fleet", config.fleetName());
         page.addProperty("name", name);
         page.addProperty("version", membership.viewVersion());
         page.addProperty("digest", String.format("%016x", membership.digest()));
--- a/src/test/java/petrelstand/agreement/AgreementTest.java
+++ b/src/test/java/petrelstand/agreement/AgreementTest.java
@@ -487,7 +487,7 @@
         }) {
             String message = assertThrows(
                             IllegalArgumentException.class,
-                            () -> petrelstand.config.RulesText.load("rules", invalid[0], List.of("basic")))
+                            () -> petrelstand.config.RulesText.parse("rules", invalid[0], List.of("basic")))
                     .getMessage();
             assertTrue(message.contains(invalid[1]), message);
         }
--- a/src/test/java/petrelstand/decision/StreamTest.java
+++ b/src/test/java/petrelstand/decision/StreamTest.java
@@ -7,13 +7,13 @@
 import petrelstand.config.SettingsReader;
 import petrelstand.decision.FakeHost.TestRequest;
 import petrelstand.decision.Scheduling.Outcome;
-import petrelstand.testing.Harness;
+import petrelstand.testing.BrokerFixture;
 
 /** Request body that its client streams to a node for seconds. */
 class StreamTest {
     @Test
     void slowBodyNeitherSilencesItsNodeNorFillsItsWindow() {
-        FakeHost host = new FakeHost(10_000, SettingsReader.ofText(Harness.SETTINGS));
+        FakeHost host = new FakeHost(10_000, SettingsReader.parse(BrokerFixture.SETTINGS));
         host.listNodes(node(1, 0));
         long slow = host.request(new TestRequest());
         FakeHost.Sent body = host.lastSent();
--- a/src/test/java/petrelstand/fleet/FleetWireTest.java
+++ b/src/test/java/petrelstand/fleet/FleetWireTest.java
@@ -29,7 +29,7 @@
 import petrelstand.members.MemberState;
 import petrelstand.members.Message;
 import petrelstand.members.Message.Envelope;
-import petrelstand.testing.Harness;
+import petrelstand.testing.BrokerFixture;
 
 /** Tests that only complete messages signed with the fleet's key are accepted, and errors of the [fleet] section. */
 class FleetWireTest {
@@ -195,7 +195,7 @@
         try {
             OperatorConfig.load(
                     new IniFile(folder.resolve("p.ini"), "[fleet]\n" + section),
-                    new Harness().settings,
+                    new BrokerFixture().settings,
                     Files::readString);
             return "";
         } catch (IllegalArgumentException e) {
--- a/src/test/java/petrelstand/http/HttpFrontSearchTest.java
+++ b/src/test/java/petrelstand/http/HttpFrontSearchTest.java
@@ -18,8 +18,8 @@
 import petrelstand.decision.Scheduling.NodeListKind;
 import petrelstand.decision.Scheduling.NodeState;
 import petrelstand.lifecycle.Lifecycle;
-import petrelstand.testing.Harness;
-import petrelstand.testing.HeldEnd;
+import petrelstand.testing.BrokerFixture;
+import petrelstand.testing.HeldInputEndPoint;
 
 /**
  * Runs the front, the broker, the decision module and the pool together under random sequences of events: complete,
@@ -71,7 +71,7 @@
     private static final class Simulation {
         /** A simulated client. */
         private final class Client {
-            private final HeldEnd end = HeldEnd.open(front::accept);
+            private final HeldInputEndPoint end = HeldInputEndPoint.open(front::accept);
             private final Set<String> requestedIds = new HashSet<>();
             private String unsentText = "";
             private int unsentBodyBytes;
@@ -104,21 +104,21 @@
             }
         }
 
-        private final Harness harness;
+        private final BrokerFixture harness;
         private final NodeConnectionPool pool;
         private final Lifecycle lifecycle = new Lifecycle(Lifecycle.Delays.of(5_000_000));
         private final HttpFront front;
         private final List<Client> clients = new ArrayList<>();
         private final Map<String, Client> clientsByTxnId = new HashMap<>();
         /** The open request id of each connection at the node; empty if none. */
-        private final Map<HeldEnd, String> openTxnIds = new HashMap<>();
+        private final Map<HeldInputEndPoint, String> openTxnIds = new HashMap<>();
 
-        private final List<HeldEnd> nodeEnds = new ArrayList<>();
+        private final List<HeldInputEndPoint> nodeEnds = new ArrayList<>();
         private boolean nodeReady = true;
         private int nextId;
 
         Simulation(boolean cancelsAttempts) {
-            harness = new Harness(Harness.SETTINGS.replace("caps.cancel=true", "caps.cancel=" + cancelsAttempts));
+            harness = new BrokerFixture(BrokerFixture.SETTINGS.replace("caps.cancel=true", "caps.cancel=" + cancelsAttempts));
             pool = new NodeConnectionPool(
                     harness::dial,
                     () -> harness.nowUs,
@@ -129,7 +129,7 @@
                     6);
             front = new HttpFront(harness.broker(pool), harness.timers, 5, lifecycle);
             lifecycle.startServing(harness.nowUs);
-            harness.list(Harness.node("s-00000001", 3, NodeState.READY, 0));
+            harness.setNodes(BrokerFixture.node("s-00000001", 3, NodeState.READY, 0));
             clients.add(new Client());
         }
 
@@ -145,7 +145,7 @@
                 }
             }
             checkSentRequests();
-            harness.run(80_000_000);
+            harness.advance(80_000_000);
             checkSentRequests();
             assertEquals(0, harness.broker.openRequests(), "open requests");
             assertEquals(0, front.openTxnIdCount(), "ids of open requests");
@@ -166,7 +166,7 @@
 
         /** Checks the requests that the node has received since the last check. */
         private void checkSentRequests() {
-            for (HeldEnd end : nodeEnds) {
+            for (HeldInputEndPoint end : nodeEnds) {
                 Matcher txnMatcher = TXN_FIELD.matcher(end.takeReceived());
                 if (!end.isOpen()) {
                     openTxnIds.put(end, "");
@@ -184,8 +184,8 @@
             }
         }
 
-        private HeldEnd pickBusyNodeEnd(int pick) {
-            List<HeldEnd> busy = nodeEnds.stream()
+        private HeldInputEndPoint pickBusyNodeEnd(int pick) {
+            List<HeldInputEndPoint> busy = nodeEnds.stream()
                     .filter(end -> end.isOpen() && !openTxnIds.get(end).isEmpty())
                     .toList();
             return busy.isEmpty() ? null : busy.get(pick % busy.size());
@@ -193,7 +193,7 @@
 
         private void setNodeState(NodeState state, double upSinceMs) {
             nodeReady = state == NodeState.READY;
-            harness.broker.updateNodes(NodeListKind.CHANGES, List.of(Harness.node("s-00000001", 3, state, upSinceMs)));
+            harness.broker.updateNodes(NodeListKind.CHANGES, List.of(BrokerFixture.node("s-00000001", 3, state, upSinceMs)));
         }
 
         private void perform(Step step, int pick) {
@@ -208,7 +208,7 @@
                 }
                 case READ_UNREAD -> {
                     if (nothingUnsent && !client.closed && client.end.isOpen()) {
-                        client.end.putUnread(client.request(txnId, "GET", "tile-read", 0));
+                        client.end.addInputSilently(client.request(txnId, "GET", "tile-read", 0));
                     }
                 }
                 case TWO_REQUESTS -> {
@@ -252,15 +252,15 @@
                     }
                 }
                 case CONNECT -> {
-                    if (!harness.dialed.isEmpty()) {
-                        HeldEnd end = harness.up();
+                    if (!harness.dials.isEmpty()) {
+                        HeldInputEndPoint end = harness.connectLast();
                         openTxnIds.put(end, "");
                         nodeEnds.add(end);
                     }
                 }
                 case CONNECT_FAILURE -> {
-                    if (!harness.dialed.isEmpty()) {
-                        harness.dialed.remove(0).connector().connectFailed(new java.io.IOException("refused"));
+                    if (!harness.dials.isEmpty()) {
+                        harness.dials.remove(0).connector().connectFailed(new java.io.IOException("refused"));
                     }
                 }
                 case SERVE -> answer(pick, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx", true);
@@ -270,7 +270,7 @@
                 case PARTIAL_ANSWER -> answer(pick, "HTTP/1.1 200 OK\r\nContent-Length: 90000\r\n\r\nx", false);
                 case NODE_CLOSE -> {
                     if (!nodeEnds.isEmpty()) {
-                        HeldEnd end = nodeEnds.get(pick % nodeEnds.size());
+                        HeldInputEndPoint end = nodeEnds.get(pick % nodeEnds.size());
                         if (end.isOpen()) {
                             end.sendEof();
                             openTxnIds.put(end, "");
@@ -287,9 +287,9 @@
                 case REMOVE_NODE -> setNodeState(NodeState.GONE, 0);
                 case RESTART_NODE -> setNodeState(NodeState.READY, 1 + pick);
                 case LIST_NODE -> setNodeState(NodeState.READY, 0);
-                case SHORT_TIME -> harness.run(40_000);
-                case LONG_TIME -> harness.run(700_000);
-                case LATE_TURN -> harness.late(3_000_000);
+                case SHORT_TIME -> harness.advance(40_000);
+                case LONG_TIME -> harness.advance(700_000);
+                case LATE_TURN -> harness.jumpAndRunDue(3_000_000);
                 case TERMINATE -> lifecycle.terminate(harness.nowUs);
                 case CLOSE_IDLE -> front.closeIdle(1 + pick % 3);
                 case NEW_CLIENT -> clients.add(new Client());
@@ -302,7 +302,7 @@
          * is not taken for a second one.
          */
         private void answer(int pick, String text, boolean complete) {
-            HeldEnd end = pickBusyNodeEnd(pick);
+            HeldInputEndPoint end = pickBusyNodeEnd(pick);
             if (end != null) {
                 if (complete) {
                     openTxnIds.put(end, "");
--- a/src/test/java/petrelstand/http/IdleConnectionMemoryTest.java
+++ b/src/test/java/petrelstand/http/IdleConnectionMemoryTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.api.Test;
 import petrelstand.lifecycle.Lifecycle;
 import petrelstand.net.MemoryEndPoint;
-import petrelstand.testing.Harness;
-import petrelstand.testing.HeldEnd;
+import petrelstand.testing.BrokerFixture;
+import petrelstand.testing.HeldInputEndPoint;
 
 /** Bounds the heap memory of an idle connection to a client or a node, including its end point. */
 class IdleConnectionMemoryTest {
@@ -25,7 +25,7 @@
     /** Makes a head near the size limit; the buffer that the parser allocates for it must be released too. */
     private static final String LONG_FIELD = "X-Long: " + "x".repeat(7000) + "\r\n";
 
-    private final Harness harness = new Harness();
+    private final BrokerFixture harness = new BrokerFixture();
     private final NodeConnectionPool pool = new NodeConnectionPool(
             harness::dial,
             () -> harness.nowUs,
@@ -130,7 +130,7 @@
     @Test
     void idleNodeConnectionWithUnreadBytesIsNotReused() {
         List<UpstreamConnection> connections = new ArrayList<>();
-        HeldEnd node = HeldEnd.open(end -> {
+        HeldInputEndPoint node = HeldInputEndPoint.open(end -> {
             connections.add(new UpstreamConnection(
                     end, NodeConnectionPool.MAX_BUFFERED_ANSWER_BYTES, new ByteBudget(1 << 20), (c, free) -> {}));
             return connections.get(0);
@@ -140,7 +140,7 @@
         node.send("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
         assertEquals("done", result[0]);
         assertTrue(connections.get(0).closeUnlessQuiet());
-        node.putUnread("H");
+        node.addInputSilently("H");
         assertFalse(connections.get(0).closeUnlessQuiet());
         assertFalse(node.isOpen());
     }
--- a/src/test/java/petrelstand/rsync/SessionModelTest.java
+++ b/src/test/java/petrelstand/rsync/SessionModelTest.java
@@ -14,31 +14,31 @@
 import petrelstand.config.RsyncConfig;
 import petrelstand.net.MemoryEndPoint;
 import petrelstand.testing.Configs;
-import petrelstand.testing.Harness;
+import petrelstand.testing.BrokerFixture;
 
 /** Sessions on connections in memory, against a model: two scripts, each sent in pieces, each perhaps cut. */
 class SessionModelTest {
     private static final String TAKEN = "taken.bulk-export";
-    private final Harness world = new Harness();
+    private final BrokerFixture world = new BrokerFixture();
     private final RsyncConfig config = Configs.load(
                     Configs.operator(2000), Configs.xds(Map.of(8731, "HEALTHY")), world.settings)
             .rsync();
     private final RsyncFront front = new RsyncFront(
-            world.broker(new RsyncNodes(world::dial, () -> world.nowUs, world.timers, 250)),
+            world.broker(new RsyncNodeTransport(world::dial, () -> world.nowUs, world.timers, 250)),
             world.timers,
             config,
             world.log::add);
     private final MemoryEndPoint client;
     private final StringBuilder clientGot = new StringBuilder();
     private final StringBuilder nodeGot = new StringBuilder();
-    private String clientScript = "@RSYNCD: 31.0\ncharts\n" + Golden.ARGUMENTS + text(Golden.pullUp());
-    private String nodeScript = "@RSYNCD: 31.0\n@RSYNCD: OK\n" + text(Golden.pullDown());
+    private String clientScript = "@RSYNCD: 31.0\ncharts\n" + GoldenTransfers.PULL_ARGUMENTS + text(GoldenTransfers.pullFromClient());
+    private String nodeScript = "@RSYNCD: 31.0\n@RSYNCD: OK\n" + text(GoldenTransfers.pullFromNode());
     private MemoryEndPoint node;
     private int dials;
 
     SessionModelTest() {
         config.nodes().forEach(listed -> assertTrue(listed.isPrivate()));
-        world.list(config.nodes().toArray(petrelstand.core.Node[]::new));
+        world.setNodes(config.nodes().toArray(petrelstand.core.Node[]::new));
         client = MemoryEndPoint.open(front::accept);
     }
 
@@ -53,8 +53,8 @@
     }
 
     private void nodeSends(int size) {
-        if (node == null && !world.dialed.isEmpty()) {
-            node = world.up();
+        if (node == null && !world.dials.isEmpty()) {
+            node = world.connectLast();
             dials++;
         }
         if (node != null) {
@@ -96,7 +96,7 @@
                         cut = true;
                     }
                 }
-                case 2 -> test.world.run(150_000);
+                case 2 -> test.world.advance(150_000);
                 default -> {
                     if (step % 2 == 0 && !cut) {
                         test.clientSends(size);
@@ -107,10 +107,10 @@
             }
             test.collect();
         }
-        test.world.run(12_000_000);
+        test.world.advance(12_000_000);
         test.collect();
         assertEquals(0, test.world.broker.openRequests());
-        assertEquals(0, test.front.sessions());
+        assertEquals(0, test.front.sessionCount());
         assertEquals(
                 test.count(TAKEN),
                 test.count("answered.served")
@@ -124,10 +124,10 @@
                 test.clientScript.isEmpty()
                         && test.nodeScript.isEmpty()
                         && test.dials == 1
-                        && test.clientGot.toString().equals("@RSYNCD: 29.0\n@RSYNCD: OK\n" + text(Golden.pullDown()))
+                        && test.clientGot.toString().equals("@RSYNCD: 29.0\n@RSYNCD: OK\n" + text(GoldenTransfers.pullFromNode()))
                         && test.nodeGot
                                 .toString()
-                                .equals("@RSYNCD: 29.0\ncharts\n" + Golden.ARGUMENTS + text(Golden.pullUp())));
+                                .equals("@RSYNCD: 29.0\ncharts\n" + GoldenTransfers.PULL_ARGUMENTS + text(GoldenTransfers.pullFromClient())));
     }
 
     @Test
@@ -142,8 +142,8 @@
     @Test
     void aDaemonThatAcceptsAndSaysNothingIsNotConnected() {
         clientSends(22);
-        world.up();
-        world.run(1_000_000);
+        world.connectLast();
+        world.advance(1_000_000);
         assertEquals(1, count("outcome.not_connected"));
     }
 
@@ -154,8 +154,8 @@
         nodeSends(26);
         node.sendEof();
         node = null;
-        nodeScript = "@RSYNCD: 31.0\n@RSYNCD: OK\n" + text(Golden.pullDown());
-        world.run(400_000);
+        nodeScript = "@RSYNCD: 31.0\n@RSYNCD: OK\n" + text(GoldenTransfers.pullFromNode());
+        world.advance(400_000);
         for (int i = 0; i < 40; i++) {
             clientSends(50);
             nodeSends(50);
@@ -166,10 +166,10 @@
 
     @Test
     void aTransferPastItsDeadlineIsCutOnceAndItsNodeLetGo() {
-        clientSends(22 + Golden.ARGUMENTS.length());
+        clientSends(22 + GoldenTransfers.PULL_ARGUMENTS.length());
         nodeSends(26);
         for (int i = 0; i < 60; i++) {
-            world.run(100_000);
+            world.advance(100_000);
             nodeSends(1);
         }
         assertEquals(1, count("answered.cut"));
