--- a/src/main/java/petrelstand/config/GatewayConfig.java
+++ b/src/main/java/petrelstand/config/GatewayConfig.java
@@ -20,8 +20,17 @@
 import petrelstand.retuning.SettingsTransition;
 
 /**
- * What a gateway is told at its start: its addresses, its limits, its last node list and the settings. The operators'
- * address is null where none is given. {@code file} is the text as it was read; nobody changes it.
+ * The gateway's configuration file, JSON.
+ *
+ * @param name this gateway's name
+ * @param listenAddress where clients connect, IP:PORT
+ * @param discoveryAddress of the discovery service, IP:PORT
+ * @param operatorAddress where operators connect, IP:PORT, or null if none is given
+ * @param seed of the random numbers
+ * @param socketLimit the maximum number of open sockets
+ * @param settings of the decision module
+ * @param cachedNodes the last node list that the platform knew, used until discovery answers
+ * @param json the file as it was read; must not be modified
  */
 public record GatewayConfig(
         String name,
@@ -33,10 +42,14 @@
         Settings settings,
         NodeList cachedNodes,
         JsonObject json) {
-    /** What a later file may leave out: it tells of the moment, or the environment tells it. */
-    private static final Set<String> SPARED = Set.of("known", "seed", "operator");
+    /** Keys that a reloaded file may lack: they change from start to start, or the environment gives them. */
+    private static final Set<String> OPTIONAL_ON_RELOAD = Set.of("known", "seed", "operator");
 
-    /** Reads the file that the environment names; whatever is wrong is one IllegalArgumentException. */
+    /**
+     * Reads the file that RELAY_CONFIG names.
+     *
+     * @throws IllegalArgumentException naming the file and the field that is missing or malformed
+     */
     public static GatewayConfig load(Map<String, String> env) {
         String file = env.get("RELAY_CONFIG");
         if (file == null || file.isBlank()) {
@@ -46,12 +59,14 @@
     }
 
     /**
-     * Reads the file anew. It must have every key that the one in use has, so that one which was cut or edited in haste
-     * is turned down whole; what is wrong is one IllegalArgumentException that names file and field.
+     * Reads the file again. The new file must have every key that the current one has, so that a truncated or
+     * half-edited file is rejected as a whole.
+     *
+     * @throws IllegalArgumentException naming the file and the field that is missing or malformed
      */
-    public static GatewayConfig reload(Map<String, String> env, GatewayConfig inUse) {
+    public static GatewayConfig reload(Map<String, String> env, GatewayConfig current) {
         return load(env.get("RELAY_CONFIG"), env, json -> {
-            String missing = missing("", inUse.json, json);
+            String missing = firstMissingKey("", current.json, json);
             if (missing != null) {
                 throw new IllegalArgumentException(missing + " is missing");
             }
@@ -60,9 +75,9 @@
 
     private static GatewayConfig load(String file, Map<String, String> env, Consumer<JsonObject> check) {
         try {
-            JsonObject json = object(Files.readString(Path.of(file)));
+            JsonObject json = parseObject(Files.readString(Path.of(file)));
             check.accept(json);
-            return of(json, env);
+            return fromJson(json, env);
         } catch (IOException e) {
             throw new IllegalArgumentException(
                     file + " cannot be read: " + e.getClass().getSimpleName());
@@ -71,41 +86,41 @@
         }
     }
 
-    /** The first key that a former object has, at any depth, and a changed one lacks; null where none is lacking. */
-    private static String missing(String path, JsonObject former, JsonObject changed) {
-        for (String key : former.keySet()) {
-            String at = path.isEmpty() ? key : path + "." + key;
-            if (SPARED.contains(at)) {
+    /** Returns the path of the first key, at any depth, that only the previous object has; null if there is none. */
+    private static String firstMissingKey(String path, JsonObject previous, JsonObject changed) {
+        for (String key : previous.keySet()) {
+            String keyPath = path.isEmpty() ? key : path + "." + key;
+            if (OPTIONAL_ON_RELOAD.contains(keyPath)) {
                 continue;
             }
-            JsonElement was = former.get(key);
-            JsonElement is = changed.get(key);
-            if (is == null || is.isJsonNull() && !was.isJsonNull()) {
-                return at;
+            JsonElement before = previous.get(key);
+            JsonElement after = changed.get(key);
+            if (after == null || after.isJsonNull() && !before.isJsonNull()) {
+                return keyPath;
             }
-            String below = was.isJsonObject() && is.isJsonObject()
-                    ? missing(at, was.getAsJsonObject(), is.getAsJsonObject())
-                    : was.isJsonArray() && is.isJsonArray()
-                            ? missing(at, was.getAsJsonArray(), is.getAsJsonArray())
+            String nested = before.isJsonObject() && after.isJsonObject()
+                    ? firstMissingKey(keyPath, before.getAsJsonObject(), after.getAsJsonObject())
+                    : before.isJsonArray() && after.isJsonArray()
+                            ? firstMissingKey(keyPath, before.getAsJsonArray(), after.getAsJsonArray())
                             : null;
-            if (below != null) {
-                return below;
+            if (nested != null) {
+                return nested;
             }
         }
         return null;
     }
 
-    /** Items come and go; each must have the keys that all of the former ones had. */
-    private static String missing(String path, JsonArray former, JsonArray changed) {
-        Set<String> shared = null;
-        for (JsonElement item : former) {
+    /** Items may come and go, but each must have the keys that all of the previous items had. */
+    private static String firstMissingKey(String path, JsonArray previous, JsonArray changed) {
+        Set<String> commonKeys = null;
+        for (JsonElement item : previous) {
             Set<String> keys = item.isJsonObject() ? item.getAsJsonObject().keySet() : Set.of();
-            shared = shared == null ? new HashSet<>(keys) : shared;
-            shared.retainAll(keys);
+            commonKeys = commonKeys == null ? new HashSet<>(keys) : commonKeys;
+            commonKeys.retainAll(keys);
         }
-        for (int i = 0; shared != null && i < changed.size(); i++) {
+        for (int i = 0; commonKeys != null && i < changed.size(); i++) {
             JsonObject item = changed.get(i).isJsonObject() ? changed.get(i).getAsJsonObject() : new JsonObject();
-            for (String key : shared) {
+            for (String key : commonKeys) {
                 if (!item.has(key)) {
                     return path + "." + i + "." + key;
                 }
@@ -114,11 +129,12 @@
         return null;
     }
 
+    /** Parses the file's text; the environment supplies the addresses and the name that the text leaves out. */
     public static GatewayConfig parse(String text, Map<String, String> env) {
-        return of(object(text), env);
+        return fromJson(parseObject(text), env);
     }
 
-    private static GatewayConfig of(JsonObject json, Map<String, String> env) {
+    private static GatewayConfig fromJson(JsonObject json, Map<String, String> env) {
         JsonObject limits = json.has("limits") && json.get("limits").isJsonObject()
                 ? json.getAsJsonObject("limits")
                 : new JsonObject();
@@ -127,47 +143,47 @@
         }
         Map<String, String> values = new HashMap<>();
         flatten("", json.get("settings"), values);
-        numbers(json.getAsJsonObject("settings"));
+        requirePositiveNumbers(json.getAsJsonObject("settings"));
         Settings settings;
         try {
             settings = SettingsReader.fromValues(values);
         } catch (IllegalArgumentException e) {
             throw new IllegalArgumentException("settings: " + e.getMessage());
         }
-        whole(limits, "memory_mb", 0);
-        NodeList known = json.has("known") && json.get("known").isJsonObject()
-                ? NodeList.of(json.getAsJsonObject("known"), settings.zones())
+        integer(limits, "memory_mb", 0);
+        NodeList cachedNodes = json.has("known") && json.get("known").isJsonObject()
+                ? NodeList.fromJson(json.getAsJsonObject("known"), settings.zones())
                 : NodeList.empty();
         return new GatewayConfig(
-                word(json, "name", env.get("RELAY_NAME")),
-                requireAddress("listen", word(json, "listen", env.get("RELAY_LISTEN"))),
-                requireAddress("discovery", word(json, "discovery", env.get("RELAY_DISCOVERY"))),
+                string(json, "name", env.get("RELAY_NAME")),
+                requireAddress("listen", string(json, "listen", env.get("RELAY_LISTEN"))),
+                requireAddress("discovery", string(json, "discovery", env.get("RELAY_DISCOVERY"))),
                 operatorAddress(json, env),
-                seed(word(json, "seed", "0")),
-                whole(limits, "sockets", 1024),
+                seed(string(json, "seed", "0")),
+                integer(limits, "sockets", 1024),
                 settings,
-                known,
+                cachedNodes,
                 json);
     }
 
     /**
-     * The environment goes first here, other than for the rest: a second process of one gateway has an address of its
-     * own, and may find the file as the first one was given it.
+     * Reads the operators' address. Here the environment overrides the file: a second process of the same gateway needs
+     * an address of its own, but may read the same file as the first.
      */
     private static String operatorAddress(JsonObject json, Map<String, String> env) {
-        String told = env.get("RELAY_OPERATOR");
-        String text = told != null && !told.isBlank() ? told : word(json, "operator", "");
+        String override = env.get("RELAY_OPERATOR");
+        String text = override != null && !override.isBlank() ? override : string(json, "operator", "");
         return text.isEmpty() ? null : requireAddress("operator", text);
     }
 
-    /** The memory that the file grants, bytes; 0 where it says nothing. */
+    /** Returns the memory limit of the file, in bytes; 0 if the file has none. */
     public long memoryBytes() {
         return json.has("limits") && json.get("limits").isJsonObject()
-                ? whole(json.getAsJsonObject("limits"), "memory_mb", 0) * 1024L * 1024
+                ? integer(json.getAsJsonObject("limits"), "memory_mb", 0) * 1024L * 1024
                 : 0;
     }
 
-    /** What differs in another file that a running gateway cannot take, by the names the file has for it. */
+    /** Returns the keys of the differences to another configuration that take effect only at a restart. */
     public List<String> restartOnlyChanges(GatewayConfig other) {
         List<String> names = new ArrayList<>();
         if (!name.equals(other.name)) {
@@ -183,29 +199,30 @@
         return names;
     }
 
-    /** A number in quotes is none: whoever wrote it may have meant something else. */
-    private static void numbers(JsonObject settings) {
+    /** Checks that the bounds of retries and deadlines are positive JSON numbers; a quoted number is rejected. */
+    private static void requirePositiveNumbers(JsonObject settings) {
         if (settings.get("caps") instanceof JsonObject caps) {
-            number("caps.most_tries", caps.get("most_tries"));
+            requirePositiveNumber("caps.most_tries", caps.get("most_tries"));
         }
         if (settings.get("classes") instanceof JsonArray classes) {
             for (int i = 0; i < classes.size(); i++) {
-                if (classes.get(i) instanceof JsonObject kind) {
-                    number("classes." + i + ".hard_limit_ms", kind.get("hard_limit_ms"));
-                    number("classes." + i + ".aim_ms", kind.get("aim_ms"));
+                if (classes.get(i) instanceof JsonObject requestClass) {
+                    requirePositiveNumber("classes." + i + ".hard_limit_ms", requestClass.get("hard_limit_ms"));
+                    requirePositiveNumber("classes." + i + ".aim_ms", requestClass.get("aim_ms"));
                 }
             }
         }
     }
 
-    private static void number(String path, JsonElement value) {
+    private static void requirePositiveNumber(String path, JsonElement value) {
         if (value != null
                 && !(value instanceof JsonPrimitive number && number.isNumber() && number.getAsDouble() > 0)) {
             throw new IllegalArgumentException("settings: " + path + " is no number above 0: " + value);
         }
     }
 
-    static JsonObject object(String text) {
+    /** Parses a JSON object; an error is an IllegalArgumentException of one line. */
+    static JsonObject parseObject(String text) {
         try {
             JsonElement element = JsonParser.parseString(text);
             if (!element.isJsonObject()) {
@@ -221,23 +238,23 @@
         }
     }
 
-    private static String word(JsonObject json, String key, String otherwise) {
+    private static String string(JsonObject json, String key, String defaultValue) {
         JsonElement element = json.get(key);
         if (element == null || element.isJsonNull()) {
-            if (otherwise == null) {
+            if (defaultValue == null) {
                 throw new IllegalArgumentException(key + " is missing");
             }
-            return otherwise;
+            return defaultValue;
         }
         if (!element.isJsonPrimitive()) {
-            throw new IllegalArgumentException(key + " is not a text");
+            throw new IllegalArgumentException(key + " is not a string");
         }
         return element.getAsString();
     }
 
-    private static int whole(JsonObject json, String key, int otherwise) {
+    private static int integer(JsonObject json, String key, int defaultValue) {
         try {
-            return json.has(key) ? (int) Double.parseDouble(word(json, key, null)) : otherwise;
+            return json.has(key) ? (int) Double.parseDouble(string(json, key, null)) : defaultValue;
         } catch (NumberFormatException e) {
             throw new IllegalArgumentException(key + " is not a number");
         }
@@ -251,7 +268,7 @@
         }
     }
 
-    /** A host and port; the host is an IP address, since there is no name service. */
+    /** Returns the text if it is IP:PORT, else throws; host names are rejected, since there is no name service. */
     static String requireAddress(String key, String text) {
         int colon = text.lastIndexOf(':');
         try {
@@ -263,16 +280,19 @@
                 return text;
             }
         } catch (NumberFormatException e) {
-            // The message below says it.
+            // Reported below.
         }
         throw new IllegalArgumentException(key + " is not an address with a port: '" + text + "'");
     }
 
-    /** Nested JSON as the simulator's text writes it: lists of objects by number, plain lists joined by commas. */
+    /**
+     * Flattens nested JSON to the paths of the simulator's settings: objects in lists are numbered, lists of plain
+     * values are joined by commas.
+     */
     static void flatten(String path, JsonElement element, Map<String, String> values) {
         if (element.isJsonObject()) {
-            String at = path.isEmpty() ? "" : path + ".";
-            element.getAsJsonObject().entrySet().forEach(e -> flatten(at + e.getKey(), e.getValue(), values));
+            String prefix = path.isEmpty() ? "" : path + ".";
+            element.getAsJsonObject().entrySet().forEach(e -> flatten(prefix + e.getKey(), e.getValue(), values));
         } else if (element.isJsonArray()) {
             flattenList(path, element.getAsJsonArray(), values);
         } else if (element.isJsonPrimitive()) {
@@ -281,17 +301,17 @@
     }
 
     private static void flattenList(String path, JsonArray list, Map<String, String> values) {
-        List<String> plain = new ArrayList<>();
+        List<String> plainValues = new ArrayList<>();
         for (int i = 0; i < list.size(); i++) {
             if (list.get(i).isJsonPrimitive()) {
-                plain.add(list.get(i).getAsString().replaceAll("[ ,]", "_"));
+                plainValues.add(list.get(i).getAsString().replaceAll("[ ,]", "_"));
             } else {
                 flatten(path + "." + i, list.get(i), values);
             }
         }
         values.put(path + ".count", Integer.toString(list.size()));
-        if (plain.size() == list.size()) {
-            values.put(path, String.join(",", plain));
+        if (plainValues.size() == list.size()) {
+            values.put(path, String.join(",", plainValues));
         }
     }
 }
--- a/src/main/java/petrelstand/config/IniFile.java
+++ b/src/main/java/petrelstand/config/IniFile.java
@@ -8,8 +8,10 @@
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
+import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Objects;
 import java.util.Set;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
@@ -18,26 +20,27 @@
 import org.apache.commons.configuration2.tree.ImmutableNode;
 
 /**
- * The operator's file in INI form, read by Apache Commons Configuration. What that library does not tell, the line of a
- * section or key, is looked up in the text. Every fault is one IllegalArgumentException, FILE:LINE: [SECTION] KEY and
- * what is wrong. A key or section that nobody has asked for by the end is a fault too ({@link #rejectUnread}).
+ * An INI file, parsed by Apache Commons Configuration. The library reports no line numbers, so the line of a section or
+ * key is searched for in the text. Every error is an IllegalArgumentException whose message has the form
+ * {@code FILE:LINE: [SECTION] KEY problem}. After reading, {@link #rejectUnread} reports unknown sections and keys.
  */
 public final class IniFile {
-    private static final long MOST_BYTES = 1 << 20;
-    private static final Pattern SECTION = Pattern.compile("^\\s*\\[(.*?)\\].*");
+    private static final long MAX_BYTES = 1 << 20;
+    private static final Pattern SECTION_HEADER = Pattern.compile("^\\s*\\[(.*?)\\].*");
     private static final Pattern DURATION = Pattern.compile("([0-9]+(?:\\.[0-9]+)?) *(us|ms|s|min|h)");
-    private static final Map<String, Double> UNITS_US = Map.of("us", 1.0, "ms", 1e3, "s", 1e6, "min", 6e7, "h", 3.6e9);
+    private static final Map<String, Double> MICROS_PER_UNIT =
+            Map.of("us", 1.0, "ms", 1e3, "s", 1e6, "min", 6e7, "h", 3.6e9);
 
     private final Path file;
     private final String[] lines;
-    private final Map<String, Section> sectionsOfKind = new HashMap<>();
-    private final List<Section> inOrder = new ArrayList<>();
+    private final Map<String, Section> sectionsByName = new HashMap<>();
+    private final List<Section> sectionsInOrder = new ArrayList<>();
 
-    /** Reads a file. */
+    /** Reads and parses a UTF-8 file of at most 1 MiB. */
     public static IniFile read(Path file) {
         try {
-            if (Files.size(file) > MOST_BYTES) {
-                throw new IllegalArgumentException(file + " is longer than " + MOST_BYTES + " bytes");
+            if (Files.size(file) > MAX_BYTES) {
+                throw new IllegalArgumentException(file + " is longer than " + MAX_BYTES + " bytes");
             }
             return new IniFile(file, Files.readString(file));
         } catch (CharacterCodingException e) {
@@ -48,7 +51,11 @@
         }
     }
 
-    /** Reads a text; the file is for messages, and for the names of other files in it, which are relative to it. */
+    /**
+     * Parses a text.
+     *
+     * @param file names the text in error messages; relative file names in the text are resolved against it
+     */
     public IniFile(Path file, String text) {
         this.file = file;
         this.lines = text.split("\r?\n", -1);
@@ -60,25 +67,25 @@
         }
         for (ImmutableNode node : ini.getNodeModel().getInMemoryRepresentation().getChildren()) {
             if (node.getValue() != null) {
-                throw new IllegalArgumentException(
-                        at(line(null, node.getNodeName())) + node.getNodeName() + " stands before the first section");
+                throw new IllegalArgumentException(location(lineNumber(null, node.getNodeName())) + node.getNodeName()
+                        + " is before the first section");
             }
-            add(node);
+            addSection(node);
         }
     }
 
-    private void add(ImmutableNode node) {
+    private void addSection(ImmutableNode node) {
         Section section = new Section(node.getNodeName());
-        if (sectionsOfKind.put(node.getNodeName(), section) != null) {
+        if (sectionsByName.put(node.getNodeName(), section) != null) {
             throw new IllegalArgumentException(
-                    at(line(node.getNodeName(), null)) + "[" + node.getNodeName() + "] is there twice");
+                    location(lineNumber(node.getNodeName(), null)) + "[" + node.getNodeName() + "] is given twice");
         }
-        inOrder.add(section);
+        sectionsInOrder.add(section);
         for (ImmutableNode key : node.getChildren()) {
             if (section.values.put(
                             key.getNodeName(), String.valueOf(key.getValue()).strip())
                     != null) {
-                throw section.error(key.getNodeName(), "is there twice");
+                throw section.error(key.getNodeName(), "is given twice");
             }
         }
     }
@@ -87,73 +94,77 @@
         return file;
     }
 
-    /** A file that this one names: relative names are taken from where this one lies. */
+    /** Resolves a file name against the folder of this file. */
     public Path resolveSibling(String name) {
         return file.toAbsolutePath().resolveSibling(name);
     }
 
-    /** The section of a name, or null. */
+    /** Returns the section with this name, or null if there is none. */
     public Section section(String name) {
-        Section section = sectionsOfKind.get(name);
+        Section section = sectionsByName.get(name);
         if (section != null) {
-            section.asked = true;
+            section.requested = true;
         }
         return section;
     }
 
-    /** The sections whose names begin with a word and a space, in the order of the file. */
-    public List<Section> sectionsOfKind(String word) {
-        List<Section> found =
-                inOrder.stream().filter(s -> s.name.startsWith(word + " ")).toList();
-        found.forEach(section -> section.asked = true);
+    /** Returns the sections named {@code [KIND NAME]}, in the order of the file. */
+    public List<Section> sectionsOfKind(String kind) {
+        List<Section> found = sectionsInOrder.stream()
+                .filter(s -> s.name.startsWith(kind + " "))
+                .toList();
+        found.forEach(section -> section.requested = true);
         return found;
     }
 
-    /** Refuses the first section or key that was not asked for. */
+    /** Throws for the first section or key that the program did not ask for: it is unknown, or a typing error. */
     public void rejectUnread() {
-        for (Section section : inOrder) {
-            if (!section.asked) {
+        for (Section section : sectionsInOrder) {
+            if (!section.requested) {
                 throw new IllegalArgumentException(
-                        at(line(section.name, null)) + "[" + section.name + "] is no section of this file");
+                        location(lineNumber(section.name, null)) + "[" + section.name + "] is no section of this file");
             }
             for (String key : section.values.keySet()) {
-                if (!section.read.contains(key)) {
+                if (!section.readKeys.contains(key)) {
                     throw section.error(key, "is no key of this section");
                 }
             }
         }
     }
 
-    private String at(int line) {
+    private String location(int line) {
         return file + ":" + line + ": ";
     }
 
-    /** The line, from 1, of the last place where a section, or a key in it, is given; 1 where it is none. */
-    private int line(String section, String key) {
-        Pattern wanted = key == null ? null : Pattern.compile("^\\s*" + Pattern.quote(key) + "\\s*([=:].*)?$");
-        String in = null;
-        int found = 0;
-        int header = 0;
+    /** Returns the line, from 1, of the last occurrence of a key, else that of its section's header, else 1. */
+    private int lineNumber(String section, String key) {
+        Pattern keyLine = key == null ? null : Pattern.compile("^\\s*" + Pattern.quote(key) + "\\s*([=:].*)?$");
+        String currentSection = null;
+        int keyLineNumber = 0;
+        int sectionLineNumber = 0;
         for (int i = 0; i < lines.length; i++) {
-            Matcher head = SECTION.matcher(lines[i]);
-            if (head.matches()) {
-                in = head.group(1).strip();
-                header = in.equals(section) ? i + 1 : header;
-            } else if (wanted != null
-                    && java.util.Objects.equals(in, section)
-                    && wanted.matcher(lines[i]).matches()) {
-                found = i + 1;
+            Matcher header = SECTION_HEADER.matcher(lines[i]);
+            if (header.matches()) {
+                currentSection = header.group(1).strip();
+                sectionLineNumber = currentSection.equals(section) ? i + 1 : sectionLineNumber;
+            } else if (keyLine != null
+                    && Objects.equals(currentSection, section)
+                    && keyLine.matcher(lines[i]).matches()) {
+                keyLineNumber = i + 1;
             }
         }
-        return Math.max(1, found > 0 ? found : header);
+        return Math.max(1, keyLineNumber > 0 ? keyLineNumber : sectionLineNumber);
     }
 
-    /** One section; what is asked for is marked as read. */
+    /**
+     * One section. Each getter marks its key as read. A getter with a default value returns it if the key is missing;
+     * the others throw.
+     */
     public final class Section {
         private final String name;
-        private final Map<String, String> values = new java.util.LinkedHashMap<>();
-        private final Set<String> read = new HashSet<>();
-        private boolean asked;
+        private final Map<String, String> values = new LinkedHashMap<>();
+        private final Set<String> readKeys = new HashSet<>();
+        private boolean requested;
 
         private Section(String name) {
             this.name = name;
@@ -163,17 +174,18 @@
             return name;
         }
 
-        /** A fault at a key, or at the section where the key is null or missing. */
-        public IllegalArgumentException error(String key, String what) {
+        /** Creates an error located at a key, or at the section's header if the key is null or missing. */
+        public IllegalArgumentException error(String key, String problem) {
             return new IllegalArgumentException(
-                    at(line(name, key)) + "[" + name + "] " + (key == null ? "" : key + " ") + what);
+                    location(lineNumber(name, key)) + "[" + name + "] " + (key == null ? "" : key + " ") + problem);
         }
 
         public boolean has(String key) {
-            read.add(key);
+            readKeys.add(key);
             return values.containsKey(key);
         }
 
+        /** Returns the value of a key that must be there and not empty. */
         public String text(String key) {
             if (!has(key)) {
                 throw error(key, "is missing");
@@ -184,63 +196,64 @@
             return values.get(key);
         }
 
-        public String textOrDefault(String key, String otherwise) {
-            return has(key) && !values.get(key).isEmpty() ? values.get(key) : otherwise;
+        /** Returns the value, or the default if the key is missing or empty. */
+        public String textOrDefault(String key, String defaultValue) {
+            return has(key) && !values.get(key).isEmpty() ? values.get(key) : defaultValue;
         }
 
-        /** A time with its unit (us, ms, s, min or h), in microseconds, within bounds. */
-        public long durationUs(String key, long otherwise, long leastUs, long mostUs) {
-            return has(key) ? durationUs(key, text(key), leastUs, mostUs) : otherwise;
+        /** Returns a duration written with its unit (us, ms, s, min or h), in microseconds, within inclusive bounds. */
+        public long durationUs(String key, long defaultUs, long minUs, long maxUs) {
+            return has(key) ? durationUs(key, text(key), minUs, maxUs) : defaultUs;
         }
 
-        /** The same of a text that is the key's value or a part of it. */
-        public long durationUs(String key, String part, long leastUs, long mostUs) {
-            Matcher parts = DURATION.matcher(part);
+        /** Parses a duration that is the value of a key or a part of it; the key is for the error. */
+        public long durationUs(String key, String text, long minUs, long maxUs) {
+            Matcher parts = DURATION.matcher(text);
             if (!parts.matches()) {
-                throw error(key, "is not a time with its unit, such as 500 ms or 2 s: '" + part + "'");
+                throw error(key, "is not a time with its unit, such as 500 ms or 2 s: '" + text + "'");
             }
-            double us = Double.parseDouble(parts.group(1)) * UNITS_US.get(parts.group(2));
-            if (!(us >= leastUs && us <= mostUs)) {
-                throw error(
-                        key, "must be from " + leastUs / 1000.0 + " ms to " + mostUs / 1e6 + " s, not '" + part + "'");
+            double us = Double.parseDouble(parts.group(1)) * MICROS_PER_UNIT.get(parts.group(2));
+            if (!(us >= minUs && us <= maxUs)) {
+                throw error(key, "must be from " + minUs / 1000.0 + " ms to " + maxUs / 1e6 + " s, not '" + text + "'");
             }
             return (long) us;
         }
 
-        /** A number within bounds. */
-        public double number(String key, double otherwise, double least, double most) {
+        /** Returns a number within inclusive bounds. */
+        public double number(String key, double defaultValue, double min, double max) {
             if (!has(key)) {
-                return otherwise;
+                return defaultValue;
             }
             double value = Double.NaN;
             try {
                 value = Double.parseDouble(text(key));
             } catch (NumberFormatException e) {
-                // Refused below, as what is out of bounds is.
+                // NaN fails the bounds check below.
             }
-            if (!(value >= least && value <= most)) {
-                throw error(key, "is not a number from " + least + " to " + most + ": '" + text(key) + "'");
+            if (!(value >= min && value <= max)) {
+                throw error(key, "is not a number from " + min + " to " + max + ": '" + text(key) + "'");
             }
             return value;
         }
 
-        public int integer(String key, int otherwise, int least, int most) {
-            double value = number(key, otherwise, least, most);
+        public int integer(String key, int defaultValue, int min, int max) {
+            double value = number(key, defaultValue, min, max);
             if (value != Math.rint(value)) {
                 throw error(key, "is not a whole number: '" + text(key) + "'");
             }
             return (int) value;
         }
 
-        /** The place of the value among names. */
-        public int choiceIndex(String key, List<String> names) {
-            int place = names.indexOf(text(key));
-            if (place < 0) {
-                throw error(key, "is none of " + names + ": '" + text(key) + "'");
+        /** Returns the index of the value in the list of allowed values. */
+        public int choiceIndex(String key, List<String> choices) {
+            int index = choices.indexOf(text(key));
+            if (index < 0) {
+                throw error(key, "must be one of " + choices + ", not '" + text(key) + "'");
             }
-            return place;
+            return index;
         }
 
+        /** Returns an address, IP:PORT. */
         public String address(String key) {
             try {
                 return GatewayConfig.requireAddress(key, text(key));
--- a/src/main/java/petrelstand/config/NodeList.java
+++ b/src/main/java/petrelstand/config/NodeList.java
@@ -8,18 +8,25 @@
 import petrelstand.decision.Scheduling.NodeEntry;
 import petrelstand.decision.Scheduling.NodeState;
 
-/** A node list, or changes to one, in discovery's form. */
+/**
+ * A node list, or changes to one, as the discovery service sends it.
+ *
+ * @param version of the list; -1 if there is none yet
+ * @param full true if the list replaces the previous one, false if it only holds changes
+ * @param nodes the nodes, or the changed ones
+ */
 public record NodeList(long version, boolean full, List<Node> nodes) {
-    /** No list at all; a version of 0 is one that discovery may hold. */
+    /** Returns a list without nodes. Its version is -1, since 0 is a valid version. */
     public static NodeList empty() {
         return new NodeList(-1, true, List.of());
     }
 
+    /** Parses a list; a malformed one is an IllegalArgumentException. Zones are numbered by their place in the list. */
     public static NodeList parse(String text, List<String> zones) {
-        return of(GatewayConfig.object(text), zones);
+        return fromJson(GatewayConfig.parseObject(text), zones);
     }
 
-    static NodeList of(JsonObject json, List<String> zones) {
+    static NodeList fromJson(JsonObject json, List<String> zones) {
         try {
             List<Node> nodes = new ArrayList<>();
             if (json.has("servers") && json.get("servers").isJsonArray()) {
@@ -52,9 +59,9 @@
         };
         int zone = json.has("zone") ? Math.max(0, zones.indexOf(json.get("zone").getAsString())) : 0;
         String address = json.has("addr") ? json.get("addr").getAsString() : "";
-        int cell = number(json, "cell", -1).intValue();
-        if (cell >= NodeEntry.FIRST_PRIVATE_SHARD) {
-            throw new IllegalArgumentException("node " + name + " has a cell that is out of range: " + cell);
+        int shard = number(json, "cell", -1).intValue();
+        if (shard >= NodeEntry.FIRST_PRIVATE_SHARD) {
+            throw new IllegalArgumentException("node " + name + " has a cell that is out of range: " + shard);
         }
         if (state != NodeState.GONE) {
             GatewayConfig.requireAddress("addr of node " + name, address);
@@ -65,14 +72,14 @@
                 new NodeEntry(
                         Node.numberOf(name),
                         zone,
-                        cell,
+                        shard,
                         state,
                         number(json, "weight", 1).doubleValue(),
                         number(json, "started_ms", 0).doubleValue()));
     }
 
-    private static Number number(JsonObject json, String key, Number otherwise) {
+    private static Number number(JsonObject json, String key, Number defaultValue) {
         JsonElement element = json.get(key);
-        return element == null || element.isJsonNull() ? otherwise : Double.valueOf(element.getAsDouble());
+        return element == null || element.isJsonNull() ? defaultValue : Double.valueOf(element.getAsDouble());
     }
 }
--- a/src/main/java/petrelstand/config/OperatorConfig.java
+++ b/src/main/java/petrelstand/config/OperatorConfig.java
@@ -11,16 +11,16 @@
 import petrelstand.decision.Scheduling.Settings;
 
 /**
- * The operator's own file: what is switched on beyond the platform's protocol. Each part is null where its section is
- * missing, and then costs nothing.
+ * The operator's INI file: the optional features beyond the platform's protocol. A feature is null, and off, if its
+ * section is missing.
  *
- * @param state where learned state is kept
+ * @param state the storage of learned state
  * @param rsync the rsync front
  * @param accounts latency accounts
- * @param fleet how this gateway and others know each other
- * @param rules rules on which the fleet's gateways agree
- * @param jsonLog true where log lines are JSON
- * @param files this file and those it names: a change of any is a change of the whole
+ * @param fleet membership of the fleet of gateways
+ * @param rules the rules on which the fleet's gateways agree
+ * @param jsonLog true if log lines are written as JSON
+ * @param files this file and those that it names; a change of any of them reloads all
  */
 public record OperatorConfig(
         StateConfig state,
@@ -30,27 +30,36 @@
         RulesConfig rules,
         boolean jsonLog,
         List<Path> files) {
-    /** Where the file lies if PETRELSTAND_INI does not say; without it nothing is switched on. */
+    /** Read if PETRELSTAND_INI is not set; if this file does not exist either, all features are off. */
     public static final Path DEFAULT_PATH = Path.of("deploy/petrelstand.ini");
 
-    private static final long FOLLOW_MS = 1000;
+    private static final long POLL_INTERVAL_MS = 1000;
 
-    /** The folder that learned state is kept in, and how often a snapshot is written. */
+    /**
+     * Section {@code [state]}.
+     *
+     * @param folder where learned state is stored
+     * @param snapshotIntervalUs between two snapshots
+     */
     public record StateConfig(Path folder, long snapshotIntervalUs) {
-        static final long EVERY_US = 2_000_000;
+        static final long DEFAULT_SNAPSHOT_INTERVAL_US = 2_000_000;
 
         static StateConfig of(IniFile.Section section, IniFile ini) {
             return section == null
                     ? null
                     : new StateConfig(
                             ini.resolveSibling(section.text("folder")),
-                            section.durationUs("every", EVERY_US, 100_000, 600_000_000));
+                            section.durationUs("every", DEFAULT_SNAPSHOT_INTERVAL_US, 100_000, 600_000_000));
         }
     }
 
     /**
-     * Latency accounts: the cores that a storage node serves with, whether {@code GET /accounts} and {@code GET
-     * /metrics} are answered, and the folder that they are recorded in (null: none).
+     * Section {@code [accounts]}: latency accounts.
+     *
+     * @param nodeCores the number of cores of a storage node
+     * @param servesPage whether {@code GET /accounts} is answered
+     * @param servesMetrics whether {@code GET /metrics} includes them
+     * @param folder where they are recorded, or null
      */
     public record AccountsConfig(int nodeCores, boolean servesPage, boolean servesMetrics, Path folder) {
         static AccountsConfig of(IniFile.Section section, IniFile ini) {
@@ -64,32 +73,36 @@
         }
     }
 
-    /** The file that the environment names, or the usual one; null where neither is there. */
+    /** Returns the file that PETRELSTAND_INI names, else the default path if it exists, else null. */
     public static Path locate(Map<String, String> env) {
         if (env.get("PETRELSTAND_RSYNC") != null) {
             throw new IllegalArgumentException("PETRELSTAND_RSYNC is no longer read: the rsync front is set up in the"
                     + " operator's INI file, which PETRELSTAND_INI names (docs/RSYNC.md)");
         }
-        String named = env.get("PETRELSTAND_INI");
-        return named != null ? Path.of(named) : Files.exists(DEFAULT_PATH) ? DEFAULT_PATH : null;
+        String configured = env.get("PETRELSTAND_INI");
+        return configured != null ? Path.of(configured) : Files.exists(DEFAULT_PATH) ? DEFAULT_PATH : null;
     }
 
-    /** Gives the text of a file. */
+    /** Reads the text of a file. */
     public interface TextReader {
         String read(Path file) throws IOException;
     }
 
-    /** Reads the file and what it names, whole; what is wrong is one line that names file, line and key. */
+    /**
+     * Reads the file and the files that it names.
+     *
+     * @throws IllegalArgumentException with one line that names file, line and key
+     */
     public static OperatorConfig load(Path file, Settings settings) {
         return load(IniFile.read(file), settings, Files::readString);
     }
 
-    /** Takes a file that was read, and reads those that it names. */
+    /** Reads the configuration from a parsed file, and the files that it names through the reader. */
     public static OperatorConfig load(IniFile ini, Settings settings, TextReader reader) {
         List<Path> files = new ArrayList<>(List.of(ini.file()));
         RsyncConfig rsync = RsyncConfig.of(ini, settings, files, reader);
         IniFile.Section log = ini.section("log");
-        boolean json = log != null && log.choiceIndex("form", List.of("text", "json")) == 1;
+        boolean jsonLog = log != null && log.choiceIndex("form", List.of("text", "json")) == 1;
         FleetConfig fleet = FleetConfig.of(ini, files, reader);
         OperatorConfig config = new OperatorConfig(
                 StateConfig.of(ini.section("state"), ini),
@@ -97,38 +110,40 @@
                 AccountsConfig.of(ini.section("accounts"), ini),
                 fleet,
                 RulesConfig.of(ini, fleet, settings, files, reader),
-                json,
+                jsonLog,
                 List.copyOf(files));
         ini.rejectUnread();
         return config;
     }
 
     /**
-     * Watches the files on a thread of its own, since reading them may block, and hands on what they say when one
-     * changes, or the one line that is wrong with them.
+     * Polls the files for changes on a daemon thread, since reading them may block. Both callbacks run on that thread.
+     *
+     * @param changed receives the new configuration
+     * @param failed receives a line that says why the changed files were rejected
      */
-    public Thread startWatching(Settings settings, Consumer<OperatorConfig> changed, Consumer<String> wrong) {
-        List<FileTime> first = modified(files);
+    public Thread startWatching(Settings settings, Consumer<OperatorConfig> changed, Consumer<String> failed) {
+        List<FileTime> initialTimes = modificationTimes(files);
         Thread thread = new Thread(
                 () -> {
                     List<Path> watched = files;
-                    List<FileTime> seen = first;
+                    List<FileTime> lastTimes = initialTimes;
                     while (!Thread.currentThread().isInterrupted()) {
                         try {
-                            Thread.sleep(FOLLOW_MS);
+                            Thread.sleep(POLL_INTERVAL_MS);
                         } catch (InterruptedException e) {
                             return;
                         }
-                        List<FileTime> now = modified(watched);
-                        if (!now.equals(seen)) {
-                            seen = now;
+                        List<FileTime> currentTimes = modificationTimes(watched);
+                        if (!currentTimes.equals(lastTimes)) {
+                            lastTimes = currentTimes;
                             try {
-                                OperatorConfig read = load(files.get(0), settings);
-                                watched = read.files();
-                                seen = modified(watched);
-                                changed.accept(read);
+                                OperatorConfig reloaded = load(files.get(0), settings);
+                                watched = reloaded.files();
+                                lastTimes = modificationTimes(watched);
+                                changed.accept(reloaded);
                             } catch (IllegalArgumentException e) {
-                                wrong.accept(e.getMessage());
+                                failed.accept(e.getMessage());
                             }
                         }
                     }
@@ -139,7 +154,8 @@
         return thread;
     }
 
-    private static List<FileTime> modified(List<Path> files) {
+    /** Returns the modification time of each file; the epoch for a file that cannot be read. */
+    private static List<FileTime> modificationTimes(List<Path> files) {
         List<FileTime> times = new ArrayList<>();
         for (Path file : files) {
             try {
--- a/src/main/java/petrelstand/config/RsyncConfig.java
+++ b/src/main/java/petrelstand/config/RsyncConfig.java
@@ -14,16 +14,30 @@
 import petrelstand.decision.Scheduling.Settings;
 
 /**
- * The rsync front as the operator's file sets it up: where it listens, its modules, and its nodes as Envoy clusters and
- * endpoints in the xDS JSON files that it names. A cluster is a shard of its own: any of its endpoints holds its data.
+ * The rsync front: section {@code [rsync]} of the operator's file, its modules, and its nodes, read from xDS JSON files
+ * of Envoy clusters and endpoints. Each cluster is a shard: any of its endpoints holds all of its data.
+ *
+ * @param listenAddress where rsync clients connect, IP:PORT
+ * @param idleTimeoutUs after which a connection without traffic is closed
+ * @param maxTransfers the maximum number of transfers at a time
+ * @param modules the rsync modules
+ * @param nodes the endpoints of all clusters
  */
 public record RsyncConfig(
         String listenAddress, long idleTimeoutUs, int maxTransfers, List<Module> modules, List<Node> nodes) {
-    /** An rsync module, and how the decision module counts its transfers. */
+    /**
+     * An rsync module and the request that the decision module schedules for a transfer of it.
+     *
+     * @param requestClass index of the class
+     * @param plan index of the plan
+     * @param volume whose data is transferred
+     * @param units cost of a transfer in units of work
+     * @param shard number of the module's cluster
+     */
     public record Module(
             String name, String comment, int requestClass, int plan, long volume, double units, int shard) {}
 
-    /** The module of a name; null where there is none. */
+    /** Returns the module with this name, or null if there is none. */
     public Module module(String name) {
         return modules.stream()
                 .filter(module -> module.name().equals(name))
@@ -31,10 +45,7 @@
                 .orElse(null);
     }
 
-    /**
-     * The front as the operator's file sets it up, with the clusters and endpoints of the JSON files that it names;
-     * null where it has no section [rsync]. The files read are added to the list.
-     */
+    /** Reads the section; null if the file has none. Adds the xDS files to {@code files}. */
     static RsyncConfig of(IniFile ini, Settings settings, List<Path> files, OperatorConfig.TextReader reader) {
         IniFile.Section rsync = ini.section("rsync");
         if (rsync == null) {
@@ -46,7 +57,7 @@
             Path file = ini.resolveSibling(name);
             files.add(file);
             try {
-                resources(reader.read(file), shards, settings, nodes);
+                readResources(reader.read(file), shards, settings, nodes);
             } catch (IOException e) {
                 throw rsync.error(
                         "xds", name + " cannot be read: " + e.getClass().getSimpleName());
@@ -56,7 +67,7 @@
         }
         List<Module> modules = new ArrayList<>();
         for (IniFile.Section module : ini.sectionsOfKind("rsync module")) {
-            modules.add(module(module, shards, settings));
+            modules.add(readModule(module, shards, settings));
         }
         return new RsyncConfig(
                 rsync.address("listen"),
@@ -66,31 +77,33 @@
                 List.copyOf(nodes));
     }
 
-    private static void resources(String text, Map<String, Integer> shards, Settings settings, List<Node> nodes) {
-        Fields file = new Fields("", GatewayConfig.object(text));
-        for (Fields cluster : file.list("clusters")) {
+    private static void readResources(String text, Map<String, Integer> shards, Settings settings, List<Node> nodes) {
+        JsonFields file = new JsonFields("", GatewayConfig.parseObject(text));
+        for (JsonFields cluster : file.list("clusters")) {
             String name = cluster.text("name");
             if (shards.putIfAbsent(name, NodeEntry.FIRST_PRIVATE_SHARD + shards.size()) != null) {
-                throw cluster.wrong("name", "is there twice: '" + name + "'");
+                throw cluster.error("name", "is given twice: '" + name + "'");
             }
-            String type = cluster.textOr("type", "STATIC");
+            String type = cluster.textOrDefault("type", "STATIC");
             if (!type.equals("STATIC") && !type.equals("EDS")) {
-                throw cluster.wrong("type", "must be STATIC or EDS, not '" + type + "'");
+                throw cluster.error("type", "must be STATIC or EDS, not '" + type + "'");
             }
             if (cluster.has("loadAssignment")) {
-                assignment(cluster.object("loadAssignment"), name, shards, settings, nodes);
+                readAssignment(cluster.object("loadAssignment"), name, shards, settings, nodes);
             }
         }
         if (file.has("endpoints")) {
-            for (Fields assignment : file.list("endpoints")) {
-                assignment(assignment, assignment.text("clusterName"), shards, settings, nodes);
+            for (JsonFields assignment : file.list("endpoints")) {
+                readAssignment(assignment, assignment.text("clusterName"), shards, settings, nodes);
             }
         }
     }
 
-    private static Module module(IniFile.Section module, Map<String, Integer> shards, Settings settings) {
-        List<String> classes = settings.classes().stream().map(c -> c.name()).toList();
-        List<String> plans = settings.plans().stream().map(p -> p.name()).toList();
+    private static Module readModule(IniFile.Section module, Map<String, Integer> shards, Settings settings) {
+        List<String> classes = settings.classes().stream()
+                .map(requestClass -> requestClass.name())
+                .toList();
+        List<String> plans = settings.plans().stream().map(plan -> plan.name()).toList();
         String name = module.name().substring("rsync module ".length());
         if (!name.matches("[A-Za-z0-9_.-]+")) {
             throw module.error(null, "a module's name may hold letters, digits, '_', '.' and '-' only");
@@ -100,7 +113,7 @@
         }
         Integer shard = shards.get(module.text("cluster"));
         if (shard == null) {
-            throw module.error("cluster", "names no cluster: '" + module.text("cluster") + "'");
+            throw module.error("cluster", "names an unknown cluster: '" + module.text("cluster") + "'");
         }
         return new Module(
                 name,
@@ -112,43 +125,48 @@
                 shard);
     }
 
-    private static void assignment(
-            Fields assignment, String cluster, Map<String, Integer> shards, Settings settings, List<Node> nodes) {
+    private static void readAssignment(
+            JsonFields assignment, String cluster, Map<String, Integer> shards, Settings settings, List<Node> nodes) {
         Integer shard = shards.get(cluster);
         if (shard == null) {
-            throw assignment.wrong("clusterName", "names no cluster: '" + cluster + "'");
+            throw assignment.error("clusterName", "names an unknown cluster: '" + cluster + "'");
         }
-        for (Fields locality : assignment.list("endpoints")) {
+        for (JsonFields locality : assignment.list("endpoints")) {
             int zone = 0;
             if (locality.has("locality")) {
-                zone = locality.object("locality").place("zone", settings.zones());
+                zone = locality.object("locality").choiceIndex("zone", settings.zones());
             }
-            for (Fields endpoint : locality.list("lbEndpoints")) {
-                nodes.add(node(endpoint, cluster, shard, zone));
+            for (JsonFields endpoint : locality.list("lbEndpoints")) {
+                nodes.add(readNode(endpoint, cluster, shard, zone));
             }
         }
     }
 
-    private static Node node(Fields endpoint, String cluster, int shard, int zone) {
-        Fields socket = endpoint.object("endpoint").object("address").object("socketAddress");
+    private static Node readNode(JsonFields endpoint, String cluster, int shard, int zone) {
+        JsonFields socket = endpoint.object("endpoint").object("address").object("socketAddress");
         String address = socket.text("address") + ":" + (int) socket.number("portValue", 1);
         GatewayConfig.requireAddress(socket.path("address"), address);
-        String health = endpoint.textOr("healthStatus", "UNKNOWN");
+        String health = endpoint.textOrDefault("healthStatus", "UNKNOWN");
         NodeState state = switch (health) {
             case "UNKNOWN", "HEALTHY", "DEGRADED" -> NodeState.READY;
             case "DRAINING", "UNHEALTHY", "TIMEOUT" -> NodeState.DRAINING;
-            default -> throw endpoint.wrong("healthStatus", "is unknown: '" + health + "'");
+            default -> throw endpoint.error("healthStatus", "is unknown: '" + health + "'");
         };
         String name = cluster + "/" + address;
         return new Node(
                 name,
                 address,
                 new NodeEntry(
-                        Node.numberOf(name), zone, shard, state, endpoint.numberOr("loadBalancingWeight", 1, 0), 0));
+                        Node.numberOf(name),
+                        zone,
+                        shard,
+                        state,
+                        endpoint.numberOrDefault("loadBalancingWeight", 1, 0),
+                        0));
     }
 
-    /** A JSON object and where it stands; xDS fields are taken in both spellings that proto JSON allows. */
-    private record Fields(String at, JsonObject json) {
+    /** A JSON object and its path in the file. A field may be spelled in camelCase or snake_case, as in proto JSON. */
+    private record JsonFields(String ownPath, JsonObject json) {
         private JsonElement get(String key) {
             JsonElement element = json.get(key);
             return element != null
@@ -156,12 +174,13 @@
                     : json.get(key.replaceAll("([A-Z])", "_$1").toLowerCase(java.util.Locale.ROOT));
         }
 
+        /** Returns the path of a field, for error messages. */
         String path(String key) {
-            return at.isEmpty() ? key : at + "." + key;
+            return ownPath.isEmpty() ? key : ownPath + "." + key;
         }
 
-        IllegalArgumentException wrong(String key, String what) {
-            return new IllegalArgumentException(path(key) + " " + what);
+        IllegalArgumentException error(String key, String problem) {
+            return new IllegalArgumentException(path(key) + " " + problem);
         }
 
         boolean has(String key) {
@@ -171,76 +190,76 @@
         String text(String key) {
             JsonElement element = get(key);
             if (element == null) {
-                throw wrong(key, "is missing");
+                throw error(key, "is missing");
             }
             if (!element.isJsonPrimitive()
                     || !element.getAsJsonPrimitive().isString()
                     || element.getAsString().isEmpty()) {
-                throw wrong(key, "is not a text");
+                throw error(key, "is not a string");
             }
             return element.getAsString();
         }
 
-        String textOr(String key, String otherwise) {
-            return has(key) ? text(key) : otherwise;
+        String textOrDefault(String key, String defaultValue) {
+            return has(key) ? text(key) : defaultValue;
         }
 
-        double number(String key, double least) {
+        double number(String key, double min) {
             JsonElement element = get(key);
             if (element == null) {
-                throw wrong(key, "is missing");
+                throw error(key, "is missing");
             }
             try {
                 double value = element.getAsDouble();
-                if (value >= least && value < 1e9) {
+                if (value >= min && value < 1e9) {
                     return value;
                 }
             } catch (RuntimeException e) {
-                // The message below says it.
+                // Reported below.
             }
-            throw wrong(key, "is not a number of at least " + (least < 1e-9 ? "more than 0" : least));
+            throw error(key, "is not a number of at least " + (min < 1e-9 ? "more than 0" : min));
         }
 
-        double numberOr(String key, double otherwise, double least) {
-            return has(key) ? number(key, least) : otherwise;
+        double numberOrDefault(String key, double defaultValue, double min) {
+            return has(key) ? number(key, min) : defaultValue;
         }
 
-        int place(String key, List<String> names) {
-            int place = names.indexOf(text(key));
-            if (place < 0) {
-                throw wrong(key, "is none of " + names + ": '" + text(key) + "'");
+        int choiceIndex(String key, List<String> choices) {
+            int index = choices.indexOf(text(key));
+            if (index < 0) {
+                throw error(key, "must be one of " + choices + ", not '" + text(key) + "'");
             }
-            return place;
+            return index;
         }
 
-        Fields object(String key) {
+        JsonFields object(String key) {
             JsonElement element = get(key);
             if (element == null) {
-                throw wrong(key, "is missing");
+                throw error(key, "is missing");
             }
             if (!element.isJsonObject()) {
-                throw wrong(key, "is not an object");
+                throw error(key, "is not an object");
             }
-            return new Fields(path(key), element.getAsJsonObject());
+            return new JsonFields(path(key), element.getAsJsonObject());
         }
 
-        List<Fields> list(String key) {
+        List<JsonFields> list(String key) {
             JsonElement element = get(key);
             if (element == null) {
-                throw wrong(key, "is missing");
+                throw error(key, "is missing");
             }
             if (!element.isJsonArray()) {
-                throw wrong(key, "is not a list");
+                throw error(key, "is not a list");
             }
-            List<Fields> list = new ArrayList<>();
+            List<JsonFields> items = new ArrayList<>();
             for (JsonElement item : element.getAsJsonArray()) {
-                String at = path(key) + "[" + list.size() + "]";
+                String itemPath = path(key) + "[" + items.size() + "]";
                 if (!item.isJsonObject()) {
-                    throw new IllegalArgumentException(at + " is not an object");
+                    throw new IllegalArgumentException(itemPath + " is not an object");
                 }
-                list.add(new Fields(at, item.getAsJsonObject()));
+                items.add(new JsonFields(itemPath, item.getAsJsonObject()));
             }
-            return list;
+            return items;
         }
     }
 }
--- a/src/main/java/petrelstand/config/RulesText.java
+++ b/src/main/java/petrelstand/config/RulesText.java
@@ -10,24 +10,27 @@
 import petrelstand.agreement.Rules;
 
 /**
- * The text of a set of rules, in INI: what is wrong with it is one line that names file, line and key. Kinds that this
- * program does not know are refused, so that no version with one is acted on while a gateway does not know it.
+ * Parser of the fleet's rules, an INI text. Unknown kinds of sections are rejected, so that the fleet acts on no rules
+ * that one of its gateways does not understand.
  */
 public final class RulesText {
-    private static final long MOST_UNITS = 1_000_000_000L;
-    private static final int MOST_GATEWAYS = 1000;
+    private static final long MAX_UNITS = 1_000_000_000L;
+    private static final int MAX_GATEWAYS = 1000;
 
     private RulesText() {}
 
     /**
-     * Reads a text that was agreed on; a limit of a plan that is none of {@code plans} is refused where those are
-     * given.
+     * Parses rules.
+     *
+     * @param name names the text in error messages
+     * @param plans the plans that may have a limit; null to allow any
+     * @throws IllegalArgumentException with one line that names the text, and where there is one the line and key
      */
     public static Rules parse(String name, String text, Collection<String> plans) {
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
             if (c < ' ' && c != '\n' && c != '\r' && c != '\t') {
-                throw new IllegalArgumentException(name + ": character " + i + " is no text");
+                throw new IllegalArgumentException(name + ": character " + i + " is a control character");
             }
         }
         if (text.length() > RegistryCommand.MAX_TEXT_CHARS) {
@@ -36,18 +39,18 @@
         }
         IniFile ini = new IniFile(Path.of(name), text);
         IniFile.Section fleet = ini.section("fleet");
-        int gateways = fleet == null ? 1 : fleet.integer("gateways", 1, 1, MOST_GATEWAYS);
+        int gateways = fleet == null ? 1 : fleet.integer("gateways", 1, 1, MAX_GATEWAYS);
         Map<String, Rules.Limit> limits = new TreeMap<>();
         for (IniFile.Section section : ini.sectionsOfKind("limit")) {
-            String plan = rest(section, "limit");
+            String plan = nameAfter(section, "limit");
             if (plans != null && !plans.contains(plan)) {
                 throw section.error(null, "is a limit of no plan: there are " + List.copyOf(plans));
             }
-            long units = (long) section.number("units", -1, 0, MOST_UNITS);
+            long units = (long) section.number("units", -1, 0, MAX_UNITS);
             if (units < 0) {
                 throw section.error("units", "is missing");
             }
-            long floor = (long) section.number("floor", 0, 0, MOST_UNITS);
+            long floor = (long) section.number("floor", 0, 0, MAX_UNITS);
             if (floor > units) {
                 throw section.error("floor", "is above units: " + floor + " over " + units);
             }
@@ -59,28 +62,28 @@
         Map<String, Rules.Module> modules = new TreeMap<>();
         for (IniFile.Section section : ini.sectionsOfKind("module")) {
             modules.put(
-                    rest(section, "module"),
+                    nameAfter(section, "module"),
                     new Rules.Module(
                             section.choiceIndex("open", List.of("no", "yes")) == 1, words(section, "credentials")));
         }
         Map<String, Rules.Node> nodes = new TreeMap<>();
         for (IniFile.Section section : ini.sectionsOfKind("node")) {
             nodes.put(
-                    rest(section, "node"),
+                    nameAfter(section, "node"),
                     new Rules.Node(
                             section.address("address"),
                             section.has("state") && section.choiceIndex("state", List.of("up", "removed")) == 1));
         }
         Map<String, Boolean> switches = new TreeMap<>();
         for (IniFile.Section section : ini.sectionsOfKind("switch")) {
-            switches.put(rest(section, "switch"), section.choiceIndex("set", List.of("off", "on")) == 1);
+            switches.put(nameAfter(section, "switch"), section.choiceIndex("set", List.of("off", "on")) == 1);
         }
         ini.rejectUnread();
         return new Rules(gateways, limits, modules, nodes, switches);
     }
 
-    private static String rest(IniFile.Section section, String word) {
-        String name = section.name().substring(word.length() + 1).strip();
+    private static String nameAfter(IniFile.Section section, String kind) {
+        String name = section.name().substring(kind.length() + 1).strip();
         if (name.isEmpty() || name.length() > RegistryCommand.MAX_NAME_CHARS) {
             throw section.error(null, "has no name, or one longer than " + RegistryCommand.MAX_NAME_CHARS);
         }
--- a/src/main/java/petrelstand/config/SettingsReader.java
+++ b/src/main/java/petrelstand/config/SettingsReader.java
@@ -15,16 +15,16 @@
 import petrelstand.decision.Scheduling.Settings;
 
 /**
- * Reads the settings of an instance, given as path=value pairs: the simulator's text has one a line, the gateway's JSON
- * is flattened to the same paths. An unreadable value is an IllegalArgumentException that names its path.
+ * Reads the settings of the decision module from pairs of a path and a value. The simulator sends one
+ * {@code path=value} pair per line; the gateway's JSON is flattened to the same paths. Unknown paths are ignored. A
+ * missing or malformed value is an IllegalArgumentException that names its path.
  */
 public final class SettingsReader {
-    /** Stands for a figure that the text does not state. */
-    private static final double NOT_STATED = -1;
-    /** Times of connections where the settings state none, ms. */
-    private static final double CONNECT_MS = 250;
+    /** Tells the decision module that a limit is not set. */
+    private static final double NOT_SET = -1;
 
-    private static final double IDLE_MS = 15_000;
+    private static final double DEFAULT_CONNECT_TIMEOUT_MS = 250;
+    private static final double DEFAULT_IDLE_CLOSE_MS = 15_000;
 
     private final Map<String, String> values;
 
@@ -32,14 +32,15 @@
         this.values = values;
     }
 
+    /** Parses the simulator's text, one pair per line. */
     public static Settings parse(String text) {
         Map<String, String> values = new HashMap<>();
         for (String line : text.split("\n")) {
-            int split = line.indexOf('=');
-            if (split > 0) {
+            int separator = line.indexOf('=');
+            if (separator > 0) {
                 values.put(
-                        line.substring(0, split).strip(),
-                        line.substring(split + 1).strip());
+                        line.substring(0, separator).strip(),
+                        line.substring(separator + 1).strip());
             } else if (!line.isBlank()) {
                 throw new IllegalArgumentException("no '=' in line '" + line.strip() + "'");
             }
@@ -47,21 +48,22 @@
         return fromValues(values);
     }
 
+    /** Reads the settings from values by path. */
     public static Settings fromValues(Map<String, String> values) {
-        return new SettingsReader(values).settings();
+        return new SettingsReader(values).readSettings();
     }
 
-    private Settings settings() {
+    private Settings readSettings() {
         return new Settings(
-                whole("balancers"),
-                whole("index"),
-                whole("zone", 0),
+                integer("balancers"),
+                integer("index"),
+                integer("zone", 0),
                 number("period_ms", 0),
-                items("classes", this::requestClass),
-                items("plans", this::plan),
-                discovery(),
-                capabilities(),
-                rules(),
+                items("classes", this::readRequestClass),
+                items("plans", this::readPlan),
+                readDiscoveryMode(),
+                readCapabilities(),
+                readRules(),
                 number("extra.cold_bears", 0),
                 number("extra.unit_mean", 1),
                 number("extra.units_top", 1),
@@ -69,110 +71,110 @@
                 number("extra.beyond_share", 0),
                 number("extra.use_period_ms", 0),
                 flag("extra.tells_elsewhere"),
-                names("report.names"),
-                names("failure_domains"));
+                strings("report.names"),
+                strings("failure_domains"));
     }
 
-    private RequestClass requestClass(int i) {
-        String at = "classes." + i + ".";
+    private RequestClass readRequestClass(int i) {
+        String prefix = "classes." + i + ".";
         return new RequestClass(
-                values.getOrDefault(at + "name", Integer.toString(i)),
-                above0(at + "aim_ms"),
-                number(at + "aim_stretch", 0),
-                above0(at + "hard_limit_ms"),
-                number(at + "value", 1),
-                number(at + "late_value", 0),
-                effect(at + "semantics"),
-                group(at + "group"),
-                number(at + "repeat_window_ms", 0),
-                flag(at + "fifo_by_key"),
-                flag(at + "stream"),
-                writes(i));
-    }
-
-    private boolean writes(int i) {
-        List<String> writes = names("extra.class_writes");
+                values.getOrDefault(prefix + "name", Integer.toString(i)),
+                positive(prefix + "aim_ms"),
+                number(prefix + "aim_stretch", 0),
+                positive(prefix + "hard_limit_ms"),
+                number(prefix + "value", 1),
+                number(prefix + "late_value", 0),
+                readEffect(prefix + "semantics"),
+                readDedupGroup(prefix + "group"),
+                number(prefix + "repeat_window_ms", 0),
+                flag(prefix + "fifo_by_key"),
+                flag(prefix + "stream"),
+                isWriteClass(i));
+    }
+
+    private boolean isWriteClass(int i) {
+        List<String> writes = strings("extra.class_writes");
         return i < writes.size() && writes.get(i).equals("true");
     }
 
-    private Plan plan(int i) {
-        String at = "plans." + i + ".";
+    private Plan readPlan(int i) {
+        String prefix = "plans." + i + ".";
         return new Plan(
-                values.getOrDefault(at + "name", Integer.toString(i)),
-                number(at + "rate", 0),
-                number(at + "reservation", 0),
-                number(at + "proportion", 1),
-                number(at + "price", 1),
-                number(at + "limit", 0),
-                number(at + "burst", 0),
-                number(at + "tolerance", 0));
+                values.getOrDefault(prefix + "name", Integer.toString(i)),
+                number(prefix + "rate", 0),
+                number(prefix + "reservation", 0),
+                number(prefix + "proportion", 1),
+                number(prefix + "price", 1),
+                number(prefix + "limit", 0),
+                number(prefix + "burst", 0),
+                number(prefix + "tolerance", 0));
     }
 
-    private Capabilities capabilities() {
+    private Capabilities readCapabilities() {
         return new Capabilities(
-                (int) Math.min(whole("caps.most_tries"), above0("caps.most_tries")),
+                (int) Math.min(integer("caps.most_tries"), positive("caps.most_tries")),
                 flag("caps.cancel"),
                 flag("caps.probes"),
                 flag("caps.peer_messages"),
                 flag("caps.may_duplicate"),
                 flag("caps.retry_after"),
                 number("caps.max_retry_after_ms", 0),
-                number("caps.connect_timeout_ms", CONNECT_MS),
-                number("caps.idle_close_ms", IDLE_MS));
+                number("caps.connect_timeout_ms", DEFAULT_CONNECT_TIMEOUT_MS),
+                number("caps.idle_close_ms", DEFAULT_IDLE_CLOSE_MS));
     }
 
-    private Rules rules() {
+    private Rules readRules() {
         return new Rules(
                 number("rules.grace_to_answer_ms", 0),
                 number("rules.drain_grace_ms", 0),
-                number("rules.ask_within_ms", NOT_STATED),
+                number("rules.ask_within_ms", NOT_SET),
                 number("rules.cold_from", 1),
                 number("rules.warm_up_ms", 0),
                 number("rules.fall_ms", 0),
                 number("rules.overload_factor", 1),
                 number("rules.key_quiet_ms", 0),
-                number("rules.free_resends", NOT_STATED),
-                number("rules.extra_ratio", NOT_STATED),
-                number("rules.ratio_span_ms", NOT_STATED));
+                number("rules.free_resends", NOT_SET),
+                number("rules.extra_ratio", NOT_SET),
+                number("rules.ratio_span_ms", NOT_SET));
     }
 
-    private DiscoveryMode discovery() {
-        return switch (needed("discovery")) {
+    private DiscoveryMode readDiscoveryMode() {
+        return switch (required("discovery")) {
             case "push" -> DiscoveryMode.PUSHED;
             case "ask" -> DiscoveryMode.ASKED;
-            default -> throw unknown("discovery");
+            default -> throw unknownValue("discovery");
         };
     }
 
-    private Effect effect(String path) {
-        return switch (needed(path)) {
+    private Effect readEffect(String path) {
+        return switch (required(path)) {
             case "repeatable" -> Effect.REPEATABLE;
             case "by_key" -> Effect.KEYED;
             case "once" -> Effect.UNSAFE;
-            default -> throw unknown(path);
+            default -> throw unknownValue(path);
         };
     }
 
-    private DedupGroup group(String path) {
-        // Where nobody says who drops repeats, only those do that hold the same shard.
+    private DedupGroup readDedupGroup(String path) {
+        // The default is the narrowest group: only nodes of the same shard are taken to drop repeated requests.
         return switch (values.getOrDefault(path, "cell")) {
             case "all" -> DedupGroup.ALL;
             case "zone" -> DedupGroup.ZONE;
             case "cell" -> DedupGroup.SHARD;
-            default -> throw unknown(path);
+            default -> throw unknownValue(path);
         };
     }
 
-    private <T> List<T> items(String path, IntFunction<T> item) {
-        int count = whole(path + ".count");
+    private <T> List<T> items(String path, IntFunction<T> readItem) {
+        int count = integer(path + ".count");
         List<T> list = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            list.add(item.apply(i));
+            list.add(readItem.apply(i));
         }
         return list;
     }
 
-    private List<String> names(String path) {
+    private List<String> strings(String path) {
         String value = values.getOrDefault(path, "");
         return value.isEmpty() ? List.of() : List.of(value.split(","));
     }
@@ -180,12 +182,12 @@
     private boolean flag(String path) {
         String value = values.getOrDefault(path, "false");
         if (!value.equals("true") && !value.equals("false")) {
-            throw unknown(path);
+            throw unknownValue(path);
         }
         return value.equals("true");
     }
 
-    private int whole(String path) {
+    private int integer(String path) {
         double value = number(path);
         if (value != Math.rint(value)) {
             throw new IllegalArgumentException(path + " is not a whole number: '" + values.get(path) + "'");
@@ -193,16 +195,16 @@
         return (int) value;
     }
 
-    private int whole(String path, int otherwise) {
-        return values.containsKey(path) ? whole(path) : otherwise;
+    private int integer(String path, int defaultValue) {
+        return values.containsKey(path) ? integer(path) : defaultValue;
     }
 
-    private double number(String path, double otherwise) {
-        return values.containsKey(path) ? number(path) : otherwise;
+    private double number(String path, double defaultValue) {
+        return values.containsKey(path) ? number(path) : defaultValue;
     }
 
     private double number(String path) {
-        String text = needed(path);
+        String text = required(path);
         try {
             return Double.parseDouble(text);
         } catch (NumberFormatException e) {
@@ -210,7 +212,7 @@
         }
     }
 
-    private double above0(String path) {
+    private double positive(String path) {
         double value = number(path);
         if (!(value > 0 && value < Double.POSITIVE_INFINITY)) {
             throw new IllegalArgumentException(path + " is no number above 0: '" + values.get(path) + "'");
@@ -218,7 +220,7 @@
         return value;
     }
 
-    private String needed(String path) {
+    private String required(String path) {
         String value = values.get(path);
         if (value == null || value.isEmpty()) {
             throw new IllegalArgumentException(path + " is missing");
@@ -226,7 +228,7 @@
         return value;
     }
 
-    private IllegalArgumentException unknown(String path) {
+    private IllegalArgumentException unknownValue(String path) {
         return new IllegalArgumentException(path + " has an unknown value: '" + values.get(path) + "'");
     }
 }
--- a/src/main/java/petrelstand/operation/OperatorConnection.java
+++ b/src/main/java/petrelstand/operation/OperatorConnection.java
@@ -17,7 +17,7 @@
 import petrelstand.net.HttpMessageParser;
 import petrelstand.net.LoopConnection;
 
-/** An operator's connection: one call, one answer, and the end. */
+/** An operator's connection: it receives one request, answers it and closes. */
 final class OperatorConnection extends LoopConnection implements HttpParser.RequestHandler {
     private enum State {
         READING,
@@ -26,32 +26,32 @@
         CLOSED
     }
 
-    private static final int MOST_HEAD = 4096;
-    private static final int MOST_BODY = 4096;
+    private static final int MAX_HEAD_BYTES = 4096;
+    private static final int MAX_BODY_BYTES = 4096;
 
-    private final OperatorServer door;
-    private final HttpParser parser = new HttpMessageParser(this, MOST_HEAD);
+    private final OperatorServer server;
+    private final HttpParser parser = new HttpMessageParser(this, MAX_HEAD_BYTES);
     private final ByteBuffer input = BufferUtil.allocate(1024);
     private State state = State.READING;
-    private Timers.Timer limit;
+    private Timers.Timer timeout;
     private HttpFields.Mutable fields;
     private String method;
     private String target;
     private HttpVersion version;
     private int bodyBytes;
 
-    OperatorConnection(EndPoint endPoint, OperatorServer door) {
+    OperatorConnection(EndPoint endPoint, OperatorServer server) {
         super(endPoint);
-        this.door = door;
+        this.server = server;
         parser.setHeaderCacheSize(HttpProtocol.HEADER_CACHE_BYTES);
     }
 
     @Override
     public void onOpen() {
         super.onOpen();
-        limit = door.timers()
+        timeout = server.timers()
                 .schedule(
-                        door.nowUs() + OperatorServer.CALL_TIMEOUT_US,
+                        server.nowUs() + OperatorServer.CALL_TIMEOUT_US,
                         () -> answer(408, "the call did not come whole"));
         fillInterested();
     }
@@ -69,7 +69,7 @@
                     return;
                 } else {
                     while (state == State.READING && BufferUtil.hasContent(input) && !parser.parseNext(input)) {
-                        // The parser stops at the end of a line too.
+                        // parseNext also returns before the input is used up, at the end of a line.
                     }
                 }
             }
@@ -98,11 +98,11 @@
 
     @Override
     public boolean headerComplete() {
-        String wrong = HttpProtocol.framingError(fields);
+        String framingError = HttpProtocol.framingError(fields);
         if (!HttpProtocol.supportsVersion(version)) {
             answer(505, "the version is neither 1.0 nor 1.1");
-        } else if (wrong != null) {
-            answer(400, wrong);
+        } else if (framingError != null) {
+            answer(400, framingError);
         } else if (fields.contains(HttpHeader.EXPECT, "100-continue")) {
             getEndPoint()
                     .write(
@@ -112,12 +112,12 @@
         return state != State.READING;
     }
 
-    /** No call has a body; a small one is dropped. */
+    /** Drops a small body, since no route uses one; a larger one is rejected. */
     @Override
-    public boolean content(ByteBuffer item) {
-        bodyBytes += item.remaining();
-        item.position(item.limit());
-        if (bodyBytes > MOST_BODY) {
+    public boolean content(ByteBuffer part) {
+        bodyBytes += part.remaining();
+        part.position(part.limit());
+        if (bodyBytes > MAX_BODY_BYTES) {
             answer(413, "no call has a body");
         }
         return state != State.READING;
@@ -132,7 +132,7 @@
     public boolean messageComplete() {
         if (state == State.READING) {
             String path = HttpURI.from(target).getPath();
-            OperatorServer.Answer answer = door.handle(method, path == null ? target : path);
+            OperatorServer.Answer answer = server.handle(method, path == null ? target : path);
             answer(answer.status(), answer.text());
         }
         return true;
@@ -154,8 +154,8 @@
         }
         state = State.ANSWERING;
         ByteBuffer content = BufferUtil.toBuffer(text.endsWith("\n") ? text : text + "\n", StandardCharsets.UTF_8);
-        limit.cancel();
-        limit = door.timers().schedule(door.nowUs() + OperatorServer.CALL_TIMEOUT_US, this::close);
+        timeout.cancel();
+        timeout = server.timers().schedule(server.nowUs() + OperatorServer.CALL_TIMEOUT_US, this::close);
         getEndPoint()
                 .write(
                         nonBlockingCallback(this::linger, cause -> close()),
@@ -163,13 +163,13 @@
                         content);
     }
 
-    /** Closing at once with bytes unread would reset the connection, and the answer could be lost with it. */
+    /** Keeps reading for a while: closing with unread input would reset the connection and could lose the answer. */
     private void linger() {
         if (state == State.ANSWERING) {
             state = State.LINGERING;
             getEndPoint().shutdownOutput();
-            limit.cancel();
-            limit = door.timers().schedule(door.nowUs() + OperatorServer.LINGER_TIMEOUT_US, this::close);
+            timeout.cancel();
+            timeout = server.timers().schedule(server.nowUs() + OperatorServer.LINGER_TIMEOUT_US, this::close);
         }
     }
 
@@ -177,10 +177,10 @@
     public void close() {
         if (state != State.CLOSED) {
             state = State.CLOSED;
-            if (limit != null) {
-                limit.cancel();
+            if (timeout != null) {
+                timeout.cancel();
             }
-            door.connectionClosed(this);
+            server.connectionClosed(this);
             getEndPoint().close();
         }
     }
--- a/src/main/java/petrelstand/operation/OperatorServer.java
+++ b/src/main/java/petrelstand/operation/OperatorServer.java
@@ -11,39 +11,41 @@
 import petrelstand.core.Timers;
 
 /**
- * The operators' address: one call to a connection, answered on the loop. What happens here never touches service:
- * connections and heads are bounded, and where callers hold all of them, the one that has been silent longest gives
- * way.
+ * The operators' HTTP server. Each connection carries one request, which is answered on the event loop. Connections and
+ * request sizes are bounded, so that operators' tools cannot disturb the clients; at the limit a new connection closes
+ * the oldest one.
  */
 public final class OperatorServer {
-    /** What a call answers. */
+    /** A response: its HTTP status and its body, plain text. */
     public record Answer(int status, String text) {}
 
-    /** A call that is known, by its method, and what it does. */
+    /** The HTTP method that a path accepts, and the action that answers it. */
     public record Route(String method, Supplier<Answer> action) {}
 
-    /** Connections at a time: more than operators' tools open, and room beside those that say nothing. */
+    /** Enough for operators' tools beside some idle connections. */
     static final int MAX_CONNECTIONS = 24;
-    /** A whole call is owed within this time of the opening: callers may hold a connection for 4 s without one. */
+    /**
+     * Time to receive a complete request, and again to write its answer; some tools connect 4 s before they send one.
+     */
     static final long CALL_TIMEOUT_US = 6_000_000;
-    /** How long what follows an answer is dropped before the connection closes. */
+    /** How long input after the answer is read and dropped before the connection closes. */
     static final long LINGER_TIMEOUT_US = 500_000;
 
     private final Timers timers;
-    private final LongSupplier clock;
+    private final LongSupplier clockUs;
     private final Counters counters;
-    private final Map<String, Route> calls;
+    private final Map<String, Route> routes;
     private final Set<OperatorConnection> connections = new LinkedHashSet<>();
 
-    /** A door for calls by path. */
-    public OperatorServer(Timers timers, LongSupplier clock, Counters counters, Map<String, Route> calls) {
+    /** Creates a server; the routes are given by path. */
+    public OperatorServer(Timers timers, LongSupplier clockUs, Counters counters, Map<String, Route> routes) {
         this.timers = timers;
-        this.clock = clock;
+        this.clockUs = clockUs;
         this.counters = counters;
-        this.calls = Map.copyOf(calls);
+        this.routes = Map.copyOf(routes);
     }
 
-    /** A connection; where there are too many, the oldest goes. */
+    /** Accepts a connection; if there are too many, closes the oldest one. */
     public Connection accept(EndPoint endPoint) {
         counters.increment("operator.connections");
         if (connections.size() >= MAX_CONNECTIONS) {
@@ -55,24 +57,25 @@
         return connection;
     }
 
-    int connections() {
+    int connectionCount() {
         return connections.size();
     }
 
-    /** What a call answers; an unknown path or method is the caller's mistake. */
+    /** Runs the route of a path; the answer is 404 for an unknown path and 405 for another method. */
     Answer handle(String method, String path) {
-        Route call = calls.get(path);
-        if (call == null) {
+        Route route = routes.get(path);
+        if (route == null) {
             return new Answer(
                     404,
                     "no such call; there are "
-                            + String.join(", ", calls.keySet().stream().sorted().toList()));
+                            + String.join(
+                                    ", ", routes.keySet().stream().sorted().toList()));
         }
-        if (!call.method().equals(method)) {
-            return new Answer(405, path + " is called by " + call.method());
+        if (!route.method().equals(method)) {
+            return new Answer(405, path + " is called by " + route.method());
         }
         counters.increment("operator.calls");
-        return call.action().get();
+        return route.action().get();
     }
 
     Timers timers() {
@@ -80,7 +83,7 @@
     }
 
     long nowUs() {
-        return clock.getAsLong();
+        return clockUs.getAsLong();
     }
 
     void connectionClosed(OperatorConnection connection) {
--- a/src/main/java/petrelstand/operation/Telemetry.java
+++ b/src/main/java/petrelstand/operation/Telemetry.java
@@ -6,32 +6,32 @@
 import petrelstand.core.RequestCounts;
 import petrelstand.core.RequestCounts.RequestResult;
 
-/** The figures as a text, one a line: {@code name:value|c} for what counts up, {@code |g} for what is now. */
+/** The telemetry page: a metric per line, {@code name:value|c} for a counter and {@code name:value|g} for a gauge. */
 public final class Telemetry {
     private static final String PREFIX = "relay.";
 
     private final Broker broker;
     private final Counters counters;
-    private final IntSupplier writing;
+    private final IntSupplier unfinishedAnswers;
 
-    /** Figures of a broker; {@code writing} tells how many answers are not wholly written. */
-    public Telemetry(Broker broker, Counters counters, IntSupplier writing) {
+    /** Creates the page of a broker; {@code unfinishedAnswers} counts the answers that are not completely written. */
+    public Telemetry(Broker broker, Counters counters, IntSupplier unfinishedAnswers) {
         this.broker = broker;
         this.counters = counters;
-        this.writing = writing;
+        this.unfinishedAnswers = unfinishedAnswers;
     }
 
-    /** The page as of this turn. */
+    /** Returns the page with the current values. */
     public String render() {
-        RequestCounts figures = broker.requestCounts();
+        RequestCounts requestCounts = broker.requestCounts();
         StringBuilder text = new StringBuilder();
-        for (String kind : figures.classNames()) {
-            count(text, "passed." + kind, figures.count(kind, RequestResult.SERVED));
-            count(text, "dropped." + kind, figures.count(kind, RequestResult.REFUSED));
-            count(text, "bad_gateway." + kind, figures.count(kind, RequestResult.FAILED));
+        for (String className : requestCounts.classNames()) {
+            count(text, "passed." + className, requestCounts.count(className, RequestResult.SERVED));
+            count(text, "dropped." + className, requestCounts.count(className, RequestResult.REFUSED));
+            count(text, "bad_gateway." + className, requestCounts.count(className, RequestResult.FAILED));
         }
-        count(text, "upstream_tries", figures.attempts());
-        gauge(text, "in_progress", broker.requestsInProgress() + writing.getAsInt());
+        count(text, "upstream_tries", requestCounts.attempts());
+        gauge(text, "in_progress", broker.requestsInProgress() + unfinishedAnswers.getAsInt());
         gauge(text, "known_storage_nodes", broker.listedNodeCount());
         gauge(text, "skipped_storage_nodes", broker.avoidedNodeCount());
         count(text, "loads", counters.get("reloads"));
--- a/src/main/java/petrelstand/sim/SimulatorCodec.java
+++ b/src/main/java/petrelstand/sim/SimulatorCodec.java
@@ -19,9 +19,12 @@
 import petrelstand.decision.Scheduling.Outcome;
 import petrelstand.decision.Scheduling.Request;
 
-/** Frames and records of the simulator's wire: bytes in, events out; actions in, bytes out. */
+/**
+ * The simulator's binary protocol, big-endian. Each input frame is a batch of events at one time; each batch is
+ * answered by one frame with the actions that the events caused.
+ */
 final class SimulatorCodec {
-    /** Receives the events of a batch in order. */
+    /** Receives the decoded events of a batch, in order. {@code instance} is the number of a simulated gateway. */
     interface EventHandler {
         void instanceStarted(long instance, long seed, String settings);
 
@@ -44,58 +47,89 @@
         void peerMessageReceived(long instance, int sender, byte[] message);
     }
 
-    /** A batch as read: its clock and its undecoded records. */
+    /**
+     * A frame of events.
+     *
+     * @param clockMs time of the events
+     * @param records number of events
+     * @param body the events, not decoded yet
+     */
     record Batch(double clockMs, int records, ByteBuffer body) {}
 
-    private static final int BATCH_HEADER = 16;
-    private static final int REPLY_HEADER = 4;
-    private static final int MAX_FRAME = 256 << 20;
-    private static final int MAX_TEXT = 0xffff;
+    private static final int EVENT_CLIENT_GONE = 16;
+    private static final int EVENT_PROBE_ENDED = 17;
+    private static final int EVENT_STREAM_STARTED = 18;
+    private static final int EVENT_TIMER_FIRED = 19;
+    private static final int EVENT_INSTANCE_STARTED = 20;
+    private static final int EVENT_REQUEST_RECEIVED = 21;
+    private static final int EVENT_ATTEMPT_ENDED = 22;
+    private static final int EVENT_PEER_MESSAGE = 23;
+    private static final int EVENT_INSTANCE_STOPPED = 24;
+    private static final int EVENT_NODES_LISTED = 25;
+
+    private static final int ACTION_SEND = 16;
+    private static final int ACTION_REFUSE = 17;
+    private static final int ACTION_FAIL = 18;
+    private static final int ACTION_CANCEL = 19;
+    private static final int ACTION_SET_TIMER = 20;
+    private static final int ACTION_PROBE = 21;
+    private static final int ACTION_PEER_MESSAGE = 23;
+    private static final int ACTION_REPORT_FAULT = 25;
+    private static final int ACTION_SUBSCRIBE_TO_NODES = 26;
+
+    private static final int CLIENT_RETRY_FLAG = 2;
+    private static final int WRITE_FLAG = 4;
+
+    private static final int BATCH_HEADER_BYTES = 16;
+    private static final int REPLY_HEADER_BYTES = 4;
+    private static final int MAX_FRAME_BYTES = 256 << 20;
+    private static final int MAX_TEXT_BYTES = 0xffff;
     private static final int ALL_PEERS = 0xffff;
 
     private final ByteArrayOutputStream replyBytes = new ByteArrayOutputStream();
     private final DataOutputStream reply = new DataOutputStream(replyBytes);
 
-    /** The next batch, or null where the input ends between frames. */
+    /** Reads the next batch; null if the input ends between two frames. */
     Batch read(InputStream input) throws IOException {
         DataInputStream data = new DataInputStream(input);
-        int first = input.read();
-        if (first < 0) {
+        int firstByte = input.read();
+        if (firstByte < 0) {
             return null;
         }
         try {
-            long records = ((long) first << 24) | (data.readUnsignedByte() << 16) | data.readUnsignedShort();
+            long records = ((long) firstByte << 24) | (data.readUnsignedByte() << 16) | data.readUnsignedShort();
             long length = data.readInt() & 0xffffffffL;
-            double clock = data.readDouble();
-            if (length < BATCH_HEADER || length > MAX_FRAME) {
-                throw new SimulatorProtocolException(
-                        "batch header: frame length " + length + " is outside " + BATCH_HEADER + " to " + MAX_FRAME);
+            double clockMs = data.readDouble();
+            if (length < BATCH_HEADER_BYTES || length > MAX_FRAME_BYTES) {
+                throw new SimulatorProtocolException("batch header: frame length " + length + " is outside "
+                        + BATCH_HEADER_BYTES + " to " + MAX_FRAME_BYTES);
             }
             if (records > length) {
                 throw new SimulatorProtocolException("batch header: " + records + " records in " + length + " bytes");
             }
-            if (!Double.isFinite(clock)) {
-                throw new SimulatorProtocolException("batch header: clock " + clock + " is no time");
+            if (!Double.isFinite(clockMs)) {
+                throw new SimulatorProtocolException("batch header: clock " + clockMs + " is not a finite number");
             }
-            byte[] body = new byte[(int) length - BATCH_HEADER];
+            byte[] body = new byte[(int) length - BATCH_HEADER_BYTES];
             data.readFully(body);
-            return new Batch(clock, (int) records, ByteBuffer.wrap(body));
+            return new Batch(clockMs, (int) records, ByteBuffer.wrap(body));
         } catch (EOFException e) {
             throw new SimulatorProtocolException("input ends inside a frame");
         }
     }
 
-    /** Decodes all records of a batch into the sink. */
-    void decode(Batch batch, EventHandler sink) {
+    /** Decodes all events of a batch and passes them to the handler. */
+    void decode(Batch batch, EventHandler handler) {
         ByteBuffer in = batch.body();
         for (int i = 0; i < batch.records(); i++) {
-            int at = in.position() + BATCH_HEADER;
+            int offset = in.position() + BATCH_HEADER_BYTES;
             try {
-                decodeRecord(in, sink);
+                decodeRecord(in, handler);
             } catch (BufferUnderflowException e) {
-                throw new SimulatorProtocolException("record " + i + " at byte " + at + ": the frame ends inside it");
+                throw new SimulatorProtocolException(
+                        "record " + i + " at byte " + offset + ": the frame ends inside it");
             } catch (SimulatorProtocolException e) {
-                throw new SimulatorProtocolException("record " + i + " at byte " + at + ": " + e.getMessage());
+                throw new SimulatorProtocolException("record " + i + " at byte " + offset + ": " + e.getMessage());
             }
         }
         if (in.hasRemaining()) {
@@ -103,83 +137,96 @@
         }
     }
 
-    private static void decodeRecord(ByteBuffer in, EventHandler sink) {
-        int code = u8(in);
+    private static void decodeRecord(ByteBuffer in, EventHandler handler) {
+        int code = readUint8(in);
         switch (code) {
-            case 16 -> sink.clientGone(u32(in), u32(in));
-            case 17 -> sink.probeEnded(u32(in), u32(in), in.getDouble(), outcome(u16(in)), load(in));
-            case 18 -> {
-                long instance = u32(in);
-                long request = u32(in);
-                int attempt = u16(in);
-                u32(in);
+            case EVENT_CLIENT_GONE -> handler.clientGone(readUint32(in), readUint32(in));
+            case EVENT_PROBE_ENDED ->
+                handler.probeEnded(
+                        readUint32(in), readUint32(in), in.getDouble(), decodeOutcome(readUint16(in)), readLoad(in));
+            case EVENT_STREAM_STARTED -> {
+                long instance = readUint32(in);
+                long request = readUint32(in);
+                int attempt = readUint16(in);
+                // Two fields that the gateway does not use.
+                readUint32(in);
                 in.getDouble();
-                sink.streamStarted(instance, request, attempt);
+                handler.streamStarted(instance, request, attempt);
             }
-            case 19 -> sink.timerFired(u32(in), in.getLong());
-            case 20 -> sink.instanceStarted(u32(in), in.getLong(), text(in));
-            case 21 -> decodeRequest(in, sink);
-            case 22 -> decodeAttemptEnd(in, sink);
-            case 23 -> sink.peerMessageReceived(u32(in), u16(in), bytes(in, u16(in)));
-            case 24 -> sink.instanceStopped(u32(in));
-            case 25 -> decodeNodes(in, sink);
+            case EVENT_TIMER_FIRED -> handler.timerFired(readUint32(in), in.getLong());
+            case EVENT_INSTANCE_STARTED -> handler.instanceStarted(readUint32(in), in.getLong(), readText(in));
+            case EVENT_REQUEST_RECEIVED -> decodeRequest(in, handler);
+            case EVENT_ATTEMPT_ENDED -> decodeAttemptEnd(in, handler);
+            case EVENT_PEER_MESSAGE ->
+                handler.peerMessageReceived(readUint32(in), readUint16(in), readBytes(in, readUint16(in)));
+            case EVENT_INSTANCE_STOPPED -> handler.instanceStopped(readUint32(in));
+            case EVENT_NODES_LISTED -> decodeNodes(in, handler);
             default -> throw new SimulatorProtocolException("unknown code " + code);
         }
     }
 
-    private static void decodeRequest(ByteBuffer in, EventHandler sink) {
-        long instance = u32(in);
-        long id = u32(in);
-        int requestClass = u16(in);
-        int plan = (int) u32(in);
+    private static void decodeRequest(ByteBuffer in, EventHandler handler) {
+        long instance = readUint32(in);
+        long id = readUint32(in);
+        int requestClass = readUint16(in);
+        int plan = (int) readUint32(in);
         long key = in.getLong();
-        double timeLeft = in.getDouble();
+        double timeLeftMs = in.getDouble();
         long volume = in.getLong();
         double units = in.getFloat();
         int shard = (int) in.getFloat();
-        int setSize = (int) in.getFloat();
-        int bits = u16(in);
-        sink.requestReceived(
+        int volumeHostCount = (int) in.getFloat();
+        int flags = readUint16(in);
+        handler.requestReceived(
                 instance,
                 new Request(
                         id,
                         requestClass,
                         plan,
                         key,
-                        timeLeft,
+                        timeLeftMs,
                         volume,
                         units,
                         shard,
-                        setSize,
-                        (bits & 2) != 0,
-                        (bits & 4) != 0));
+                        volumeHostCount,
+                        (flags & CLIENT_RETRY_FLAG) != 0,
+                        (flags & WRITE_FLAG) != 0));
     }
 
-    private static void decodeAttemptEnd(ByteBuffer in, EventHandler sink) {
-        long instance = u32(in);
-        long request = u32(in);
-        int attempt = u16(in);
-        Outcome outcome = outcome(u16(in));
-        double elapsed = in.getDouble();
-        int seenUse = u16(in);
-        long node = u32(in);
-        int fromOthers = u16(in);
-        boolean over = u8(in) != 0;
-        sink.attemptEnded(
+    private static void decodeAttemptEnd(ByteBuffer in, EventHandler handler) {
+        long instance = readUint32(in);
+        long request = readUint32(in);
+        int attempt = readUint16(in);
+        Outcome outcome = decodeOutcome(readUint16(in));
+        double elapsedMs = in.getDouble();
+        int reportedUse = readUint16(in);
+        long node = readUint32(in);
+        int unitsViaOtherHosts = readUint16(in);
+        boolean requestClosed = readUint8(in) != 0;
+        handler.attemptEnded(
                 instance,
-                new AttemptEnd(request, attempt, outcome, elapsed, node, seenUse, fromOthers, over, load(in)));
+                new AttemptEnd(
+                        request,
+                        attempt,
+                        outcome,
+                        elapsedMs,
+                        node,
+                        reportedUse,
+                        unitsViaOtherHosts,
+                        requestClosed,
+                        readLoad(in)));
     }
 
-    private static void decodeNodes(ByteBuffer in, EventHandler sink) {
-        long instance = u32(in);
-        u32(in);
-        int kind = u8(in);
-        long count = u32(in);
+    private static void decodeNodes(ByteBuffer in, EventHandler handler) {
+        long instance = readUint32(in);
+        readUint32(in); // not used
+        int kind = readUint8(in);
+        long count = readUint32(in);
         List<NodeEntry> entries = new ArrayList<>();
         for (long i = 0; i < count; i++) {
             entries.add(nodeEntry(in));
         }
-        sink.nodesListed(
+        handler.nodesListed(
                 instance,
                 switch (kind) {
                     case 0 -> NodeListKind.CHANGES;
@@ -192,12 +239,12 @@
     }
 
     private static NodeEntry nodeEntry(ByteBuffer in) {
-        long node = u32(in);
-        int zone = u16(in);
-        u8(in);
-        int shard = u16(in);
-        int state = u8(in);
-        float rating = in.getFloat();
+        long node = readUint32(in);
+        int zone = readUint16(in);
+        readUint8(in); // not used
+        int shard = readUint16(in);
+        int state = readUint8(in);
+        float weight = in.getFloat();
         double upSince = in.getDouble();
         return new NodeEntry(
                 node,
@@ -209,11 +256,11 @@
                     case 2 -> NodeState.DRAINING;
                     default -> throw new SimulatorProtocolException("unknown node state " + state);
                 },
-                rating,
+                weight,
                 upSince);
     }
 
-    private static Outcome outcome(int code) {
+    private static Outcome decodeOutcome(int code) {
         return switch (code) {
             case 100 -> Outcome.SERVED;
             case 301 -> Outcome.ERROR;
@@ -227,8 +274,8 @@
         };
     }
 
-    private static List<Double> load(ByteBuffer in) {
-        int count = u8(in);
+    private static List<Double> readLoad(ByteBuffer in) {
+        int count = readUint8(in);
         List<Double> values = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
             values.add((double) in.getFloat());
@@ -236,23 +283,23 @@
         return values;
     }
 
-    private static int u8(ByteBuffer in) {
+    private static int readUint8(ByteBuffer in) {
         return in.get() & 0xff;
     }
 
-    private static int u16(ByteBuffer in) {
+    private static int readUint16(ByteBuffer in) {
         return in.getShort() & 0xffff;
     }
 
-    private static long u32(ByteBuffer in) {
+    private static long readUint32(ByteBuffer in) {
         return in.getInt() & 0xffffffffL;
     }
 
-    private static String text(ByteBuffer in) {
-        return new String(bytes(in, u32(in)), StandardCharsets.UTF_8);
+    private static String readText(ByteBuffer in) {
+        return new String(readBytes(in, readUint32(in)), StandardCharsets.UTF_8);
     }
 
-    private static byte[] bytes(ByteBuffer in, long count) {
+    private static byte[] readBytes(ByteBuffer in, long count) {
         if (count > in.remaining()) {
             throw new BufferUnderflowException();
         }
@@ -262,76 +309,76 @@
     }
 
     void send(long instance, long request, long node, double timeoutMs) throws IOException {
-        record(16, instance);
-        u32(request);
+        beginAction(ACTION_SEND, instance);
+        writeUint32(request);
         reply.writeDouble(timeoutMs);
-        u32(node);
+        writeUint32(node);
     }
 
     void refuse(long instance, long request, double retryAfterMs) throws IOException {
-        record(17, instance);
-        u32(request);
+        beginAction(ACTION_REFUSE, instance);
+        writeUint32(request);
         reply.writeDouble(retryAfterMs);
     }
 
     void fail(long instance, long request) throws IOException {
-        record(18, instance);
-        u32(request);
+        beginAction(ACTION_FAIL, instance);
+        writeUint32(request);
     }
 
     void cancel(long instance, long request, int attempt) throws IOException {
-        record(19, instance);
-        u32(request);
+        beginAction(ACTION_CANCEL, instance);
+        writeUint32(request);
         reply.writeShort(attempt);
     }
 
     void setTimer(long instance, double atMs, long token) throws IOException {
-        record(20, instance);
+        beginAction(ACTION_SET_TIMER, instance);
         reply.writeDouble(atMs);
         reply.writeLong(token);
     }
 
     void probe(long instance, long node) throws IOException {
-        record(21, instance);
-        u32(node);
+        beginAction(ACTION_PROBE, instance);
+        writeUint32(node);
     }
 
     void sendPeerMessage(long instance, int recipient, byte[] message) throws IOException {
-        record(23, instance);
+        beginAction(ACTION_PEER_MESSAGE, instance);
         reply.writeShort(recipient < 0 ? ALL_PEERS : recipient);
         reply.writeShort(message.length);
         reply.write(message);
     }
 
     void reportFault(long instance, String message) throws IOException {
-        record(25, instance);
+        beginAction(ACTION_REPORT_FAULT, instance);
         byte[] text = message.getBytes(StandardCharsets.UTF_8);
-        int length = Math.min(text.length, MAX_TEXT);
+        int length = Math.min(text.length, MAX_TEXT_BYTES);
         reply.writeShort(length);
         reply.write(text, 0, length);
     }
 
     void subscribeToNodes(long instance) throws IOException {
-        record(26, instance);
+        beginAction(ACTION_SUBSCRIBE_TO_NODES, instance);
         reply.writeByte(1);
     }
 
-    /** Writes the actions gathered since the last reply as one frame. */
+    /** Writes the actions added since the last call as one frame. */
     void flush(OutputStream output) throws IOException {
-        output.write(ByteBuffer.allocate(REPLY_HEADER)
-                .putInt(REPLY_HEADER + replyBytes.size())
+        output.write(ByteBuffer.allocate(REPLY_HEADER_BYTES)
+                .putInt(REPLY_HEADER_BYTES + replyBytes.size())
                 .array());
         replyBytes.writeTo(output);
         output.flush();
         replyBytes.reset();
     }
 
-    private void record(int code, long instance) throws IOException {
+    private void beginAction(int code, long instance) throws IOException {
         reply.writeByte(code);
-        u32(instance);
+        writeUint32(instance);
     }
 
-    private void u32(long value) throws IOException {
+    private void writeUint32(long value) throws IOException {
         reply.writeInt((int) value);
     }
 }
--- a/src/main/java/petrelstand/sim/SimulatorHost.java
+++ b/src/main/java/petrelstand/sim/SimulatorHost.java
@@ -19,15 +19,18 @@
 import petrelstand.decision.Scheduling.Outcome;
 import petrelstand.decision.Scheduling.Request;
 
-/** Plays batches: hands each event to its instance's policy and gathers the actions into one reply a batch. */
+/**
+ * Runs the decision module under the simulator. Each event of a batch goes to the policy of its instance, a simulated
+ * gateway; the actions of all instances are sent as one reply per batch.
+ */
 public final class SimulatorHost implements SimulatorCodec.EventHandler {
     private final SimulatorCodec codec = new SimulatorCodec();
     private final Map<Long, HostEvents> instances = new HashMap<>();
     private double nowMs;
-    /** Requests sent by the event that is being handled. */
-    private final List<Long> sent = new ArrayList<>();
+    /** Requests that were sent while the current event was handled. */
+    private final List<Long> sentRequests = new ArrayList<>();
 
-    /** Runs until the input ends. */
+    /** Reads batches and writes replies until the input ends. */
     public void run(InputStream input, OutputStream output) throws IOException {
         for (SimulatorCodec.Batch batch = codec.read(input); batch != null; batch = codec.read(input)) {
             nowMs = batch.clockMs();
@@ -52,52 +55,53 @@
 
     @Override
     public void nodesListed(long instance, NodeListKind kind, List<NodeEntry> entries) {
-        at(instance, policy -> policy.nodesListed(nowMs, kind, entries));
+        dispatch(instance, policy -> policy.nodesListed(nowMs, kind, entries));
     }
 
     @Override
     public void requestReceived(long instance, Request request) {
-        at(instance, policy -> policy.requestReceived(nowMs, request));
+        dispatch(instance, policy -> policy.requestReceived(nowMs, request));
     }
 
     @Override
     public void streamStarted(long instance, long request, int attempt) {
-        at(instance, policy -> policy.streamStarted(nowMs, request, attempt));
+        dispatch(instance, policy -> policy.streamStarted(nowMs, request, attempt));
     }
 
     @Override
     public void attemptEnded(long instance, AttemptEnd end) {
-        at(instance, policy -> policy.attemptEnded(nowMs, end));
+        dispatch(instance, policy -> policy.attemptEnded(nowMs, end));
     }
 
     @Override
     public void clientGone(long instance, long request) {
-        at(instance, policy -> policy.clientGone(nowMs, request));
+        dispatch(instance, policy -> policy.clientGone(nowMs, request));
     }
 
     @Override
     public void probeEnded(long instance, long node, double elapsedMs, Outcome outcome, List<Double> load) {
-        at(instance, policy -> policy.probeEnded(nowMs, node, elapsedMs, outcome, load));
+        dispatch(instance, policy -> policy.probeEnded(nowMs, node, elapsedMs, outcome, load));
     }
 
     @Override
     public void timerFired(long instance, long token) {
-        at(instance, policy -> policy.timerFired(nowMs, token));
+        dispatch(instance, policy -> policy.timerFired(nowMs, token));
     }
 
     @Override
     public void peerMessageReceived(long instance, int sender, byte[] message) {
-        at(instance, policy -> policy.peerMessageReceived(nowMs, sender, message));
+        dispatch(instance, policy -> policy.peerMessageReceived(nowMs, sender, message));
     }
 
-    private void at(long instance, Consumer<HostEvents> event) {
+    /** Passes an event to a running instance; an exception of its policy is reported to the simulator. */
+    private void dispatch(long instance, Consumer<HostEvents> event) {
         HostEvents policy = instances.get(instance);
         if (policy == null) {
             return;
         }
         try {
             event.accept(policy);
-            tellWritten(policy);
+            confirmWritten(policy);
         } catch (SimulatorProtocolException | UncheckedIOException e) {
             throw e;
         } catch (RuntimeException e) {
@@ -107,18 +111,18 @@
         }
     }
 
-    /** On this wire what is sent is at its node at once. */
-    private void tellWritten(HostEvents policy) {
-        List<Long> written = List.copyOf(sent);
-        sent.clear();
+    /** The simulator delivers a request to its node at once, so each sent request counts as written. */
+    private void confirmWritten(HostEvents policy) {
+        List<Long> written = List.copyOf(sentRequests);
+        sentRequests.clear();
         written.forEach(request -> policy.requestWritten(nowMs, request));
     }
 
-    private interface Write {
+    private interface WriteAction {
         void run() throws IOException;
     }
 
-    private static void write(Write action) {
+    private static void write(WriteAction action) {
         try {
             action.run();
         } catch (IOException e) {
@@ -126,7 +130,7 @@
         }
     }
 
-    /** Writes one instance's actions to the reply. */
+    /** Adds one instance's actions to the reply. */
     private final class WireActions implements HostActions {
         private final long instance;
 
@@ -136,7 +140,7 @@
 
         @Override
         public void send(long request, long node, double timeoutMs) {
-            sent.add(request);
+            sentRequests.add(request);
             write(() -> codec.send(instance, request, node, timeoutMs));
         }
 
--- a/src/main/java/petrelstand/sim/SimulatorProtocolException.java
+++ b/src/main/java/petrelstand/sim/SimulatorProtocolException.java
@@ -1,6 +1,6 @@
 package petrelstand.sim;
 
-/** Input that the link cannot take; the message says what and where. */
+/** Malformed input from the simulator; the message says what is wrong and where. */
 public final class SimulatorProtocolException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/src/test/java/petrelstand/config/ConfigTest.java
+++ b/src/test/java/petrelstand/config/ConfigTest.java
@@ -13,23 +13,22 @@
 import petrelstand.testing.Configs;
 import petrelstand.testing.Harness;
 
-/** The gateway's file, the node list and the operator's file. */
+/** Tests reading the gateway's file, node lists and the operator's file. */
 class ConfigTest {
-    private static final Map<Integer, String> DAEMON = Map.of(8731, "HEALTHY");
-    private final Harness world = new Harness();
+    private static final Map<Integer, String> HEALTHY_NODE = Map.of(8731, "HEALTHY");
+    private final Harness harness = new Harness();
 
-    /** The simulator's text and the gateway's JSON are two writings of one thing. */
     @Test
-    void theJsonGivesTheSameSettingsAsTheText() {
+    void jsonAndSimulatorTextGiveEqualSettings() {
         GatewayConfig config = GatewayConfig.parse(Configs.gateway(9001, 8500), Map.of());
-        assertEquals(world.settings, config.settings());
+        assertEquals(harness.settings, config.settings());
         assertEquals("n1", config.name());
         assertEquals(1024, config.socketLimit());
         assertEquals(0x8c1f30d27a5be964L, config.seed());
     }
 
     @Test
-    void whatTheFileLeavesOutComesFromTheEnvironment() {
+    void environmentSuppliesWhatTheFileLeavesOut() {
         String file =
                 Configs.gateway(1, 2).replace("\"listen\":\"127.0.0.1:0\",", "").replace("\"name\":\"n1\",", "");
         Map<String, String> env = Map.of("RELAY_LISTEN", "127.0.0.1:9000", "RELAY_NAME", "n9");
@@ -39,9 +38,9 @@
                 .contains("name is missing"));
     }
 
-    /** Guards against settings of another customer that leave out who drops repeats: the loosest was assumed. */
+    /** Guards against assuming that all nodes drop repeats when the settings do not say which ones do. */
     @Test
-    void aKeyedClassWithoutAGroupIsTakenForTheStrictest() {
+    void keyedClassWithoutGroupGetsTheShardGroup() {
         String text = Harness.SETTINGS;
         assertEquals(
                 DedupGroup.SHARD,
@@ -58,7 +57,7 @@
     }
 
     @Test
-    void aNodeListKeepsStatesStartsAndShards() {
+    void nodeListIsParsedWithStatesZonesAndStartTimes() {
         NodeList list = NodeList.parse(
                 "{\"version\":43,\"full\":false,\"servers\":["
                         + "{\"id\":\"s-5be2a07c\",\"addr\":\"10.1.0.18:9000\",\"zone\":\"b\",\"cell\":3,\"state\":\"draining\","
@@ -72,7 +71,7 @@
     }
 
     @Test
-    void aMalformedNodeListIsNamed() {
+    void malformedNodeListIsRejected() {
         for (String text : List.of(
                 "[]",
                 "{}",
@@ -84,13 +83,13 @@
         }
     }
 
-    private RsyncConfig rsync(String ini, String xds) {
-        return Configs.load(ini, xds, world.settings).rsync();
+    private RsyncConfig loadRsync(String ini, String xds) {
+        return Configs.load(ini, xds, harness.settings).rsync();
     }
 
     @Test
-    void anOperatorsFileMapsModulesAndEndpoints() {
-        RsyncConfig config = rsync(Configs.operator(500), Configs.xds(DAEMON));
+    void operatorFileDefinesRsyncModulesAndNodes() {
+        RsyncConfig config = loadRsync(Configs.operator(500), Configs.xds(HEALTHY_NODE));
         RsyncConfig.Module module = config.module("charts");
         assertEquals(2, module.requestClass());
         assertEquals(0xb1, module.volume());
@@ -101,7 +100,7 @@
     }
 
     @Test
-    void healthMapsToNodeStates() {
+    void endpointHealthMapsToNodeState() {
         String[][] cases = {
             {"UNKNOWN", "READY"},
             {"HEALTHY", "READY"},
@@ -110,41 +109,42 @@
             {"UNHEALTHY", "DRAINING"},
             {"TIMEOUT", "DRAINING"}
         };
-        for (String[] one : cases) {
-            RsyncConfig config = rsync(Configs.operator(500), Configs.xds(Map.of(8731, one[0])));
+        for (String[] testCase : cases) {
+            RsyncConfig config = loadRsync(Configs.operator(500), Configs.xds(Map.of(8731, testCase[0])));
             assertEquals(
-                    NodeState.valueOf(one[1]), config.nodes().get(0).entry().state());
+                    NodeState.valueOf(testCase[1]),
+                    config.nodes().get(0).entry().state());
         }
     }
 
     @Test
-    void xdsFieldsMayBeInEitherSpellingAndInline() {
+    void xdsFieldsMayBeSnakeCaseAndAssignmentsInline() {
         String ini = Configs.operator(500);
-        String xds = Configs.xds(DAEMON);
+        String xds = Configs.xds(HEALTHY_NODE);
         String snake = xds.replace("socketAddress", "socket_address")
                 .replace("portValue", "port_value")
                 .replace("lbEndpoints", "lb_endpoints")
                 .replace("healthStatus", "health_status")
                 .replace("clusterName", "cluster_name");
-        assertEquals(1, rsync(ini, snake).nodes().size());
-        int at = xds.indexOf("\"endpoints\":[{\"clusterName\"");
-        String assignment = xds.substring(at + 13, xds.length() - 2);
-        String inline = xds.substring(0, at - 1)
+        assertEquals(1, loadRsync(ini, snake).nodes().size());
+        int assignmentStart = xds.indexOf("\"endpoints\":[{\"clusterName\"");
+        String assignment = xds.substring(assignmentStart + 13, xds.length() - 2);
+        String inline = xds.substring(0, assignmentStart - 1)
                         .replace("\"type\":\"EDS\"", "\"type\":\"STATIC\",\"loadAssignment\":" + assignment)
                 + "}";
-        assertEquals(1, rsync(ini, inline).nodes().size());
+        assertEquals(1, loadRsync(ini, inline).nodes().size());
     }
 
-    /** Each line is one fault: what is replaced, by what, and the line that it must give. */
+    /** Each case: the text to replace, its replacement, and the expected part of the message. */
     @Test
-    void aBadOperatorsFileIsOneLineThatNamesFileLineAndKey() {
-        String[][] ini = {
-            {"bulk-export", "bulk", "petrelstand.ini:9: [rsync module charts] class is none of"},
-            {"= basic", "= gold", "petrelstand.ini:10: [rsync module charts] plan is none of"},
+    void malformedOperatorFileNamesFileLineAndKey() {
+        String[][] iniCases = {
+            {"bulk-export", "bulk", "petrelstand.ini:9: [rsync module charts] class must be one of"},
+            {"= basic", "= gold", "petrelstand.ini:10: [rsync module charts] plan must be one of"},
             {"00000000000000b1", "b1", "petrelstand.ini:11: [rsync module charts] volume must be 16 hex digits"},
             {"units = 4", "units = 0", "petrelstand.ini:12: [rsync module charts] units is not a number from"},
             {"units = 4", "units = x", ":12: [rsync module charts] units is not a number from"},
-            {"= chart-rsync", "= x", ":13: [rsync module charts] cluster names no cluster: 'x'"},
+            {"= chart-rsync", "= x", ":13: [rsync module charts] cluster names an unknown cluster: 'x'"},
             {"module charts]", "module a b]", ":7: [rsync module a b] a module's name may hold"},
             {"idle = 500 ms", "idle = 500", ":3: [rsync] idle is not a time with its unit"},
             {"idle = 500 ms", "idle = 0 ms", ":3: [rsync] idle must be from"},
@@ -152,35 +152,36 @@
             {"127.0.0.1:0", "charts.local:1", ":2: [rsync] listen is not an address"},
             {"xds = xds.json", "", "petrelstand.ini:1: [rsync] xds is missing"},
             {"xds = xds.json", "xds = xds.json\nextra = 1", ":6: [rsync] extra is no key of this section"},
-            {"xds = xds.json", "xds = xds.json\nidle = 1 s", ":6: [rsync] idle is there twice"},
+            {"xds = xds.json", "xds = xds.json\nidle = 1 s", ":6: [rsync] idle is given twice"},
             {"[rsync]", "[rsnc]", "petrelstand.ini:1: [rsnc] is no section of this file"},
-            {"[rsync]", "listen = 1\n[rsync]", "petrelstand.ini:1: listen stands before the first section"},
-            {"[rsync]", "[log]\nform = xml\n[rsync]", ":2: [log] form is none of [text, json]: 'xml'"},
+            {"[rsync]", "listen = 1\n[rsync]", "petrelstand.ini:1: listen is before the first section"},
+            {"[rsync]", "[log]\nform = xml\n[rsync]", ":2: [log] form must be one of [text, json], not 'xml'"},
             {"[rsync]", "[state]\nevery = 2 s\n[rsync]", ":1: [state] folder is missing"},
             {"[rsync]", "[state]\nfolder = x\nevery = 1 us\n[rsync]", ":3: [state] every must be from"},
         };
-        for (String[] one : ini) {
+        for (String[] testCase : iniCases) {
             String text = Configs.operator(500);
-            assertTrue(text.contains(one[0]), one[0]);
-            refused(text.replace(one[0], one[1]), Configs.xds(DAEMON), one[2]);
+            assertTrue(text.contains(testCase[0]), testCase[0]);
+            assertRejected(text.replace(testCase[0], testCase[1]), Configs.xds(HEALTHY_NODE), testCase[2]);
         }
-        String[][] xds = {
+        String[][] xdsCases = {
             {"EDS", "STRICT_DNS", "clusters[0].type must be STATIC or EDS"},
             {"HEALTHY", "FINE", "xds.json: endpoints[0].endpoints[0].lbEndpoints[0].healthStatus is unknown"},
             {"8731", "\"x\"", "socketAddress.portValue is not a number"},
             {"\"address\":\"127.0.0.1\"", "\"address\":\"charts.local\"", "socketAddress.address is not an"},
-            {"\"zone\":\"a\"", "\"zone\":\"c\"", "locality.zone is none of"},
+            {"\"zone\":\"a\"", "\"zone\":\"c\"", "locality.zone must be one of"},
             {"\"clusters\":[{", "\"clusters\":[3,{", "clusters[0] is not an object"},
             {"{\"clusters\"", "]", "xds.json: the text is not JSON"},
         };
-        for (String[] one : xds) {
-            refused(Configs.operator(500), Configs.xds(DAEMON).replace(one[0], one[1]), one[2]);
+        for (String[] testCase : xdsCases) {
+            assertRejected(
+                    Configs.operator(500), Configs.xds(HEALTHY_NODE).replace(testCase[0], testCase[1]), testCase[2]);
         }
     }
 
-    private void refused(String ini, String xds, String why) {
-        String message = assertThrows(IllegalArgumentException.class, () -> rsync(ini, xds), why)
+    private void assertRejected(String ini, String xds, String expected) {
+        String message = assertThrows(IllegalArgumentException.class, () -> loadRsync(ini, xds), expected)
                 .getMessage();
-        assertTrue(message.contains(why) && !message.contains("\n"), message + " should be: " + why);
+        assertTrue(message.contains(expected) && !message.contains("\n"), message + " should contain: " + expected);
     }
 }
--- a/src/test/java/petrelstand/config/SettingsVariantsTest.java
+++ b/src/test/java/petrelstand/config/SettingsVariantsTest.java
@@ -13,56 +13,59 @@
 import petrelstand.decision.Scheduling.Settings;
 import petrelstand.testing.Harness;
 
-/** Settings that one deployment states in another way than the next: followed, or refused by the field's name. */
+/** Tests optional, unknown and malformed settings: deployments differ in which ones they state. */
 class SettingsVariantsTest {
-    private static Settings with(String more) {
-        return SettingsReader.parse(Harness.SETTINGS + more);
+    private static Settings parseWith(String lines) {
+        return SettingsReader.parse(Harness.SETTINGS + lines);
     }
 
-    private static Settings without(String line) {
+    private static Settings parseWithout(String line) {
         assertTrue(Harness.SETTINGS.contains(line + "\n"), line);
         return SettingsReader.parse(Harness.SETTINGS.replace(line + "\n", ""));
     }
 
     @Test
-    void noBudgetOfFurtherAttemptsLeavesThemFree() {
-        Settings settings = with("");
+    void furtherAttemptsAreUnlimitedWithoutABudget() {
+        Settings settings = parseWith("");
         assertTrue(settings.rules().freeFurther() < 0 && settings.rules().furtherShare() < 0);
-        assertEquals(4, with("rules.free_resends=4\n").rules().freeFurther());
+        assertEquals(4, parseWith("rules.free_resends=4\n").rules().freeFurther());
     }
 
     @Test
-    void aKeyedClassWithoutAGroupHasTheNarrowestOne() {
+    void keyedClassWithoutGroupGetsTheShardGroup() {
         assertEquals(
                 DedupGroup.SHARD,
-                without("classes.1.group=cell").classes().get(1).group());
+                parseWithout("classes.1.group=cell").classes().get(1).group());
     }
 
     @Test
-    void aWindowForRepeatsMayBeShorterThanTheDeadline() {
-        Settings settings = with("classes.1.repeat_window_ms=300.0\n");
+    void repeatWindowMayBeShorterThanTheDeadline() {
+        Settings settings = parseWith("classes.1.repeat_window_ms=300.0\n");
         assertTrue(settings.classes().get(1).repeatWindowMs()
                 < settings.classes().get(1).deadlineMs());
     }
 
     @Test
-    void aPlanWithoutALimitHasNone() {
-        assertEquals(0, with("").plans().get(0).limit());
+    void planLimitIsOptional() {
+        assertEquals(0, parseWith("").plans().get(0).limit());
         assertEquals(
                 74,
-                with("plans.0.limit=74.0\nplans.0.burst=120.0\n").plans().get(0).limit());
+                parseWith("plans.0.limit=74.0\nplans.0.burst=120.0\n")
+                        .plans()
+                        .get(0)
+                        .limit());
     }
 
     @Test
-    void discoveryMayBeAskedAndRefusalsMayCarryNoWait() {
-        assertEquals(DiscoveryMode.ASKED, with("discovery=ask\n").discovery());
-        assertFalse(without("caps.retry_after=true").may().retryAfter());
+    void discoveryMayBePolledAndRetryAfterMayBeMissing() {
+        assertEquals(DiscoveryMode.ASKED, parseWith("discovery=ask\n").discovery());
+        assertFalse(parseWithout("caps.retry_after=true").may().retryAfter());
     }
 
     @ParameterizedTest
     @CsvSource({"weights=none", "weights=rough", "tier=0", "a.field.of.tomorrow=7"})
-    void aFieldThatDecidesNothingHereIsPassedOver(String line) {
-        assertEquals(with(""), with(line + "\n"));
+    void unknownSettingIsIgnored(String line) {
+        assertEquals(parseWith(""), parseWith(line + "\n"));
     }
 
     @ParameterizedTest
@@ -76,9 +79,9 @@
         "caps.most_tries=0, caps.most_tries is no number above 0",
         "classes.0.aim_ms=0, classes.0.aim_ms is no number above 0"
     })
-    void aValueThatCannotBeFollowedIsRefusedByItsName(String line, String why) {
-        IllegalArgumentException refused = assertThrows(IllegalArgumentException.class, () -> with(line + "\n"));
-        assertTrue(refused.getMessage().startsWith(why), refused.getMessage());
-        assertEquals(1, refused.getMessage().lines().count());
+    void malformedValueIsRejectedWithItsPath(String line, String expectedStart) {
+        IllegalArgumentException error = assertThrows(IllegalArgumentException.class, () -> parseWith(line + "\n"));
+        assertTrue(error.getMessage().startsWith(expectedStart), error.getMessage());
+        assertEquals(1, error.getMessage().lines().count());
     }
 }
--- a/src/test/java/petrelstand/operation/OperatorServerTest.java
+++ b/src/test/java/petrelstand/operation/OperatorServerTest.java
@@ -13,92 +13,95 @@
 import petrelstand.operation.OperatorServer.Route;
 import petrelstand.testing.Harness;
 
-/** The operators' address on connections in memory. */
+/** Tests the operators' server over connections in memory. */
 class OperatorServerTest {
-    private final Harness world = new Harness();
-    private final List<String> done = new ArrayList<>();
-    private final OperatorServer door = new OperatorServer(
-            world.timers,
-            () -> world.nowUs,
-            world.counters,
+    private final Harness harness = new Harness();
+    private final List<String> actionsRun = new ArrayList<>();
+    private final OperatorServer server = new OperatorServer(
+            harness.timers,
+            () -> harness.nowUs,
+            harness.counters,
             Map.of(
                     "/api/ready", new Route("GET", () -> new Answer(200, "ready")),
                     "/api/evacuate",
                             new Route("POST", () -> {
-                                done.add("evacuate");
+                                actionsRun.add("evacuate");
                                 return new Answer(200, "drained");
                             })));
 
-    private String call(String text) {
-        MemoryEndPoint end = MemoryEndPoint.open(door::accept);
-        end.send(text);
-        return end.takeReceived();
+    private String receiveAnswer(String request) {
+        MemoryEndPoint endPoint = MemoryEndPoint.open(server::accept);
+        endPoint.send(request);
+        return endPoint.takeReceived();
     }
 
     @Test
-    void aCallInAnyFormIsAnsweredOnceAndTheConnectionEnds() {
-        String[] calls = {
+    void anyFormOfRequestIsAnsweredOnceThenTheConnectionCloses() {
+        String[] requests = {
             "GET /api/ready HTTP/1.1\r\nHost: o\r\n\r\n",
             "GET /api/ready?x=1 HTTP/1.1\r\nHost: o\r\nConnection: keep-alive\r\n\r\nGET /api/ready HTTP/1.1\r\n\r\n",
             "GET /api/ready HTTP/1.0\r\n\r\n",
             "GET http://o:1/api/ready HTTP/1.1\r\nHost: o\r\n\r\n",
         };
-        for (String call : calls) {
-            String answer = call(call);
+        for (String request : requests) {
+            String answer = receiveAnswer(request);
             assertTrue(
                     answer.startsWith("HTTP/1.1 200 OK\r\n")
                             && answer.contains("Connection: close\r\n")
                             && answer.endsWith("\r\n\r\nready\n"),
-                    call + answer);
+                    request + answer);
         }
-        assertTrue(call("POST /api/evacuate HTTP/1.1\r\nHost: o\r\nContent-Length: 2\r\n\r\n{}")
+        assertTrue(receiveAnswer("POST /api/evacuate HTTP/1.1\r\nHost: o\r\nContent-Length: 2\r\n\r\n{}")
                 .contains(" 200 "));
-        assertTrue(call("POST /api/evacuate HTTP/1.1\r\nHost: o\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n")
-                .contains(" 200 "));
-        assertEquals(List.of("evacuate", "evacuate"), done);
-        world.run(OperatorServer.LINGER_TIMEOUT_US);
-        assertEquals(0, door.connections());
+        assertTrue(
+                receiveAnswer("POST /api/evacuate HTTP/1.1\r\nHost: o\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n")
+                        .contains(" 200 "));
+        assertEquals(List.of("evacuate", "evacuate"), actionsRun);
+        harness.run(OperatorServer.LINGER_TIMEOUT_US);
+        assertEquals(0, server.connectionCount());
     }
 
     @Test
-    void aCallCutAnywhereIsAnsweredWhenItIsWhole() {
-        MemoryEndPoint end = MemoryEndPoint.open(door::accept);
+    void requestArrivingByteByByteIsAnsweredOnceComplete() {
+        MemoryEndPoint endPoint = MemoryEndPoint.open(server::accept);
         for (char c : "POST /api/evacuate HTTP/1.1\r\nHost: o\r\nContent-Length: 3\r\n\r\nabc".toCharArray()) {
-            assertEquals("", end.takeReceived());
-            end.send(String.valueOf(c));
-            world.run(50_000);
+            assertEquals("", endPoint.takeReceived());
+            endPoint.send(String.valueOf(c));
+            harness.run(50_000);
         }
-        assertTrue(end.takeReceived().startsWith("HTTP/1.1 200"));
+        assertTrue(endPoint.takeReceived().startsWith("HTTP/1.1 200"));
     }
 
     @Test
-    void whatIsNoCallGetsOneClearErrorAndDoesNothing() {
-        assertTrue(call("GET /api/nothing HTTP/1.1\r\nHost: o\r\n\r\n").startsWith("HTTP/1.1 404"));
-        assertTrue(call("GET /api/evacuate HTTP/1.1\r\nHost: o\r\n\r\n").startsWith("HTTP/1.1 405"));
-        assertTrue(call("no http\r\n\r\n").startsWith("HTTP/1.1 400"));
-        assertTrue(call("GET /api/ready HTTP/1.1\r\nHost: o\r\nX: " + "x".repeat(9000) + "\r\n\r\n")
+    void invalidRequestGetsAnErrorAndRunsNoAction() {
+        assertTrue(receiveAnswer("GET /api/nothing HTTP/1.1\r\nHost: o\r\n\r\n").startsWith("HTTP/1.1 404"));
+        assertTrue(
+                receiveAnswer("GET /api/evacuate HTTP/1.1\r\nHost: o\r\n\r\n").startsWith("HTTP/1.1 405"));
+        assertTrue(receiveAnswer("no http\r\n\r\n").startsWith("HTTP/1.1 400"));
+        assertTrue(receiveAnswer("GET /api/ready HTTP/1.1\r\nHost: o\r\nX: " + "x".repeat(9000) + "\r\n\r\n")
                 .startsWith("HTTP/1.1 431"));
-        assertTrue(call("POST /api/evacuate HTTP/1.1\r\nHost: o\r\nContent-Length: 5000\r\n\r\n" + "x".repeat(5000))
+        assertTrue(receiveAnswer(
+                        "POST /api/evacuate HTTP/1.1\r\nHost: o\r\nContent-Length: 5000\r\n\r\n" + "x".repeat(5000))
                 .startsWith("HTTP/1.1 413"));
-        assertEquals(List.of(), done);
+        assertEquals(List.of(), actionsRun);
     }
 
     @Test
-    void callersWithoutAWholeCallNeitherHoldUpOthersNorStay() {
+    void idleConnectionsDoNotBlockOthersAndTimeOut() {
         List<MemoryEndPoint> silent = new ArrayList<>();
         for (int i = 0; i < 3 * OperatorServer.MAX_CONNECTIONS; i++) {
-            MemoryEndPoint end = MemoryEndPoint.open(door::accept);
-            end.send("GET /api/re");
-            silent.add(end);
-            assertTrue(door.connections() <= OperatorServer.MAX_CONNECTIONS);
+            MemoryEndPoint endPoint = MemoryEndPoint.open(server::accept);
+            endPoint.send("GET /api/re");
+            silent.add(endPoint);
+            assertTrue(server.connectionCount() <= OperatorServer.MAX_CONNECTIONS);
         }
-        assertTrue(call("GET /api/ready HTTP/1.1\r\nHost: o\r\n\r\n").startsWith("HTTP/1.1 200"));
+        assertTrue(receiveAnswer("GET /api/ready HTTP/1.1\r\nHost: o\r\n\r\n").startsWith("HTTP/1.1 200"));
         assertFalse(silent.get(0).isOpen());
-        MemoryEndPoint last = silent.get(silent.size() - 1);
-        world.run(4_000_000);
-        assertTrue(last.isOpen());
-        world.run(OperatorServer.CALL_TIMEOUT_US + OperatorServer.LINGER_TIMEOUT_US);
-        assertTrue(last.takeReceived().startsWith("HTTP/1.1 408"));
-        assertEquals(0, door.connections());
+        MemoryEndPoint newest = silent.get(silent.size() - 1);
+        harness.run(4_000_000);
+        assertTrue(newest.isOpen());
+        harness.run(OperatorServer.CALL_TIMEOUT_US + OperatorServer.LINGER_TIMEOUT_US);
+        assertTrue(newest.takeReceived().startsWith("HTTP/1.1 408"));
+        assertEquals(0, server.connectionCount());
     }
 }
--- a/src/test/java/petrelstand/sim/SimulatorWireTest.java
+++ b/src/test/java/petrelstand/sim/SimulatorWireTest.java
@@ -17,7 +17,7 @@
 import petrelstand.decision.Scheduling.Effect;
 import petrelstand.decision.Scheduling.Settings;
 
-/** The wire's frames and settings, well formed and not. */
+/** Tests well-formed and malformed frames and settings of the simulator's protocol. */
 class SimulatorWireTest {
     private static final String SETTINGS = """
             balancers=2
@@ -45,20 +45,20 @@
         return HexFormat.of().parseHex(text.replaceAll("\\s", ""));
     }
 
-    private static byte[] batch(double clock, int records, byte[]... parts) {
+    private static byte[] batch(double clockMs, int records, byte[]... parts) {
         int length = 16;
         for (byte[] part : parts) {
             length += part.length;
         }
         ByteBuffer frame =
-                ByteBuffer.allocate(length).putInt(records).putInt(length).putDouble(clock);
+                ByteBuffer.allocate(length).putInt(records).putInt(length).putDouble(clockMs);
         for (byte[] part : parts) {
             frame.put(part);
         }
         return frame.array();
     }
 
-    private static byte[] hello(String settings) {
+    private static byte[] instanceStarted(String settings) {
         byte[] text = settings.getBytes(StandardCharsets.UTF_8);
         return ByteBuffer.allocate(17 + text.length)
                 .put((byte) 20)
@@ -69,7 +69,7 @@
                 .array();
     }
 
-    private static byte[] play(byte[]... frames) throws IOException {
+    private static byte[] runHost(byte[]... frames) throws IOException {
         ByteArrayOutputStream input = new ByteArrayOutputStream();
         for (byte[] frame : frames) {
             input.write(frame);
@@ -79,22 +79,22 @@
         return output.toByteArray();
     }
 
-    private static String fault(byte[]... frames) {
-        return assertThrows(SimulatorProtocolException.class, () -> play(frames))
+    private static String errorMessage(byte[]... frames) {
+        return assertThrows(SimulatorProtocolException.class, () -> runHost(frames))
                 .getMessage();
     }
 
     @Test
-    void anEmptyBatchGetsAnEmptyReply() throws IOException {
-        assertArrayEquals(hex("00000004"), play(batch(500, 0)));
+    void emptyBatchGetsAnEmptyReply() throws IOException {
+        assertArrayEquals(hex("00000004"), runHost(batch(500, 0)));
     }
 
     @Test
-    void aRequestIsSentToTheNodeThatHoldsItsShard() throws IOException {
+    void requestIsSentToANodeOfItsShard() throws IOException {
         byte[] nodes = hex("19 00000004 00000001 02 00000001" + "0000abcd 0000 00 0003 01 3f800000 0000000000000000");
         byte[] request = hex("15 00000004 00000007 0000 00000000 0000000000000001 408c200000000000"
                 + "0000000000000009 40000000 40400000 3f800000 0000");
-        byte[] output = play(batch(1000, 2, hello(SETTINGS), nodes), batch(1002, 1, request));
+        byte[] output = runHost(batch(1000, 2, instanceStarted(SETTINGS), nodes), batch(1002, 1, request));
         ByteBuffer replies = ByteBuffer.wrap(output);
         byte[] first = new byte[replies.getInt(0)];
         replies.get(first);
@@ -107,14 +107,14 @@
     }
 
     @Test
-    void theSameBatchesGiveTheSameReplies() throws IOException {
-        byte[] start = batch(1000, 1, hello(SETTINGS));
-        byte[] ring = batch(1050, 1, hex("13 00000004 ffffffffffffffff"));
-        assertArrayEquals(play(start, ring), play(start, ring));
+    void equalBatchesGiveEqualReplies() throws IOException {
+        byte[] start = batch(1000, 1, instanceStarted(SETTINGS));
+        byte[] timerFired = batch(1050, 1, hex("13 00000004 ffffffffffffffff"));
+        assertArrayEquals(runHost(start, timerFired), runHost(start, timerFired));
     }
 
     @Test
-    void settingsAreReadAndUnknownKeysIgnored() {
+    void settingsAreParsedAndUnknownKeysIgnored() {
         Settings settings = SettingsReader.parse(SETTINGS);
         assertEquals(2, settings.hosts());
         assertEquals(Effect.UNSAFE, settings.classes().get(0).effect());
@@ -124,31 +124,31 @@
     }
 
     @Test
-    void aMissingOrUnreadableSettingIsNamed() {
-        assertTrue(
-                fault(batch(0, 1, hello(SETTINGS.replace("balancers=2\n", "")))).contains("balancers is missing"));
-        assertTrue(fault(batch(0, 1, hello(SETTINGS.replace("aim_ms=300.0", "aim_ms=soon"))))
+    void missingOrMalformedSettingIsNamed() {
+        assertTrue(errorMessage(batch(0, 1, instanceStarted(SETTINGS.replace("balancers=2\n", ""))))
+                .contains("balancers is missing"));
+        assertTrue(errorMessage(batch(0, 1, instanceStarted(SETTINGS.replace("aim_ms=300.0", "aim_ms=soon"))))
                 .contains("classes.0.aim_ms is not a number"));
-        assertTrue(
-                fault(batch(0, 1, hello(SETTINGS.replace("=once", "=twice")))).contains("classes.0.semantics"));
-        assertTrue(fault(batch(0, 1, hello(SETTINGS.replace("balancers=2", "balancers=0"))))
+        assertTrue(errorMessage(batch(0, 1, instanceStarted(SETTINGS.replace("=once", "=twice"))))
+                .contains("classes.0.semantics"));
+        assertTrue(errorMessage(batch(0, 1, instanceStarted(SETTINGS.replace("balancers=2", "balancers=0"))))
                 .contains("hosts"));
     }
 
     @Test
-    void malformedFramesAreNamed() {
-        assertTrue(fault(hex("000000")).contains("ends inside a frame"));
-        assertTrue(fault(hex("00000000 00000004 0000000000000000")).contains("frame length 4"));
-        assertTrue(fault(hex("00000000 7fffffff 0000000000000000")).contains("frame length 2147483647"));
-        assertTrue(fault(batch(0, 1, hex("63 00000004"))).contains("unknown code 99"));
-        assertTrue(fault(batch(0, 1, hex("13 00000004"))).contains("ends inside it"));
-        assertTrue(fault(batch(0, 0, hex("13"))).contains("1 bytes left"));
-        assertTrue(
-                fault(batch(0, 1, hex("14 00000004 0000000000000001 7fffffff"))).contains("ends inside it"));
+    void malformedFrameIsRejectedWithItsPosition() {
+        assertTrue(errorMessage(hex("000000")).contains("ends inside a frame"));
+        assertTrue(errorMessage(hex("00000000 00000004 0000000000000000")).contains("frame length 4"));
+        assertTrue(errorMessage(hex("00000000 7fffffff 0000000000000000")).contains("frame length 2147483647"));
+        assertTrue(errorMessage(batch(0, 1, hex("63 00000004"))).contains("unknown code 99"));
+        assertTrue(errorMessage(batch(0, 1, hex("13 00000004"))).contains("ends inside it"));
+        assertTrue(errorMessage(batch(0, 0, hex("13"))).contains("1 bytes left"));
+        assertTrue(errorMessage(batch(0, 1, hex("14 00000004 0000000000000001 7fffffff")))
+                .contains("ends inside it"));
     }
 
     @Test
-    void theCommandEndsOnMalformedInputWithOneLineOnStandardError() throws IOException, InterruptedException {
+    void wirehostExitsWithOneErrorLineOnMalformedInput() throws IOException, InterruptedException {
         Process process = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "-cp",
@@ -167,7 +167,7 @@
     }
 
     @Test
-    void actionsHaveTheirShapes() throws IOException {
+    void actionsAreEncodedInTheirWireFormat() throws IOException {
         SimulatorCodec codec = new SimulatorCodec();
         codec.refuse(3, 0x5d3a91c4L, 80);
         codec.fail(3, 7);
