--- a/src/test/java/petrelstand/sim/SimulatorWireCompatibilityTest.java
+++ b/src/test/java/petrelstand/sim/SimulatorWireCompatibilityTest.java
@@ -22,7 +22,8 @@
 /**
  * Guards against events of the simulator whose fields are taken for others, and against actions that it can't read. The
  * batch of events was laid out by hand, since the gateway only reads them: its head, then one line a record. The frame
- * of actions holds what {@link SimulatorCodec} wrote for {@link #actions()}. {@link SimulatorWireTest} has the other actions.
+ * of actions holds what {@link SimulatorCodec} wrote for {@link #actions()}. {@link SimulatorWireTest} has the other
+ * actions.
  */
 class SimulatorWireCompatibilityTest {
     private static final String EVENTS_FILE = "wire/simulator-events.hex";
