--- a/src/main/java/petrelstand/accounts/BaselineTime.java
+++ b/src/main/java/petrelstand/accounts/BaselineTime.java
@@ -3,30 +3,31 @@
 import java.util.Arrays;
 
 /**
- * The usual time that a unit takes at a node: the lower quartile of the last answers that found nothing of ours before
- * them. The quartile, not the mean, since some of these waited for what we cannot see. The last few tell whether the
- * node is slow now: one that has unseen work still answers some at once, one that is slow answers none at its usual
- * time.
+ * The baseline time of a unit of work: the lower quartile of the last samples, which are requests that found no other
+ * request of the gateway at the node. A quartile, since some samples wait for work the gateway can't observe. The most
+ * recent samples tell whether the node is slow: with unobserved work some of them still take the baseline time, on a
+ * slow node none does.
  */
 final class BaselineTime {
     private static final int MAX_SAMPLES = 128;
     private static final int RECENT_SAMPLES = 8;
-    /** Answers that are needed before a usual time is known, and before a node can be called slow. */
+    /** Samples needed before the baseline is known. */
     private static final int MIN_SAMPLES = 4;
 
+    /** Samples needed before a node can count as slow. */
     private static final int MIN_SAMPLES_FOR_SLOW = 16;
-    /** So much slower than usual, in the fastest of the last few answers, is slow. */
+    /** A node is slow if its fastest recent sample exceeds the baseline by more than this factor. */
     static final double SLOW_FACTOR = 1.6;
 
     private final long[] samples = new long[MAX_SAMPLES];
     private final long[] recent = new long[RECENT_SAMPLES];
     private int count;
 
-    /** A request of so many units took so long, and found nothing of ours before it. */
+    /** Adds the duration of a request of {@code units} units that found the node idle. */
     void add(long durationUs, double units) {
         long unitUs = Math.max(1, (long) (durationUs / Math.max(1e-3, units)));
         recent[count % RECENT_SAMPLES] = unitUs;
-        // While it is slow its usual time stays what it was.
+        // A slow node keeps its baseline.
         if (!isSlow()) {
             samples[count % MAX_SAMPLES] = unitUs;
         }
@@ -40,7 +41,7 @@
         return count >= MIN_SAMPLES;
     }
 
-    /** Microseconds a unit; 0 where nothing is known. */
+    /** The baseline in microseconds per unit, 0 without samples. */
     long unitUs() {
         int sampleCount = Math.min(count, MAX_SAMPLES);
         if (sampleCount == 0) {
@@ -51,7 +52,7 @@
         return sorted[sampleCount / 4];
     }
 
-    /** True where even the fastest of the last few took much longer than usual. */
+    /** True if even the fastest recent sample is far above the baseline. */
     boolean isSlow() {
         if (count < MIN_SAMPLES_FOR_SLOW) {
             return false;
--- a/src/main/java/petrelstand/accounts/Cause.java
+++ b/src/main/java/petrelstand/accounts/Cause.java
@@ -1,13 +1,20 @@
 package petrelstand.accounts;
 
-/** What a request waited for: somebody's work, the node's own trouble, our own window, or what nobody here saw. */
+/**
+ * The cause of a wait. The volume and request class are set only for {@link Kind#WORK}; otherwise they are 0 and -1.
+ */
 public record Cause(Kind kind, long volume, int requestClass) {
-    /** The kinds of cause; only {@link #WORK} names a volume and a class. */
+    /** The kinds of cause; their order is stored. */
     public enum Kind {
+        /** The gateway's own requests of one volume and class at the node. */
         WORK,
+        /** The node itself: cold, slow, stalled or failed. */
         NODE,
+        /** The gateway's concurrency window of the node. */
         WINDOW,
+        /** Something the gateway can't observe, such as work of other clients. */
         UNSEEN,
+        /** Work of several volumes that are too small to be listed. */
         OTHERS
     }
 
@@ -15,10 +22,10 @@
     public static final Cause WINDOW = new Cause(Kind.WINDOW, 0, -1);
     public static final Cause UNSEEN = new Cause(Kind.UNSEEN, 0, -1);
 
-    /** The work of many others, each too little to be named. */
+    /** The work of volumes too small to be listed. */
     public static final Cause OTHERS = new Cause(Kind.OTHERS, 0, -1);
 
-    /** The work of a volume in a class. */
+    /** The work of one volume's requests of a class. */
     public static Cause work(long volume, int requestClass) {
         return new Cause(Kind.WORK, volume, requestClass);
     }
--- a/src/main/java/petrelstand/accounts/LatencyAttributor.java
+++ b/src/main/java/petrelstand/accounts/LatencyAttributor.java
@@ -11,34 +11,38 @@
 import petrelstand.decision.Scheduling.Outcome;
 
 /**
- * The accounts of one gateway: each request's time by phase, and each wait shared among its causes. It hears what the
- * broker tells, keeps a model of each node ({@link NodeModel}), and books into a {@link TopWaits}. No I/O and no clock;
- * everything it keeps is bounded. docs/design/latency-accounts.md tells how a wait is attributed.
+ * Attributes the latency of one gateway's requests: splits the time of each request into phases, and each wait among
+ * its causes. It observes the broker, replays the gateway's requests in a {@link NodeModel} per node, and passes each
+ * finished request to a {@link Sink}. It does no I/O and reads no clock; all its state is bounded.
+ * docs/design/latency-accounts.md describes the method.
  */
 public final class LatencyAttributor implements RequestObserver {
-    /** Nodes that are modelled at most; the one longest unused goes first. */
+    /** Limit of modelled nodes; the least recently used one is evicted. */
     static final int MAX_NODES = 1024;
-    /** First tries that a client's repeat may be linked to, and for how long. */
+    /** Limit of unserved requests kept so that a client's retry can be linked to them. */
     static final int MAX_UNSERVED_REQUESTS = 4096;
 
+    /** Longest time between an unserved request and the client's retry for the two to be linked. */
     static final long MAX_RETRY_GAP_US = 10_000_000;
-    /** A stretch without an answer to several of ours is a standstill from this length on, beyond what was usual. */
+    /** Time beyond the baseline without any answer, while several requests are outstanding, that counts as a stall. */
     static final long MIN_STALL_US = 40_000;
 
     private static final int MAX_STALLS = 64;
     /**
-     * A request keeps its core in the model until its answer, but no longer than this many times its usual time: the
-     * usual time is a lower quartile, and what takes longer still is the node's trouble, not the request's.
+     * Limit of a request's work in the model, as a multiple of its baseline time. The baseline is a lower quartile;
+     * time beyond this limit is not blamed on the request.
      */
     static final double MAX_WORK_FACTOR = 1.25;
 
-    /** A part of a request's wait, at a node. */
+    /** The microseconds of a request's wait at a node that are attributed to one cause. */
     public record WaitShare(long node, Cause cause, long us) {}
 
     /**
-     * What became of a request: its phases in microseconds over all its attempts, the time between a first try that was
-     * turned away and this one where they could be linked, and the shares of held and waited time, which add up to
-     * them.
+     * The latency of a finished request: its phases in microseconds, summed over all its attempts, and the shares of
+     * its wait.
+     *
+     * @param earlierTriesUs time from the client's first linked try to the start of this one, 0 without such a try
+     * @param shares the held and waited time by node and cause; they add up to {@code heldUs + waitedUs}
      */
     public record RequestLatency(
             long request,
@@ -54,22 +58,23 @@
             long earlierTriesUs,
             long endedAtUs,
             List<WaitShare> shares) {
-        /** From the first taking to the end, of all tries that were linked. */
+        /** The time from the start of the first linked try to the end of this request. */
         public long totalUs() {
             return heldUs + connectingUs + waitedUs + servedUs + earlierTriesUs;
         }
     }
 
-    /** Told of each account when its request is over. */
+    /** Receives the latency of each finished request. */
     public interface Sink {
-        void requestFinished(RequestLatency account);
+        void requestFinished(RequestLatency latency);
     }
 
     private record RetryKey(long volume, long key, int requestClass) {}
 
+    /** A request that ended unserved, with the time spent on it and on the tries linked before it. */
     private record UnservedRequest(long endedAtUs, long spentUs) {}
 
-    /** A stretch in which a node answered nothing to several of ours. */
+    /** A period in which a node answered none of several outstanding requests. */
     private record Stall(long fromUs, long toUs) {}
 
     private static final class NodeTracker {
@@ -95,7 +100,7 @@
         private long writtenUs = -1;
         private NodeModel.Job job;
         private boolean foundNodeIdle;
-        /** Its time is booked; its end, once it is known, may still correct the node's model. */
+        /** True once its time is accounted; its end may still correct the node's model. */
         private boolean accounted;
 
         private boolean ended;
@@ -121,9 +126,9 @@
         private boolean served;
         private boolean answered;
 
-        RequestState(Demand demand, long takenUs) {
+        RequestState(Demand demand, long acceptedUs) {
             this.demand = demand;
-            this.heldSinceUs = takenUs;
+            this.heldSinceUs = acceptedUs;
         }
 
         AttemptState findAttempt(int number) {
@@ -163,22 +168,28 @@
     };
     private long unlinkedRetries;
 
-    /** Accounts before nodes of so many cores, which are cold for a time after their start. */
+    /**
+     * Creates an attributor for nodes that all have the same number of cores.
+     *
+     * @param cores cores of a node, 1 to 256
+     * @param warmUpMs time after its start for which a node counts as cold
+     * @throws IllegalArgumentException if {@code cores} is out of range
+     */
     public LatencyAttributor(int cores, double warmUpMs, Sink sink) {
         if (cores < 1 || cores > 256) {
-            throw new IllegalArgumentException("a node has 1 to 256 cores, not " + cores);
+            throw new IllegalArgumentException("cores of a node must be 1 to 256, but is " + cores);
         }
         this.cores = cores;
         this.warmUpMs = warmUpMs;
         this.sink = sink;
     }
 
-    /** Clients' repeats whose first try was not known any more: their accounts begin with the repeat. */
+    /** The number of clients' retries whose earlier try is not known; their latency counts from the retry on. */
     public long unlinkedRetries() {
         return unlinkedRetries;
     }
 
-    /** Requests, nodes and first tries kept. */
+    /** The number of open requests, nodes and unserved requests kept. */
     int size() {
         return openRequests.size() + nodes.size() + unservedRequests.size();
     }
@@ -215,7 +226,7 @@
         requestState.attempts.add(new AttemptState(attempt, node, streamed, nowUs));
     }
 
-    /** The time held is shared among our own work at the node meanwhile; the rest is our own caution. */
+    /** Attributes held time to the gateway's requests that ran at the node meanwhile, and the rest to the window. */
     private void addHeldTime(RequestState requestState, NodeTracker node, long nowUs) {
         long heldUs = nowUs - requestState.heldSinceUs;
         requestState.heldUs += heldUs;
@@ -227,8 +238,9 @@
     }
 
     /**
-     * Shares a wait: what our own work explains of it, at most so much, by who did that work in a stretch of time; then
-     * the node's part of the rest, and the rest of that to a cause.
+     * Attributes a wait in three steps: up to {@code maxExplainedUs} to the owners of the work that the model ran from
+     * {@code fromUs} to {@code toUs}, then up to {@code maxNodeUs} to the node, then all that is left to
+     * {@code remainder}.
      */
     private void attributeWait(
             RequestState requestState,
@@ -242,23 +254,23 @@
             long maxNodeUs) {
         List<NodeModel.CoreTime> coreTimes = node.model.coreTimeBetween(fromUs, toUs, excluded);
         long work = coreTimes.stream().mapToLong(NodeModel.CoreTime::us).sum();
-        // All cores busy all the time explain all of it.
+        // A wait is fully explained when all cores were busy for all of it.
         long explained = Math.min(waitUs, Math.min(maxExplainedUs, work / cores));
         if (explained > 0) {
             long[] parts = ProportionalSplit.split(
                     explained,
                     coreTimes.stream().mapToLong(NodeModel.CoreTime::us).toArray());
             for (int i = 0; i < parts.length; i++) {
-                book(requestState, node, coreTimes.get(i).owner(), parts[i]);
+                addShare(requestState, node, coreTimes.get(i).owner(), parts[i]);
             }
         }
         long unexplained = waitUs - explained;
         long nodePartUs = Math.min(unexplained, maxNodeUs);
-        book(requestState, node, Cause.NODE, nodePartUs);
-        book(requestState, node, remainder, unexplained - nodePartUs);
+        addShare(requestState, node, Cause.NODE, nodePartUs);
+        addShare(requestState, node, remainder, unexplained - nodePartUs);
     }
 
-    private static void book(RequestState requestState, NodeTracker node, Cause cause, long us) {
+    private static void addShare(RequestState requestState, NodeTracker node, Cause cause, long us) {
         if (us <= 0) {
             return;
         }
@@ -296,9 +308,7 @@
                 nowUs, requestState.owner(), (long) (MAX_WORK_FACTOR * baselineUs(node, requestState.demand)));
     }
 
-    /**
-     * The usual time of a request at a node; of its class at all nodes where the node is not known; 0 where neither.
-     */
+    /** The baseline time of a request at a node, else that of its class at all nodes, else 0. */
     private long baselineUs(NodeTracker node, Demand demand) {
         BaselineTime nodeBaseline = node.baselines.get(demand.classIndex());
         BaselineTime classBaseline = baselineOfAllNodes.get(demand.classIndex());
@@ -316,7 +326,7 @@
             return;
         }
         if (attemptState.writtenUs < 0 && isAnswer(outcome)) {
-            // The server side did not tell when the last byte left: it was when the attempt began.
+            // The write was not reported; the start of the attempt stands in for it.
             attemptArrived(requestState, attemptState, attemptState.sentUs);
         }
         attemptState.ended = true;
@@ -327,9 +337,9 @@
             }
         }
         if (!attemptState.accounted) {
-            book(requestState, attemptState, outcome, nowUs);
+            accountAttempt(requestState, attemptState, outcome, nowUs);
         }
-        // What was given up stays in the model: the node may yet serve it.
+        // An abandoned attempt stays in the model, since the node may still run it.
         if (attemptState.job != null && (isAnswer(outcome) || outcome.neverRan())) {
             attemptState.node.model.ended(attemptState.job, nowUs, !outcome.neverRan());
         }
@@ -339,14 +349,14 @@
         return outcome == Outcome.SERVED || outcome == Outcome.ERROR || outcome == Outcome.REJECTED;
     }
 
-    /** Books an attempt's time up to its end, or to the request's where that comes first. */
-    private void book(RequestState requestState, AttemptState attemptState, Outcome outcome, long nowUs) {
+    /** Accounts an attempt's time up to its end or the request's end, whichever comes first. */
+    private void accountAttempt(RequestState requestState, AttemptState attemptState, Outcome outcome, long nowUs) {
         attemptState.accounted = true;
         requestState.heldSinceUs = nowUs;
         requestState.connectingUs +=
                 (attemptState.writtenUs < 0 ? nowUs : attemptState.writtenUs) - attemptState.sentUs;
         if (attemptState.job == null) {
-            // A transfer stands in no queue, and what was never written waited for its connection only.
+            // A transfer doesn't queue at the node, and an unwritten attempt waited only for its connection.
             requestState.servedUs += attemptState.writtenUs < 0 ? 0 : nowUs - attemptState.writtenUs;
             return;
         }
@@ -382,7 +392,7 @@
         }
     }
 
-    /** The node's own: it is cold, it is slow, or it did not answer at all. */
+    /** True if the wait is the node's fault: the node is cold, slow, failed or did not answer. */
     private boolean isNodeAtFault(RequestState requestState, NodeTracker node, Outcome outcome, long nowUs) {
         boolean cold = node.startedMs > 0 && nowUs / 1000.0 < node.startedMs + warmUpMs;
         BaselineTime baseline = node.baselines.get(requestState.demand.classIndex());
@@ -391,7 +401,7 @@
         return cold || slow || outcome != Outcome.SERVED && outcome != Outcome.REJECTED && outcome != Outcome.CANCELLED;
     }
 
-    /** An answer came: a long time without one, with several of ours out, was a standstill. */
+    /** Records a stall if the node answered nothing for long while other requests were outstanding. */
     private void answerReceived(RequestState requestState, NodeTracker node, AttemptState attemptState, long nowUs) {
         long fromUs = Math.max(node.lastAnswerUs, attemptState.writtenUs);
         long silentUs = nowUs - fromUs - baselineUs(node, requestState.demand);
@@ -423,13 +433,13 @@
         boolean hadOpenAttempt = false;
         for (AttemptState attemptState : requestState.attempts) {
             if (!attemptState.accounted) {
-                // The request is over before its attempt: what the attempt took up to here is the request's.
-                book(requestState, attemptState, Outcome.CANCELLED, nowUs);
+                // The request ends before its attempt, so only the time up to now counts.
+                accountAttempt(requestState, attemptState, Outcome.CANCELLED, nowUs);
                 hadOpenAttempt = true;
             }
         }
         if (!hadOpenAttempt && nowUs > requestState.heldSinceUs) {
-            // It was held to its end: at the node of its last try, or at none that is known here.
+            // The request was held until it ended: attribute that to its last node, or to an empty one if none.
             NodeTracker lastNode = requestState.attempts.isEmpty()
                     ? new NodeTracker(0, cores)
                     : requestState.attempts.get(requestState.attempts.size() - 1).node;
--- a/src/main/java/petrelstand/accounts/LatencyHistory.java
+++ b/src/main/java/petrelstand/accounts/LatencyHistory.java
@@ -9,25 +9,29 @@
 import petrelstand.accounts.LatencyAttributor.WaitShare;
 
 /**
- * The accounts of the last minutes, in bounded memory: a {@link TopWaits} and histograms by phase for the minute that
- * runs and the last whole one, and a small ledger for each of the last {@link #SECONDS_KEPT} seconds. A keeper may hear
- * of each second and minute that is over. Times are microseconds of the loop's clock, which never goes back.
+ * The recent latency statistics in bounded memory: {@link TopWaits} and phase histograms of the current and the last
+ * minute, and a smaller {@link TopWaits} for each of the last {@link #SECONDS_KEPT} seconds. A {@link Listener}
+ * receives each finished second and minute. Times are microseconds of the event loop's clock, which never goes back.
  */
 public final class LatencyHistory implements LatencyAttributor.Sink {
-    /** Cells of a minute's ledger, causes of a second's. */
+    /** Entries in the top waits of a minute. */
     static final int MAX_MINUTE_ENTRIES = 1024;
 
+    /** Entries in the top waits of a second. */
     static final int MAX_SECOND_ENTRIES = 32;
-    /** Seconds that are kept. */
+    /** Number of past seconds that are kept. */
     public static final int SECONDS_KEPT = 120;
-    /** Groups of requests (class and plan, and nodes) that have histograms of their own; the rest share one. */
+    /** Limit of request groups with histograms of their own; all further ones share one group. */
     static final int MAX_GROUPS = 48;
-    /** The longest time a histogram tells apart, and its two digits: a figure is right to 1 %. */
+    /** Longest time a histogram records; longer ones are recorded as this. */
     private static final long MAX_RECORDED_US = 60_000_000;
 
+    /** Significant decimal digits of a histogram's values, a precision of 1 %. */
+    private static final int HISTOGRAM_DIGITS = 2;
+
     private static final long MINUTE_US = 60_000_000;
 
-    /** The phases of a request. */
+    /** The phases of a request, and their total. */
     public enum Phase {
         HELD,
         CONNECTING,
@@ -36,9 +40,12 @@
         TOTAL
     }
 
-    /** What requests are counted together: those of a class and plan, or those of a node; or the rest. */
+    /**
+     * The requests that share histograms: those of a class and plan (then {@code node} is -1), those of a node (then
+     * the others are -1), or {@link #OTHERS}. Class and plan are indexes into the settings' lists.
+     */
     public record RequestGroup(int requestClass, int plan, long node) {
-        /** All that found no room for a group of their own. */
+        /** All requests beyond the limit of groups. */
         public static final RequestGroup OTHERS = new RequestGroup(-1, -1, -1);
 
         static RequestGroup forClass(int requestClass, int plan) {
@@ -50,20 +57,20 @@
         }
     }
 
-    /** Percentiles of a phase, in microseconds. */
+    /** The number of recorded times of a phase, their percentiles and their maximum, in microseconds. */
     public record Percentiles(long count, long p50Us, long p90Us, long p99Us, long maxUs) {}
 
-    /** One second: its requests, the time they were held and waited, and its heaviest causes. */
+    /** The requests that ended in a second, the time they were held and waited, and the largest waits, descending. */
     public record SecondStats(long second, long requests, long waitUs, List<TopWaits.Entry> topWaits) {}
 
-    /** Hears of what is over; nothing more will be booked there. */
+    /** Receives each finished period; its statistics don't change any more. */
     public interface Listener {
         void periodFinished(SecondStats second);
 
         void periodFinished(MinuteStats minute);
     }
 
-    /** A minute, whole or running. */
+    /** The statistics of a minute, finished or current. */
     public static final class MinuteStats {
         private final long fromUs;
         private final TopWaits topWaits = new TopWaits(MAX_MINUTE_ENTRIES);
@@ -75,6 +82,7 @@
             this.fromUs = fromUs;
         }
 
+        /** The start of the minute. */
         public long fromUs() {
             return fromUs;
         }
@@ -83,18 +91,22 @@
             return topWaits;
         }
 
+        /** The number of requests that ended in the minute. */
         public long requests() {
             return requests;
         }
 
+        /** The number of requests among them that were served. */
         public long served() {
             return served;
         }
 
+        /** The groups with histograms, in the order of their first request. */
         public List<RequestGroup> groups() {
             return List.copyOf(histograms.keySet());
         }
 
+        /** The percentiles of a phase of one of {@link #groups}. */
         public Percentiles percentiles(RequestGroup group, Phase phase) {
             IntCountsHistogram histogram = histograms.get(group)[phase.ordinal()];
             return new Percentiles(
@@ -105,19 +117,19 @@
                     histogram.getMaxValue());
         }
 
-        private void recordPhases(RequestGroup preferredGroup, RequestLatency account) {
+        private void recordPhases(RequestGroup preferredGroup, RequestLatency latency) {
             RequestGroup group = histograms.containsKey(preferredGroup) || histograms.size() < MAX_GROUPS
                     ? preferredGroup
                     : RequestGroup.OTHERS;
             IntCountsHistogram[] groupHistograms = histograms.computeIfAbsent(group, g -> {
                 IntCountsHistogram[] created = new IntCountsHistogram[Phase.values().length];
                 for (int i = 0; i < created.length; i++) {
-                    created[i] = new IntCountsHistogram(MAX_RECORDED_US, 2);
+                    created[i] = new IntCountsHistogram(MAX_RECORDED_US, HISTOGRAM_DIGITS);
                 }
                 return created;
             });
             long[] phaseTimesUs = {
-                account.heldUs(), account.connectingUs(), account.waitedUs(), account.servedUs(), account.totalUs()
+                latency.heldUs(), latency.connectingUs(), latency.waitedUs(), latency.servedUs(), latency.totalUs()
             };
             for (int i = 0; i < phaseTimesUs.length; i++) {
                 groupHistograms[i].recordValue(Math.min(MAX_RECORDED_US, Math.max(0, phaseTimesUs[i])));
@@ -139,10 +151,12 @@
         }
     }
 
-    /** Classes and plans that totals are kept apart for; the last place is for all beyond. */
+    /** Classes with totals of their own; the last index sums all further classes. */
     static final int MAX_CLASSES = 17;
 
+    /** Plans with totals of their own; the last index sums all further plans. */
     static final int MAX_PLANS = 17;
+
     private final long[][] totalWaitUs = new long[MAX_CLASSES][Cause.Kind.values().length];
     private final long[][][] finishedRequests = new long[MAX_CLASSES][MAX_PLANS][2];
     private final SecondAccumulator[] seconds = new SecondAccumulator[SECONDS_KEPT];
@@ -151,12 +165,12 @@
     private MinuteStats currentMinute;
     private MinuteStats lastMinute;
 
-    /** Tells a keeper from now on. */
+    /** Sets the listener for all periods that finish from now on. */
     public void setListener(Listener listener) {
         this.listener = listener;
     }
 
-    /** What runs is over as well: the gateway ends. */
+    /** Reports the current second and minute as finished; to be called when the gateway stops. */
     public void close() {
         if (listener != null && newestSecond != null) {
             listener.periodFinished(newestSecond.toStats());
@@ -165,8 +179,8 @@
     }
 
     @Override
-    public void requestFinished(RequestLatency account) {
-        long atUs = account.endedAtUs();
+    public void requestFinished(RequestLatency latency) {
+        long atUs = latency.endedAtUs();
         if (currentMinute == null || atUs >= currentMinute.fromUs + MINUTE_US) {
             lastMinute = currentMinute;
             if (listener != null && lastMinute != null) {
@@ -175,11 +189,11 @@
             currentMinute = new MinuteStats(atUs - atUs % MINUTE_US);
         }
         currentMinute.requests++;
-        currentMinute.served += account.served() ? 1 : 0;
-        currentMinute.recordPhases(RequestGroup.forClass(account.requestClass(), account.plan()), account);
-        int classIndex = boundedIndex(account.requestClass(), MAX_CLASSES);
-        finishedRequests[classIndex][boundedIndex(account.plan(), MAX_PLANS)][account.served() ? 1 : 0]++;
-        account.shares()
+        currentMinute.served += latency.served() ? 1 : 0;
+        currentMinute.recordPhases(RequestGroup.forClass(latency.requestClass(), latency.plan()), latency);
+        int classIndex = boundedIndex(latency.requestClass(), MAX_CLASSES);
+        finishedRequests[classIndex][boundedIndex(latency.plan(), MAX_PLANS)][latency.served() ? 1 : 0]++;
+        latency.shares()
                 .forEach(share -> totalWaitUs[classIndex][share.cause().kind().ordinal()] += share.us());
         long second = atUs / 1_000_000;
         int secondIndex = (int) (second % SECONDS_KEPT);
@@ -192,16 +206,16 @@
         }
         seconds[secondIndex].requests++;
         long lastNode = -1;
-        for (WaitShare share : account.shares()) {
+        for (WaitShare share : latency.shares()) {
             currentMinute.topWaits.add(
-                    new TopWaits.WaitKey(share.node(), account.volume(), account.requestClass(), share.cause()),
+                    new TopWaits.WaitKey(share.node(), latency.volume(), latency.requestClass(), share.cause()),
                     share.us());
             seconds[secondIndex].topWaits.add(
-                    new TopWaits.WaitKey(share.node(), account.volume(), account.requestClass(), share.cause()),
+                    new TopWaits.WaitKey(share.node(), latency.volume(), latency.requestClass(), share.cause()),
                     share.us());
             if (share.node() != lastNode) {
                 lastNode = share.node();
-                currentMinute.recordPhases(RequestGroup.forNode(lastNode), account);
+                currentMinute.recordPhases(RequestGroup.forNode(lastNode), latency);
             }
         }
     }
@@ -211,28 +225,29 @@
     }
 
     /**
-     * Time that requests of a class (by place; beyond the sixteenth all together) were held and waited since the start.
+     * The microseconds that requests of a class were held and waited for a kind of cause since the start. All classes
+     * from the seventeenth on share one total.
      */
     public long totalWaitUs(int requestClass, Cause.Kind kind) {
         return totalWaitUs[boundedIndex(requestClass, MAX_CLASSES)][kind.ordinal()];
     }
 
-    /** Requests of a class and plan that are over since the start. */
+    /** The number of requests of a class and plan that ended since the start, served or not. */
     public long finishedRequests(int requestClass, int plan, boolean served) {
         return finishedRequests[boundedIndex(requestClass, MAX_CLASSES)][boundedIndex(plan, MAX_PLANS)][served ? 1 : 0];
     }
 
-    /** The minute that runs, or null where nothing has ended yet. */
+    /** The current minute, or null if no request has ended yet. */
     public MinuteStats currentMinute() {
         return currentMinute;
     }
 
-    /** The minute before it, or null. */
+    /** The minute before the current one in which a request ended, or null if there is none. */
     public MinuteStats lastMinute() {
         return lastMinute;
     }
 
-    /** The seconds that are kept, up to a time, the oldest first; those without an end of a request are left out. */
+    /** The seconds kept up to {@code nowUs}, oldest first, without those in which no request ended. */
     public List<SecondStats> seconds(long nowUs) {
         List<SecondStats> kept = new ArrayList<>();
         long now = nowUs / 1_000_000;
--- a/src/main/java/petrelstand/accounts/NodeModel.java
+++ b/src/main/java/petrelstand/accounts/NodeModel.java
@@ -8,31 +8,34 @@
 import java.util.Map;
 
 /**
- * A replay of our own requests at one node, as if it served nothing else at its usual speed: some cores, in turn of
- * arrival. It says what our own work ahead explains of a wait, and whose work that was. Time never goes back; times are
- * microseconds.
+ * Replays the gateway's requests at one node, as if the node served nothing else, at its baseline speed, on a fixed
+ * number of cores and in order of arrival. It tells how long earlier requests delay a request, and whose they were.
+ * Times are microseconds and never go back.
  */
 final class NodeModel {
-    /** Requests that wait in the model at most; more are not modelled, and wait for what is unseen. */
+    /** Limit of queued requests; further ones are not modelled, and their wait is unseen. */
     static final int MAX_QUEUED = 512;
-    /** How long the work done is remembered. */
+    /** How long finished jobs are kept. */
     static final long WORK_KEPT_US = 10_000_000;
 
+    /** Limit of started jobs kept. */
     static final int MAX_WORK_KEPT = 1024;
-    /** Owners that a wait is shared among at most. */
+    /** Limit of owners that share a wait; the rest count as {@link Cause#OTHERS}. */
     static final int MAX_OWNERS = 16;
 
-    /** One attempt at the node. */
+    /** An attempt at the node. */
     static final class Job {
         private final Cause owner;
         private final long arrivedUs;
         private final long workUs;
-        /** When the model began and ended it; -1 where it has not. */
+        /** When the model started it, or -1. */
         private long startedUs = -1;
 
+        /** When the model ended it, or -1. */
         private long endedUs = -1;
+
         private boolean queued;
-        /** Whose work made it wait in the model; in core microseconds, and in proportion only. */
+        /** The core time it waited for in the model, by owner; only the proportions count. */
         private List<CoreTime> waitedFor = List.of();
 
         private Job(Cause owner, long arrivedUs, long workUs) {
@@ -50,12 +53,12 @@
         }
     }
 
-    /** Work that an owner's requests did in a stretch of time, in core microseconds. */
+    /** The core time used by an owner's requests in a period, in microseconds. */
     record CoreTime(Cause owner, long us) {}
 
     private final Job[] cores;
     private final ArrayDeque<Job> queue = new ArrayDeque<>();
-    /** Work done and in hand, the oldest first. */
+    /** Finished and running jobs, in the order of their start. */
     private final ArrayDeque<Job> startedJobs = new ArrayDeque<>();
 
     private long nowUs;
@@ -69,7 +72,7 @@
         return queue.size() + startedJobs.size();
     }
 
-    /** True where nothing of ours is there. */
+    /** Advances to a time and tells whether the model is idle then: no job runs or is queued. */
     boolean advanceAndCheckIdle(long atUs) {
         advance(atUs);
         for (Job job : cores) {
@@ -80,7 +83,7 @@
         return queue.isEmpty();
     }
 
-    /** A request's last byte has come to the node. */
+    /** Adds a request whose last byte reaches the node at {@code atUs}; it is queued unless the queue is full. */
     Job arrive(long atUs, Cause owner, long workUs) {
         advance(atUs);
         Job job = new Job(owner, nowUs, Math.max(1, workUs));
@@ -92,7 +95,7 @@
         return job;
     }
 
-    /** Runs the model up to a time. */
+    /** Advances the model to a time: ends the jobs that are due and starts queued ones. */
     private void advance(long toUs) {
         while (true) {
             int nextCore = -1;
@@ -144,8 +147,8 @@
     }
 
     /**
-     * The node has told the end of a request. One that never ran did no work: what the model did for it is taken out.
-     * One that ran is over, however far the model is with it.
+     * Ends a job that the node reports as over, however far the model is with it. With {@code ran} false the node never
+     * ran it, so its work is removed.
      */
     void ended(Job job, long atUs, boolean ran) {
         advance(atUs);
@@ -170,16 +173,15 @@
         startQueuedJobs(nowUs);
     }
 
-    /** How long the model made a request wait, up to now where it still does. */
+    /** The time a job waited in the model's queue, up to now if it is still queued. */
     long waitUs(Job job) {
         return Math.max(0, (job.startedUs >= 0 ? job.startedUs : nowUs) - job.arrivedUs);
     }
 
     /**
-     * The work that filled the cores in a stretch of time, but for one request's own, by whose fault it stood there,
-     * the sum being the core time that was filled. A request that would have been done by then, had it not waited
-     * itself, stands there by the fault of those for whom it waited; so a read that an export delayed is not blamed for
-     * the export.
+     * The core time used in a period by all jobs but {@code excluded}, by the owner responsible for it. Core time that
+     * a job used in the period only because it had waited itself is charged to the owners it waited for; so a read that
+     * an export delayed is not blamed for the export.
      */
     List<CoreTime> coreTimeBetween(long fromUs, long toUs, Job excluded) {
         Map<Cause, Long> byOwner = new LinkedHashMap<>();
@@ -214,7 +216,7 @@
         return Math.max(0, Math.min(toUs, otherToUs) - Math.max(fromUs, otherFromUs));
     }
 
-    /** The heaviest few; what the rest did goes to {@link Cause#OTHERS}, so that the sum stays. */
+    /** The owners with the most core time; the rest is summed under {@link Cause#OTHERS}. */
     private static List<CoreTime> largest(Map<Cause, Long> byOwner) {
         List<CoreTime> coreTimes = new ArrayList<>();
         byOwner.forEach((owner, us) -> {
@@ -234,7 +236,7 @@
         return kept;
     }
 
-    /** The node began anew: what it had is gone. */
+    /** Ends all jobs, since the node restarted and lost them. */
     void restart(long atUs) {
         advance(atUs);
         queue.forEach(job -> {
--- a/src/main/java/petrelstand/accounts/ProportionalSplit.java
+++ b/src/main/java/petrelstand/accounts/ProportionalSplit.java
@@ -1,31 +1,33 @@
 package petrelstand.accounts;
 
-/** Divides a whole number in proportion, without a remainder lost or made. */
+/** Divides a whole number in proportion to weights, so that the parts add up exactly. */
 final class ProportionalSplit {
     private ProportionalSplit() {}
 
     /**
-     * The parts of a total that stand to each other as the weights do, as nearly as whole numbers can: each is within
-     * one of its exact part, and they add up to the total. Weights are 0 or more, and not all 0 where the total is not;
-     * neither the total nor the weights' sum may pass 2^53.
+     * Divides {@code total} in proportion to {@code weights}. Each part is within one of its exact value.
+     *
+     * @param total 0 to 2^53
+     * @param weights each 0 or more, their sum at most 2^53, and above 0 if the total is
+     * @throws IllegalArgumentException if a weight or the total is negative, or all weights of a positive total are 0
      */
     static long[] split(long total, long[] weights) {
         long sum = 0;
         for (long weight : weights) {
             if (weight < 0) {
-                throw new IllegalArgumentException("a weight is negative: " + weight);
+                throw new IllegalArgumentException("weight must not be negative, but is " + weight);
             }
             sum = Math.addExact(sum, weight);
         }
         if (total < 0 || total > 0 && sum == 0) {
-            throw new IllegalArgumentException("nothing to divide " + total + " among");
+            throw new IllegalArgumentException("cannot divide " + total + " by weights with the sum " + sum);
         }
         long[] parts = new long[weights.length];
         long weightSoFar = 0;
         long assigned = 0;
         for (int i = 0; i < weights.length; i++) {
             weightSoFar += weights[i];
-            // What all up to here get together, rounded once: so rounding never adds up.
+            // Rounding the cumulative part keeps rounding errors from adding up.
             long cumulative = sum == 0
                     ? 0
                     : Math.multiplyHigh(total, weightSoFar) == 0 && total * weightSoFar >= 0
--- a/src/main/java/petrelstand/accounts/TopWaits.java
+++ b/src/main/java/petrelstand/accounts/TopWaits.java
@@ -6,16 +6,16 @@
 import java.util.Map;
 
 /**
- * Who waited for whom, in bounded memory: cells of node, waiter and cause, the heaviest kept by the space-saving method
- * (Metwally, Agrawal, El Abbadi: "Efficient computation of frequent and top-k elements in data streams", 2005), and the
- * rest summed in others. A cell's figure is never too small, and too large by at most its own {@code overUs}, which is
- * at most the total divided by the number of cells. {@link #totalWaitUs} and the sums by kind of cause are exact.
+ * The largest waits by node, waiter and cause, in bounded memory. It uses the space-saving algorithm (Metwally,
+ * Agrawal, El Abbadi: "Efficient computation of frequent and top-k elements in data streams", 2005): an entry's wait is
+ * never too small, and too large by at most its {@code maxErrorUs}, which is at most the total divided by the capacity.
+ * {@link #totalWaitUs} and the sums by kind of cause are exact.
  */
 public final class TopWaits {
-    /** A waiter, and what it waited for, at a node. */
+    /** The node, the waiting volume and request class, and the cause of the wait. */
     public record WaitKey(long node, long volume, int requestClass, Cause cause) {}
 
-    /** A cell's time, and how much of it may belong to cells that were pushed out for it. */
+    /** The wait of a key, and how much of it at most belongs to keys that were evicted for it. */
     public record Entry(WaitKey key, long waitUs, long maxErrorUs) {}
 
     private static final class Counter {
@@ -32,33 +32,37 @@
     }
 
     private final int capacity;
-    private final Map<WaitKey, Counter> counts = new HashMap<>();
-    /** A heap by time, the least first. */
+    private final Map<WaitKey, Counter> counters = new HashMap<>();
+    /** A binary min-heap by wait. */
     private final List<Counter> heap = new ArrayList<>();
 
     private final long[] byKind = new long[Cause.Kind.values().length];
     private long totalWaitUs;
     private long evictions;
 
-    /** A ledger of so many cells. */
+    /**
+     * Creates an empty summary.
+     *
+     * @param capacity the number of keys kept, at least 1
+     */
     public TopWaits(int capacity) {
         if (capacity < 1) {
-            throw new IllegalArgumentException("a ledger needs a cell");
+            throw new IllegalArgumentException("capacity of the top waits must be at least 1, but is " + capacity);
         }
         this.capacity = capacity;
     }
 
-    /** Books time, 0 or more. */
+    /** Adds a wait of 0 or more microseconds; a new key evicts the smallest one once the capacity is reached. */
     public void add(WaitKey key, long waitUs) {
         if (waitUs < 0) {
-            throw new IllegalArgumentException("negative time: " + waitUs);
+            throw new IllegalArgumentException("wait must not be negative, but is " + waitUs + " us");
         }
         if (waitUs == 0) {
             return;
         }
         totalWaitUs += waitUs;
         byKind[key.cause().kind().ordinal()] += waitUs;
-        Counter counter = counts.get(key);
+        Counter counter = counters.get(key);
         if (counter != null) {
             counter.waitUs += waitUs;
             siftDown(counter.heapIndex);
@@ -67,7 +71,7 @@
             siftUp(heap.size() - 1);
         } else {
             Counter lightest = heap.get(0);
-            counts.remove(lightest.key);
+            counters.remove(lightest.key);
             evictions++;
             put(new Counter(key, lightest.waitUs + waitUs, lightest.waitUs), 0);
             siftDown(0);
@@ -81,7 +85,7 @@
         } else {
             heap.set(index, counter);
         }
-        counts.put(counter.key, counter);
+        counters.put(counter.key, counter);
     }
 
     private void swap(int a, int b) {
@@ -115,17 +119,17 @@
         }
     }
 
-    /** All time booked, exact. */
+    /** The exact sum of all waits added. */
     public long totalWaitUs() {
         return totalWaitUs;
     }
 
-    /** The time of all causes of a kind, exact. */
+    /** The exact sum of the waits for causes of a kind. */
     public long waitUs(Cause.Kind kind) {
         return byKind[kind.ordinal()];
     }
 
-    /** Cells that were pushed out for heavier ones. */
+    /** The number of keys evicted so far. */
     public long evictions() {
         return evictions;
     }
@@ -134,10 +138,10 @@
         return heap.size();
     }
 
-    /** The cells, the heaviest first. */
+    /** The entries, largest wait first. */
     public List<Entry> entries() {
         return heap.stream()
-                .map(count -> new Entry(count.key, count.waitUs, count.maxErrorUs))
+                .map(counter -> new Entry(counter.key, counter.waitUs, counter.maxErrorUs))
                 .sorted((a, b) -> a.waitUs != b.waitUs
                         ? Long.compare(b.waitUs, a.waitUs)
                         : a.key.toString().compareTo(b.key.toString()))
--- a/src/main/java/petrelstand/report/AccountsPage.java
+++ b/src/main/java/petrelstand/report/AccountsPage.java
@@ -17,14 +17,18 @@
 import petrelstand.store.AccountsLog;
 import petrelstand.store.AccountsRecord;
 
-/** The accounts as JSON: what {@code GET /accounts} answers. Made on the loop, so it names the heaviest only. */
+/**
+ * The latency statistics as JSON, as {@code GET /accounts} answers them. The page is built on the event loop, so it
+ * lists only the largest waits.
+ */
 public final class AccountsPage {
     private static final int MAX_ENTRIES = 50;
     private static final int MAX_SECONDS = 10;
     private static final int MAX_CAUSES = 8;
+    /** Longest wait for the last records to be written when the gateway stops. */
     private static final long FINAL_WRITE_TIMEOUT_MS = 300;
 
-    /** As they are now: a class keeps its place, and others may come. */
+    /** The current settings. A class keeps its index when they change; others may be added. */
     private final Supplier<Settings> settings;
 
     private final Broker broker;
@@ -32,7 +36,7 @@
     private final LatencyHistory history;
     private AccountsLog accountsLog;
 
-    /** Switches accounts on before nodes of so many cores; from here on the broker tells them all. */
+    /** Observes a broker from now on; {@code nodeCores} is the number of cores of each node. */
     public static AccountsPage observe(Broker broker, int nodeCores) {
         LatencyHistory history = new LatencyHistory();
         LatencyAttributor attributor =
@@ -41,7 +45,7 @@
         return new AccountsPage(broker, attributor, history);
     }
 
-    /** Records in a folder from now on; what is logged and counted is on the loop. */
+    /** Records the statistics in a folder from now on. Logging and counting happen on {@code loop}. */
     public void startRecording(
             Path folder, String gateway, Counters counters, Consumer<Runnable> loop, Consumer<String> log) {
         accountsLog = AccountsLog.onDisk(
@@ -56,7 +60,10 @@
         history.setListener(accountsLog);
     }
 
-    /** The end: what runs is recorded as over; goes on once it is written, or soon at the latest. */
+    /**
+     * Records the current second and minute as finished, then runs {@code afterClose} on {@code loop} once they are
+     * written or the time for it has passed.
+     */
     public void close(Consumer<Runnable> loop, Runnable afterClose) {
         if (accountsLog == null) {
             afterClose.run();
@@ -77,7 +84,7 @@
         thread.start();
     }
 
-    /** The same accounts as metrics. */
+    /** The same statistics as metrics. */
     public MetricsPage metrics() {
         return new MetricsPage(settings, history, broker.requestCounts());
     }
@@ -89,7 +96,7 @@
         this.history = history;
     }
 
-    /** The minute that runs, the one before it, and the worst of the last seconds with their causes. */
+    /** The JSON text with the current and the last minute, and the worst of the recent seconds with their causes. */
     public String json(long nowUs) {
         JsonObject page = new JsonObject();
         page.addProperty("now_ms", nowUs / 1000);
--- a/src/main/java/petrelstand/report/HtmlReport.java
+++ b/src/main/java/petrelstand/report/HtmlReport.java
@@ -11,11 +11,12 @@
 import petrelstand.store.AccountsRecord.Names;
 
 /**
- * The report as one HTML file that needs no network and no script: plots are SVG in the page, coloured by its style
- * sheet, so that they follow the reader's light or dark, and wide ones scroll on a phone.
+ * Renders a report as one HTML file without scripts or external resources. Charts are inline SVG, coloured by the style
+ * sheet so that they follow the light or dark mode; wide ones scroll.
  */
 public final class HtmlReport {
     private static final int MAX_COLUMNS = 240;
+    private static final int MAX_WORST_SECONDS = 10;
     private static final int MAX_WAITERS = 20;
     private static final int MAX_CAUSES = 12;
     private static final int MAX_ROWS = 100;
@@ -39,7 +40,7 @@
 
     private HtmlReport() {}
 
-    /** The page. */
+    /** Renders the whole page. */
     public static String render(WaitReport report, Names names, List<Minute> minutes) {
         ReportLabels labels = new ReportLabels(names);
         StringBuilder html = new StringBuilder("<!doctype html><html lang=\"en\"><meta charset=\"utf-8\">"
@@ -58,7 +59,7 @@
                 .append(ReportLabels.formatMs(report.totalWaitUs()))
                 .append(" ms were held and waited, ")
                 .append(ReportLabels.formatMs(report.unattributedUs()))
-                .append(" ms of it is recorded without a name.</p>");
+                .append(" ms of it has no recorded cause.</p>");
         appendKinds(html, report);
         appendWaitBySecond(html, report);
         appendWorstSeconds(html, report, labels);
@@ -91,7 +92,7 @@
         html.append("</table></div>");
     }
 
-    /** A row: the first cells are texts, the last two numbers. */
+    /** Appends a table row whose last two cells are numbers, aligned to the right. */
     private static void appendRow(StringBuilder html, String... cells) {
         html.append("<tr>");
         for (int i = 0; i < cells.length; i++) {
@@ -102,7 +103,7 @@
         html.append("</tr>");
     }
 
-    /** Bars by second, or by as many seconds as make the columns fit, stacked by kind of cause. */
+    /** Appends a bar chart of the waits, stacked by kind of cause; a bar spans several seconds if there are many. */
     private static void appendWaitBySecond(StringBuilder html, WaitReport report) {
         List<WaitReport.SecondSummary> seconds = report.seconds();
         if (seconds.isEmpty()) {
@@ -179,7 +180,7 @@
         html.append(
                 "<h2>Worst seconds</h2><div class=\"wide\"><table><tr><th>second</th><th>requests</th><th>main cause"
                         + "</th><th class=\"n\">wait ms</th><th class=\"n\">% by it</th></tr>");
-        for (WaitReport.SecondSummary second : report.worstSeconds(10)) {
+        for (WaitReport.SecondSummary second : report.worstSeconds(MAX_WORST_SECONDS)) {
             appendRow(
                     html,
                     ReportLabels.formatTime(second.second()),
@@ -191,7 +192,7 @@
         html.append("</table></div>");
     }
 
-    /** Waiters against causes, the heaviest of each. */
+    /** Appends a table of the top waiters against the top causes. */
     private static void appendHeatMap(StringBuilder html, WaitReport report, ReportLabels labels) {
         List<Map.Entry<WaitReport.Waiter, Long>> waiters = report.topWaiters(MAX_WAITERS);
         List<Map.Entry<Cause, Long>> causes = report.topCauses(MAX_CAUSES);
@@ -219,7 +220,7 @@
                     .append(escape(labels.waiter(waiter.volume(), waiter.requestClass())))
                     .append("</td>");
             for (long us : sums.get(i)) {
-                // The root makes small parts seen beside large ones.
+                // The square root keeps small waits visible beside large ones.
                 html.append(String.format(
                         Locale.ROOT,
                         "<td class=\"n\" style=\"background:rgba(var(--heat),%.2f)\">%s</td>",
@@ -231,7 +232,7 @@
         html.append("</table></div>");
     }
 
-    /** Percentiles by phase of the groups that waited longest, of all minutes: the longest minute of each. */
+    /** Appends the percentiles of the slowest groups by phase, each in its slowest minute. */
     private static void appendPhases(StringBuilder html, List<Minute> minutes, ReportLabels labels) {
         Map<LatencyHistory.RequestGroup, GroupPhases> slowestMinutes = new java.util.LinkedHashMap<>();
         for (Minute minute : minutes) {
--- a/src/main/java/petrelstand/report/MetricsPage.java
+++ b/src/main/java/petrelstand/report/MetricsPage.java
@@ -21,11 +21,13 @@
 import petrelstand.decision.Scheduling.Settings;
 
 /**
- * The accounts as metrics in the Prometheus text form, by its Java client's model and writer. Labels are classes,
- * plans, phases and kinds of cause, all of which the settings bound; no volume and no node is a label.
+ * The latency statistics as metrics in the Prometheus text format. To bound the number of series, labels are only
+ * classes, plans, phases, results and kinds of cause, never volumes or nodes.
  */
 public final class MetricsPage {
+    /** Limit of classes and of plans with series of their own. */
     private static final int MAX_NAMES = 16;
+
     private static final double US_PER_SECOND = 1e6;
 
     private final Supplier<Settings> settings;
@@ -46,7 +48,7 @@
         return settings.get().plans().get(index).name();
     }
 
-    /** The page, made on the loop: a few hundred lines at most. */
+    /** The metrics as text; to be called on the event loop. */
     public String text() {
         CounterSnapshot.Builder waits = CounterSnapshot.builder()
                 .name("petrelstand_wait_seconds")
@@ -88,12 +90,12 @@
         try {
             PrometheusTextFormatWriter.create().write(text, snapshots);
         } catch (IOException e) {
-            throw new UncheckedIOException("an array in memory takes all that is written to it", e);
+            throw new UncheckedIOException("cannot write the metrics to a buffer in memory", e);
         }
         return text.toString(StandardCharsets.UTF_8);
     }
 
-    /** The same counts as the operators' address gives. */
+    /** The requests by class and result, as the operators' address counts them. */
     private CounterSnapshot resultCounts() {
         CounterSnapshot.Builder builder = CounterSnapshot.builder()
                 .name("petrelstand_ends")
@@ -120,7 +122,7 @@
                 .build();
     }
 
-    /** Percentiles of the last whole minute, or of the one that runs while there is no other. */
+    /** Percentiles of the last minute, or of the current one if there is no last one. */
     private SummarySnapshot phaseTimes(int classes, int plans) {
         SummarySnapshot.Builder builder = SummarySnapshot.builder()
                 .name("petrelstand_phase_seconds")
--- a/src/main/java/petrelstand/report/ReportLabels.java
+++ b/src/main/java/petrelstand/report/ReportLabels.java
@@ -6,7 +6,7 @@
 import petrelstand.accounts.LatencyHistory;
 import petrelstand.store.AccountsRecord.Names;
 
-/** What figures are called in the report, by the names that the record carries. */
+/** Formats identifiers, times and figures for a report, with the class and plan names stored in its record. */
 final class ReportLabels {
     private final Names names;
 
--- a/src/main/java/petrelstand/report/TextReport.java
+++ b/src/main/java/petrelstand/report/TextReport.java
@@ -10,19 +10,19 @@
 import petrelstand.store.AccountsRecord.Minute;
 import petrelstand.store.AccountsRecord.Names;
 
-/** The report as text for a terminal, and as JSON for a program. */
+/** Renders a report as text for a terminal or as JSON. */
 public final class TextReport {
     private static final int MAX_ROWS = 30;
     private static final int MAX_WORST_SECONDS = 10;
 
     private TextReport() {}
 
-    /** As text, the heaviest rows first. */
+    /** The report as text, with the largest waits only. */
     public static String text(WaitReport report, Names names, List<Minute> minutes) {
         ReportLabels labels = new ReportLabels(names);
         StringBuilder text = new StringBuilder();
         text.append(String.format(
-                "gateway %s, %d seconds, %s ms held and waited; %s ms of it without a name%n",
+                "gateway %s, %d seconds, %s ms held and waited; %s ms of it without a recorded cause%n",
                 names.gateway(),
                 report.seconds().size(),
                 ReportLabels.formatMs(report.totalWaitUs()),
@@ -81,7 +81,7 @@
         return text.toString();
     }
 
-    /** As JSON, all rows. */
+    /** The report as JSON, with all rows. */
     public static JsonObject json(WaitReport report, Names names, List<Minute> minutes) {
         ReportLabels labels = new ReportLabels(names);
         JsonObject json = new JsonObject();
@@ -91,27 +91,27 @@
         json.addProperty("without_a_name_ms", report.unattributedUs() / 1000.0);
         JsonArray rows = new JsonArray();
         for (WaitReport.Row row : report.rows()) {
-            JsonObject item = new JsonObject();
-            item.addProperty("node", ReportLabels.node(row.key().node()));
-            item.addProperty("volume", ReportLabels.volume(row.key().volume()));
-            item.addProperty("class", labels.requestClass(row.key().requestClass()));
-            addCause(item, row.key().cause(), labels);
-            item.addProperty("ms", row.waitUs() / 1000.0);
-            item.addProperty("share", report.totalWaitUs() == 0 ? 0 : (double) row.waitUs() / report.totalWaitUs());
-            rows.add(item);
+            JsonObject rowJson = new JsonObject();
+            rowJson.addProperty("node", ReportLabels.node(row.key().node()));
+            rowJson.addProperty("volume", ReportLabels.volume(row.key().volume()));
+            rowJson.addProperty("class", labels.requestClass(row.key().requestClass()));
+            addCause(rowJson, row.key().cause(), labels);
+            rowJson.addProperty("ms", row.waitUs() / 1000.0);
+            rowJson.addProperty("share", report.totalWaitUs() == 0 ? 0 : (double) row.waitUs() / report.totalWaitUs());
+            rows.add(rowJson);
         }
         json.add("who_waited_for_whom", rows);
         JsonArray worst = new JsonArray();
         for (WaitReport.SecondSummary second : report.worstSeconds(MAX_WORST_SECONDS)) {
-            JsonObject item = new JsonObject();
-            item.addProperty("second", second.second());
-            item.addProperty("requests", second.requests());
-            item.addProperty("wait_ms", second.waitUs() / 1000.0);
+            JsonObject secondJson = new JsonObject();
+            secondJson.addProperty("second", second.second());
+            secondJson.addProperty("requests", second.requests());
+            secondJson.addProperty("wait_ms", second.waitUs() / 1000.0);
             if (second.mainCause() != null) {
-                addCause(item, second.mainCause(), labels);
-                item.addProperty("cause_ms", second.mainCauseUs() / 1000.0);
+                addCause(secondJson, second.mainCause(), labels);
+                secondJson.addProperty("cause_ms", second.mainCauseUs() / 1000.0);
             }
-            worst.add(item);
+            worst.add(secondJson);
         }
         json.add("worst_seconds", worst);
         JsonArray phases = new JsonArray();
@@ -119,16 +119,16 @@
             for (GroupPhases group : minute.groups()) {
                 for (LatencyHistory.Phase phase : LatencyHistory.Phase.values()) {
                     LatencyHistory.Percentiles percentiles = group.phases().get(phase.ordinal());
-                    JsonObject item = new JsonObject();
-                    item.addProperty("minute", minute.fromSecond());
-                    item.addProperty("group", labels.group(group.group()));
-                    item.addProperty("phase", phase.name().toLowerCase(Locale.ROOT));
-                    item.addProperty("count", percentiles.count());
-                    item.addProperty("p50_ms", percentiles.p50Us() / 1000.0);
-                    item.addProperty("p90_ms", percentiles.p90Us() / 1000.0);
-                    item.addProperty("p99_ms", percentiles.p99Us() / 1000.0);
-                    item.addProperty("max_ms", percentiles.maxUs() / 1000.0);
-                    phases.add(item);
+                    JsonObject phaseJson = new JsonObject();
+                    phaseJson.addProperty("minute", minute.fromSecond());
+                    phaseJson.addProperty("group", labels.group(group.group()));
+                    phaseJson.addProperty("phase", phase.name().toLowerCase(Locale.ROOT));
+                    phaseJson.addProperty("count", percentiles.count());
+                    phaseJson.addProperty("p50_ms", percentiles.p50Us() / 1000.0);
+                    phaseJson.addProperty("p90_ms", percentiles.p90Us() / 1000.0);
+                    phaseJson.addProperty("p99_ms", percentiles.p99Us() / 1000.0);
+                    phaseJson.addProperty("max_ms", percentiles.maxUs() / 1000.0);
+                    phases.add(phaseJson);
                 }
             }
         }
--- a/src/main/java/petrelstand/report/WaitReport.java
+++ b/src/main/java/petrelstand/report/WaitReport.java
@@ -12,11 +12,13 @@
 import petrelstand.accounts.TopWaits;
 
 /**
- * Who waited for whom in a stretch of recorded seconds, narrowed to what was asked for: sums by node, waiter and cause,
- * by second and kind of cause, and the worst seconds with the main cause of each. Plain figures; no I/O.
+ * Sums the waits of recorded seconds that match a {@link Query}: by node, waiter and cause, by second and kind of
+ * cause, and the worst seconds with their main causes. It does no I/O. Times are microseconds, seconds are Unix time.
  */
 public final class WaitReport {
-    /** What is asked for; null or negative for all. Seconds are Unix time, the last one counted in. */
+    /**
+     * The filter of a report. {@code toSecond} is inclusive; a null node or volume, or a negative class, matches all.
+     */
     public record Query(long fromSecond, long toSecond, Long node, Long volume, int requestClass) {
         boolean matches(long second, TopWaits.WaitKey key) {
             return second >= fromSecond
@@ -26,15 +28,21 @@
                     && (requestClass < 0 || key.requestClass() == requestClass);
         }
 
+        /** True if the query selects by key: by node, volume or class. */
         boolean isFiltered() {
             return node != null || volume != null || requestClass >= 0;
         }
     }
 
-    /** A row of the table. */
+    /** The summed wait of a key; up to {@code maxErrorUs} more may belong to it. */
     public record Row(TopWaits.WaitKey key, long waitUs, long maxErrorUs) {}
 
-    /** A second: all that was waited, by kind of cause in the order of {@link Cause.Kind}, and the main cause. */
+    /**
+     * The waits of a second.
+     *
+     * @param byKind the waits by ordinal of {@link Cause.Kind}
+     * @param mainCause the cause with the largest wait, or null without any
+     */
     public record SecondSummary(
             long second, long requests, long waitUs, long[] byKind, Cause mainCause, long mainCauseUs) {}
 
@@ -51,7 +59,7 @@
         this.unattributedUs = unattributedUs;
     }
 
-    /** Sums seconds that were recorded. */
+    /** Sums the recorded seconds that match a query. */
     public static WaitReport summarize(List<LatencyHistory.SecondStats> recorded, Query query) {
         Map<TopWaits.WaitKey, long[]> sums = new HashMap<>();
         Map<Long, SecondSummary> seconds = new TreeMap<>();
@@ -69,7 +77,7 @@
                 if (!query.matches(second.second(), key)) {
                     continue;
                 }
-                // What a cell may owe to those that it pushed out is nobody's, so that the sum is what was waited.
+                // The possible error of an entry stays unattributed, so that the sum is the time waited.
                 long certainUs = entry.waitUs() - entry.maxErrorUs();
                 long[] sum = sums.computeIfAbsent(key, c -> new long[2]);
                 sum[0] += certainUs;
@@ -84,14 +92,14 @@
             }
             totalWaitUs += waitUs;
             var mainCause = causes.entrySet().stream().max(Map.Entry.comparingByValue());
-            long finalWaitUs = waitUs;
-            // A restarted gateway may have recorded a part of the same second: both count.
+            long totalOfSecondUs = waitUs;
+            // A gateway that restarts may record the same second twice.
             seconds.merge(
                     second.second(),
                     new SecondSummary(
                             second.second(),
                             second.requests(),
-                            finalWaitUs,
+                            totalOfSecondUs,
                             kindSums,
                             mainCause.map(Map.Entry::getKey).orElse(null),
                             mainCause.map(Map.Entry::getValue).orElse(0L)),
@@ -122,22 +130,22 @@
                 Math.max(a.mainCauseUs, b.mainCauseUs));
     }
 
-    /** The table, the longest first. */
+    /** The rows, longest wait first. */
     public List<Row> rows() {
         return rows;
     }
 
-    /** The seconds in their order. */
+    /** The seconds in ascending order. */
     public List<SecondSummary> seconds() {
         return seconds;
     }
 
-    /** All time held and waited in what was asked for. */
+    /** The time held and waited in all that matches the query. */
     public long totalWaitUs() {
         return totalWaitUs;
     }
 
-    /** Time that was recorded without a name: cells that heavier ones pushed out. */
+    /** The part of the total without a recorded cause, since its entries were evicted; 0 if filtered by key. */
     public long unattributedUs() {
         return unattributedUs;
     }
@@ -146,7 +154,7 @@
         return byKind.getOrDefault(kind, 0L);
     }
 
-    /** The seconds with the longest waits, the worst first. */
+    /** The seconds with the longest waits, longest first. */
     public List<SecondSummary> worstSeconds(int limit) {
         return seconds.stream()
                 .filter(second -> second.waitUs > 0)
@@ -155,7 +163,7 @@
                 .toList();
     }
 
-    /** Sums by who waited, the longest first, keyed by volume and class; at most so many. */
+    /** The waiters with the longest waits, longest first. */
     public List<Map.Entry<Waiter, Long>> topWaiters(int limit) {
         Map<Waiter, Long> sums = new HashMap<>();
         rows.forEach(
@@ -163,7 +171,7 @@
         return heaviest(sums, limit);
     }
 
-    /** Sums by cause, the longest first; at most so many. */
+    /** The causes of the longest waits, longest first. */
     public List<Map.Entry<Cause, Long>> topCauses(int limit) {
         Map<Cause, Long> sums = new HashMap<>();
         rows.forEach(row -> sums.merge(row.key().cause(), row.waitUs(), Long::sum));
@@ -179,7 +187,7 @@
                 .toList();
     }
 
-    /** Who waited for what, whatever the node. */
+    /** The wait of a waiter for a cause at all nodes. */
     public long waitUs(Waiter waiter, Cause cause) {
         return rows.stream()
                 .filter(row -> row.key().volume() == waiter.volume()
@@ -189,6 +197,6 @@
                 .sum();
     }
 
-    /** A volume's requests of a class. */
+    /** The requests of a volume in a class. */
     public record Waiter(long volume, int requestClass) {}
 }
--- a/src/test/java/petrelstand/accounts/LatencyAttributorTest.java
+++ b/src/test/java/petrelstand/accounts/LatencyAttributorTest.java
@@ -22,7 +22,7 @@
 import petrelstand.decision.Scheduling.NodeState;
 import petrelstand.decision.Scheduling.Outcome;
 
-/** Waits and whose they are, on a node of one core whose reads take 10 ms a unit, by hand and in milliseconds. */
+/** Guards against waits attributed to a wrong cause. The node has one core and takes 10 ms for a unit of a read. */
 class LatencyAttributorTest {
     private static final int READ = 0;
     private static final int EXPORT = 2;
@@ -42,7 +42,7 @@
         return new Demand(classIndex, 0, 7, volume, units, 3, 1, repeat, false, 5_000_000);
     }
 
-    /** Taken, sent and written at one time. */
+    /** Accepts, sends and writes a request at the same time. */
     private long send(long atMs, int classIndex, long volume, double units) {
         return send(atMs, atMs, classIndex, volume, units, false);
     }
@@ -75,7 +75,7 @@
                 .sum();
     }
 
-    /** Reads and exports that found nothing before them: from here on the node's usual times are known. */
+    /** Runs single reads and exports so that the node's baseline times are known; returns the time after them. */
     private long learnBaselines() {
         long nextMs = 1_000_000;
         for (int i = 0; i < 20; i++) {
@@ -98,7 +98,7 @@
         assertEquals(35_000, us(account, EXPORT_WORK));
     }
 
-    /** The read between two exports is there only since it waited for the first. */
+    /** A read still in the queue only because an export delayed it must not be blamed. */
     @Test
     void delayedRequestPassesBlameToItsDelayer() {
         long startMs = learnBaselines();
@@ -116,7 +116,7 @@
     @Test
     void pauseSlowNodeAndUnseenWorkAreNotBlamedOnQueue() {
         long startMs = learnBaselines();
-        // A pause of 300 ms with two of ours there.
+        // The node pauses for 300 ms with two requests outstanding.
         long export = send(startMs, EXPORT, TEAM, 4);
         long read = send(startMs + 5, READ, READER, 1);
         end(export, startMs + 340, Outcome.SERVED);
@@ -124,11 +124,11 @@
         assertEquals(335_000, paused.waitedUs());
         assertTrue(us(paused, EXPORT_WORK) <= 45_000, paused.toString());
         assertTrue(us(paused, Cause.NODE) >= 280_000, paused.toString());
-        // Work that we do not see, once: our read was alone.
+        // Unseen work delays a read that is alone.
         startMs += 10_000;
         RequestLatency unseen = end(send(startMs, READ, READER, 1), startMs + 30, Outcome.SERVED);
         assertEquals(20_000, us(unseen, Cause.UNSEEN));
-        // Slow for a while: even what finds nothing before it takes four times as long.
+        // On a slow node even reads that find it idle take four times as long.
         for (int i = 0; i < 20; i++) {
             startMs += 1_000;
             end(send(startMs, READ, READER, 1), startMs + 40, Outcome.SERVED);
@@ -137,7 +137,7 @@
         assertEquals(30_000, us(slow, Cause.NODE));
     }
 
-    /** Given up does not mean gone: the node may yet serve it, and whoever comes next waits for it. */
+    /** The node may still run a request that timed out, so later ones wait for it. */
     @Test
     void timedOutWorkStaysInModelUntilAnswered() {
         long startMs = learnBaselines();
@@ -147,7 +147,7 @@
         RequestLatency after = end(send(startMs + 4, READ, READER, 1), startMs + 50, Outcome.SERVED);
         assertEquals(36_000, after.waitedUs());
         assertEquals(36_000, us(after, EXPORT_WORK));
-        // A refusal is evidence that it never ran.
+        // A rejected request never ran.
         startMs += 10_000;
         long refused = send(startMs, EXPORT, TEAM, 4);
         end(refused, startMs + 1, Outcome.REJECTED);
@@ -156,7 +156,7 @@
         assertEquals(20_000, us(free, Cause.UNSEEN));
     }
 
-    /** The client left while its attempt was out; its late answer is evidence all the same. */
+    /** A late answer still ends the job of a request whose client is gone. */
     @Test
     void cancelledAttemptStaysInModelUntilAnswered() {
         long startMs = learnBaselines();
@@ -205,7 +205,7 @@
         long startMs = learnBaselines();
         long export = send(startMs, EXPORT, TEAM, 4);
         end(export, startMs + 40, Outcome.SERVED);
-        // Taken at 5, sent when the export was over and 20 ms more.
+        // Accepted at 5 ms, sent 20 ms after the export ended.
         RequestLatency account =
                 end(send(startMs + 5, startMs + 60, READ, READER, 1, false), startMs + 70, Outcome.SERVED);
         assertEquals(55_000, account.heldUs());
@@ -254,7 +254,7 @@
         assertTrue(work > 40_000 && us(account, EXPORT_WORK) > 0, account.toString());
     }
 
-    /** Any history: the shares of a request add up to what it was held and waited, to the microsecond. */
+    /** For any sequence of events the shares add up exactly to the held and waited time. */
     @Property(tries = 300)
     void sharesAddUpToHeldAndWaitedTime(@ForAll long seed, @ForAll @IntRange(min = 1, max = 4) int cores) {
         Random random = new Random(seed);
@@ -325,7 +325,7 @@
         }
     }
 
-    /** A million volume names: the ledger stays as large as it was, the total exact, the heavy one within its error. */
+    /** With a million volumes the size stays bounded, the total exact and the largest wait within its error. */
     @Test
     void manyVolumesKeepTopWaitsBounded() {
         TopWaits topWaits = new TopWaits(512);
@@ -350,7 +350,7 @@
         assertTrue(first.maxErrorUs() <= total / 512, first.toString());
     }
 
-    /** The same flood through the accounts: nodes, first tries and open requests are bounded. */
+    /** Nodes, unserved requests and open requests stay bounded. */
     @Test
     void manyVolumesAndNodesKeepAttributorBounded() {
         LatencyAttributor attributor = new LatencyAttributor(2, 18_000, account -> {});
--- a/src/test/java/petrelstand/accounts/LatencyHistoryTest.java
+++ b/src/test/java/petrelstand/accounts/LatencyHistoryTest.java
@@ -11,7 +11,7 @@
 import petrelstand.accounts.LatencyHistory.Phase;
 import petrelstand.accounts.LatencyHistory.RequestGroup;
 
-/** The last minutes and seconds, and that they stay as large as they are. */
+/** Guards against wrong statistics of minutes and seconds, and against their growth with the number of nodes. */
 class LatencyHistoryTest {
     private final LatencyHistory history = new LatencyHistory();
 
--- a/src/test/java/petrelstand/report/WaitReportTest.java
+++ b/src/test/java/petrelstand/report/WaitReportTest.java
@@ -12,7 +12,7 @@
 import petrelstand.report.WaitReport.Query;
 import petrelstand.store.AccountsRecord.Names;
 
-/** Sums, filters and the page. */
+/** Guards against wrong sums and filters, unescaped names and external resources in the HTML page. */
 class WaitReportTest {
     private static final Names NAMES = new Names("n<1>", List.of("tile-read", "bulk-export"), List.of("basic"));
     private static final Query ALL = new Query(0, Long.MAX_VALUE, null, null, -1);
@@ -31,7 +31,7 @@
     void sumsMatchWaitAndUnattributedTimeIsReported() {
         WaitReport report = WaitReport.summarize(recorded, ALL);
         assertEquals(6_200, report.totalWaitUs());
-        // 500 may belong to what was pushed out, and another 1,000 of second 101 have no cell at all.
+        // 500 may belong to evicted keys, and another 1,000 of second 101 have no entry.
         assertEquals(1_500, report.unattributedUs());
         assertEquals(4_200, report.waitUs(Cause.Kind.WORK));
         assertEquals(
@@ -82,7 +82,7 @@
         String page = HtmlReport.render(report, NAMES, List.of());
         assertTrue(page.contains("n&lt;1&gt;") && !page.contains("n<1>"));
         assertTrue(page.contains("00000000000000b0 bulk-export") && page.contains("<svg"));
-        // One file: nothing is fetched and nothing runs.
+        // The page loads no external resource and runs no script.
         assertFalse(page.matches("(?s).*(https?:|<script|src=|@import|url\\().*"), page);
         assertTrue(HtmlReport.render(WaitReport.summarize(List.of(), ALL), NAMES, List.of())
                 .endsWith("</html>\n"));
