--- a/src/main/java/petrelstand/report/MetricsPage.java
+++ b/src/main/java/petrelstand/report/MetricsPage.java
@@ -15,17 +15,19 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 import java.util.function.Supplier;
-import petrelstand.accounts.LatencyHistory;
 import petrelstand.accounts.Cause;
+import petrelstand.accounts.LatencyHistory;
 import petrelstand.core.RequestCounts;
 import petrelstand.decision.Scheduling.Settings;
 
 /**
- * The accounts as metrics in the Prometheus text form, by its Java client's model and writer. Labels are classes,
- * plans, phases and kinds of cause, all of which the settings bound; no volume and no node is a label.
+ * The latency statistics as metrics in the Prometheus text format. To bound the number of series, labels are only
+ * classes, plans, phases, results and kinds of cause, never volumes or nodes.
  */
 public final class MetricsPage {
+    /** Limit of classes and of plans with series of their own. */
     private static final int MAX_NAMES = 16;
+
     private static final double US_PER_SECOND = 1e6;
 
     private final Supplier<Settings> settings;
@@ -46,7 +48,7 @@
         return settings.get().plans().get(index).name();
     }
 
-    /** The page, made on the loop: a few hundred lines at most. */
+    /** The metrics as text; to be called on the event loop. */
     public String text() {
         CounterSnapshot.Builder waits = CounterSnapshot.builder()
                 .name("petrelstand_wait_seconds")
@@ -60,7 +62,10 @@
             for (Cause.Kind cause : Cause.Kind.values()) {
                 waits.dataPoint(CounterDataPointSnapshot.builder()
                         .labels(Labels.of(
-                                "class", className(classIndex), "cause", cause.name().toLowerCase(Locale.ROOT)))
+                                "class",
+                                className(classIndex),
+                                "cause",
+                                cause.name().toLowerCase(Locale.ROOT)))
                         .value(history.totalWaitUs(classIndex, cause) / US_PER_SECOND)
                         .build());
             }
@@ -79,18 +84,18 @@
                 }
             }
         }
-        MetricSnapshots snapshots =
-                new MetricSnapshots(waits.build(), ended.build(), phaseTimes(classes, plans), resultCounts(), attemptCount());
+        MetricSnapshots snapshots = new MetricSnapshots(
+                waits.build(), ended.build(), phaseTimes(classes, plans), resultCounts(), attemptCount());
         ByteArrayOutputStream text = new ByteArrayOutputStream();
         try {
             PrometheusTextFormatWriter.create().write(text, snapshots);
         } catch (IOException e) {
-            throw new UncheckedIOException("an array in memory takes all that is written to it", e);
+            throw new UncheckedIOException("cannot write the metrics to a buffer in memory", e);
         }
         return text.toString(StandardCharsets.UTF_8);
     }
 
-    /** The same counts as the operators' address gives. */
+    /** The requests by class and result, as the operators' address counts them. */
     private CounterSnapshot resultCounts() {
         CounterSnapshot.Builder builder = CounterSnapshot.builder()
                 .name("petrelstand_ends")
@@ -98,7 +103,8 @@
         for (String className : requestCounts.classNames()) {
             for (RequestCounts.RequestResult result : RequestCounts.RequestResult.values()) {
                 builder.dataPoint(CounterDataPointSnapshot.builder()
-                        .labels(Labels.of("class", className, "how", result.name().toLowerCase(Locale.ROOT)))
+                        .labels(Labels.of(
+                                "class", className, "how", result.name().toLowerCase(Locale.ROOT)))
                         .value(requestCounts.count(className, result))
                         .build());
             }
@@ -116,12 +122,13 @@
                 .build();
     }
 
-    /** Percentiles of the last whole minute, or of the one that runs while there is no other. */
+    /** Percentiles of the last minute, or of the current one if there is no last one. */
     private SummarySnapshot phaseTimes(int classes, int plans) {
         SummarySnapshot.Builder builder = SummarySnapshot.builder()
                 .name("petrelstand_phase_seconds")
                 .help("Time of a request's phases in the last whole minute, by class and plan");
-        LatencyHistory.MinuteStats minute = history.lastMinute() != null ? history.lastMinute() : history.currentMinute();
+        LatencyHistory.MinuteStats minute =
+                history.lastMinute() != null ? history.lastMinute() : history.currentMinute();
         if (minute != null) {
             for (LatencyHistory.RequestGroup group : minute.groups()) {
                 if (group.requestClass() < 0 || group.requestClass() >= classes || group.plan() >= plans) {
--- a/src/main/java/petrelstand/report/ReportLabels.java
+++ b/src/main/java/petrelstand/report/ReportLabels.java
@@ -2,11 +2,11 @@
 
 import java.util.List;
 import java.util.Locale;
-import petrelstand.accounts.LatencyHistory;
 import petrelstand.accounts.Cause;
+import petrelstand.accounts.LatencyHistory;
 import petrelstand.store.AccountsRecord.NameTable;
 
-/** What figures are called in the report, by the names that the record carries. */
+/** Formats identifiers, times and figures for a report, with the class and plan names stored in its record. */
 final class ReportLabels {
     private final NameTable names;
 
