--- a/src/main/java/petrelstand/rsync/ClientSession.java
+++ b/src/main/java/petrelstand/rsync/ClientSession.java
@@ -14,10 +14,10 @@
 import petrelstand.decision.Scheduling.Outcome;
 
 /**
- * An rsync client's connection. The request is taken when the client names its module, so a refusal is still one line
- * that every client understands; the client hears OK only when a node has opened the module for it.
+ * The connection of an rsync client. The request is submitted to the broker when the client names a module, while a
+ * refusal can still be sent as an "@ERROR" line. The client gets OK only after a node has opened the module.
  */
-final class ClientSession extends Session implements ClientHandler, Transfer.ClientEnd {
+final class ClientSession extends RelaySession implements ClientHandler, Transfer.ClientEnd {
     enum State {
         GREETING,
         MODULE,
@@ -27,88 +27,94 @@
         ENDING
     }
 
-    private static final int MOST_ARGUMENTS = 64;
-    /** When a client refused for the gateway's own sake may come back. */
-    private static final long COME_BACK_US = 2_000_000;
+    private static final int MAX_ARGUMENTS = 64;
+    /** Delay named to a client that is turned away because the gateway is full or draining. */
+    private static final long RETRY_AFTER_US = 2_000_000;
+
+    /** Time for the client to read the last bytes before the connection is closed. */
+    private static final long CLOSE_DELAY_US = 500_000;
 
     private final RsyncFront front;
-    private final boolean full;
-    private final Lines lines = new Lines();
+    private final boolean refusedOnly;
+    private final DaemonLines lines = new DaemonLines();
     private final List<String> arguments = new ArrayList<>();
     private State state = State.GREETING;
     private Transfer transfer;
     private Exchange exchange;
-    private Timers.Timer idle;
-    private long movedUs;
+    /** Closes the session when it is idle or, in state ENDING, when the client doesn't close it. */
+    private Timers.Timer closeTimer;
+
+    private long lastProgressUs;
 
-    ClientSession(EndPoint endPoint, RsyncFront front, boolean full) {
+    ClientSession(EndPoint endPoint, RsyncFront front, boolean refusedOnly) {
         super(endPoint);
         this.front = front;
-        this.full = full;
+        this.refusedOnly = refusedOnly;
     }
 
-    /** A session that found no room and waits only to be told. */
+    /** Whether the session was accepted above the transfer limit, only to send a refusal after the greeting. */
     boolean isRefusedOnly() {
-        return full;
+        return refusedOnly;
     }
 
     @Override
-    void opened() {
-        write(Lines.GREETING);
-        movedUs = front.broker().nowUs();
-        idle = front.timers().schedule(movedUs + front.config().idleUs(), this::checkIdle);
+    void onSessionOpened() {
+        write(DaemonLines.GREETING);
+        lastProgressUs = front.broker().nowUs();
+        closeTimer = front.timers().schedule(lastProgressUs + front.config().idleUs(), this::checkIdle);
     }
 
     @Override
-    void moved() {
-        movedUs = front.broker().nowUs();
+    void onProgress() {
+        lastProgressUs = front.broker().nowUs();
     }
 
-    /** Cuts a session in which nothing has moved for the idle limit. */
+    /** Ends the session if no byte was read or written for the idle limit; otherwise schedules the next check. */
     private void checkIdle() {
-        long due = movedUs + front.config().idleUs();
+        long due = lastProgressUs + front.config().idleUs();
         long now = front.broker().nowUs();
-        if (waitsForNode()) {
-            // The gateway has the move; the class's deadline bounds it.
-            movedUs = now;
+        if (isWaitingForNode()) {
+            // The client is not idle while the gateway looks for a node; the request's deadline bounds this time.
+            lastProgressUs = now;
             due = now + front.config().idleUs();
         }
         if (now < due) {
-            idle = front.timers().schedule(due, this::checkIdle);
+            closeTimer = front.timers().schedule(due, this::checkIdle);
         } else if (!isClosed()) {
             front.broker().counters().increment("rsync.idle");
-            front.log("a session idle for " + Lines.seconds(front.config().idleUs()) + " s was cut, " + state);
-            leave("idle for " + Lines.seconds(front.config().idleUs()) + " s");
+            front.log("closing a client session after "
+                    + DaemonLines.formatSeconds(front.config().idleUs()) + " s without progress in state " + state);
+            leaveExchange("idle for " + DaemonLines.formatSeconds(front.config().idleUs()) + " s");
         }
     }
 
-    /** No node has the module open: not yet, or no longer, where one died before it was sent the arguments. */
-    private boolean waitsForNode() {
-        return state == State.WAITING || state == State.ARGUMENTS && !transfer.isOpen();
+    /** Whether no node has the module open: none yet, or the node failed before it was sent the arguments. */
+    private boolean isWaitingForNode() {
+        return state == State.WAITING || state == State.ARGUMENTS && !transfer.isModuleOpen();
     }
 
-    // ---- The opening lines ----
+    // ---- Opening lines ----
 
     @Override
-    boolean use(ByteBuffer bytes) {
+    boolean consume(ByteBuffer bytes) {
         while (bytes.hasRemaining()) {
-            if (waitsForNode()) {
+            if (isWaitingForNode()) {
                 return false;
             }
             switch (state) {
                 case RELAYING -> {
-                    transfer.up(bytes.duplicate(), () -> {
+                    transfer.relayFromClient(bytes.duplicate(), () -> {
                         bytes.position(bytes.limit());
-                        transfer.checkWhole();
+                        transfer.completeIfDone();
                         resume();
                     });
                     return !bytes.hasRemaining();
                 }
                 case ENDING -> bytes.position(bytes.limit());
                 default -> {
-                    String line = lines.next(bytes);
+                    String line = lines.nextLine(bytes);
                     if (line != null) {
-                        line(line);
+                        handleLine(line);
                     }
                 }
             }
@@ -116,43 +122,44 @@
         return true;
     }
 
-    private void line(String line) {
+    private void handleLine(String line) {
         switch (state) {
-            case GREETING -> greeted(Lines.version(line));
-            case MODULE -> module(line);
-            default -> argument(line);
+            case GREETING -> handleGreeting(DaemonLines.parseVersion(line));
+            case MODULE -> handleModuleName(line);
+            default -> handleArgument(line);
         }
     }
 
-    private void greeted(int version) {
+    private void handleGreeting(int version) {
         if (version == 0) {
-            end("protocol startup error");
-        } else if (version < Lines.VERSION) {
-            end("protocol version " + version + " is not carried here, " + Lines.VERSION + " or later is");
-        } else if (full) {
-            refused(COME_BACK_US);
+            endWithError("protocol startup error");
+        } else if (version < DaemonLines.PROTOCOL_VERSION) {
+            endWithError("protocol version " + version + " is not carried here, " + DaemonLines.PROTOCOL_VERSION
+                    + " or later is");
+        } else if (refusedOnly) {
+            refused(RETRY_AFTER_US);
         } else {
             state = State.MODULE;
         }
     }
 
-    private void module(String name) {
+    private void handleModuleName(String name) {
         if (name.isEmpty() || name.equals("#list")) {
             StringBuilder list = new StringBuilder();
             front.config().modules().forEach(m -> list.append(String.format("%-15s\t%s%n", m.name(), m.comment())));
-            endWith(ByteBuffer.wrap((list + Lines.EXIT).getBytes(StandardCharsets.UTF_8)));
+            endWithBytes(ByteBuffer.wrap((list + DaemonLines.EXIT).getBytes(StandardCharsets.UTF_8)));
             return;
         }
         RsyncConfig.Module module = front.config().module(name);
         if (module == null) {
             front.broker().counters().increment("rsync.unknown_module");
-            end("Unknown module '" + name + "'");
+            endWithError("Unknown module '" + name + "'");
         } else if (front.isDraining()) {
-            end("draining, come again in " + Lines.seconds(COME_BACK_US) + " s");
+            endWithError("draining, come again in " + DaemonLines.formatSeconds(RETRY_AFTER_US) + " s");
         } else {
             state = State.WAITING;
             transfer = new Transfer(name, this);
-            long leftUs = (long) (front.broker()
+            long timeLeftUs = (long) (front.broker()
                             .settings()
                             .classes()
                             .get(module.requestClass())
@@ -175,51 +182,52 @@
                                     0,
                                     false,
                                     writes,
-                                    leftUs),
+                                    timeLeftUs),
                             transfer,
                             this,
-                            taken -> exchange = taken);
+                            submitted -> exchange = submitted);
         }
     }
 
     @Override
-    public void taken() {
-        moved();
+    public void onModuleOpened() {
+        onProgress();
         if (state == State.WAITING) {
             state = State.ARGUMENTS;
-            write(Lines.OK);
+            write(DaemonLines.OK);
         }
         resume();
     }
 
-    private void argument(String line) {
+    /** Collects the arguments; the empty line that ends them starts the relay. */
+    private void handleArgument(String line) {
         if (!line.isEmpty()) {
-            if (arguments.size() >= MOST_ARGUMENTS) {
-                throw new RecordReader.Malformed("more than " + MOST_ARGUMENTS + " arguments");
+            if (arguments.size() >= MAX_ARGUMENTS) {
+                throw new RecordReader.ProtocolException("more than " + MAX_ARGUMENTS + " arguments");
             }
             arguments.add(line);
             return;
         }
-        Options options = Options.parse(arguments, transfer.module());
+        TransferOptions options = TransferOptions.parse(arguments, transfer.module());
         state = State.RELAYING;
-        transfer.begin(options);
-        front.began(exchange);
-        String all = String.join("\n", arguments) + "\n\n";
-        transfer.upArguments(ByteBuffer.wrap(all.getBytes(StandardCharsets.UTF_8)), this::resume);
+        transfer.start(options);
+        front.commitAttempt(exchange);
+        String argumentBlock = String.join("\n", arguments) + "\n\n";
+        transfer.relayArguments(ByteBuffer.wrap(argumentBlock.getBytes(StandardCharsets.UTF_8)), this::resume);
     }
 
-    // ---- The relay ----
+    // ---- Relay ----
 
     @Override
-    public void relay(ByteBuffer bytes, Runnable left) {
-        write(bytes, left);
+    public void relay(ByteBuffer bytes, Runnable onWritten) {
+        write(bytes, onWritten);
     }
 
-    // ---- The end ----
+    // ---- End of the session ----
 
     @Override
     public boolean served(Object answer) {
-        finish();
+        enterEnding();
         getEndPoint().shutdownOutput();
         close();
         return true;
@@ -227,84 +235,95 @@
 
     @Override
     public void refused(long retryAfterUs) {
-        end("refused, come again in " + Lines.seconds(Math.max(retryAfterUs, 1000)) + " s");
+        endWithError("refused, come again in " + DaemonLines.formatSeconds(Math.max(retryAfterUs, 1000)) + " s");
     }
 
     @Override
     public void failed(Attempt last) {
-        boolean late = last == null || !last.isEnded() || last.outcome() == Outcome.TIMED_OUT;
-        end(late ? "timed out, the transfer is not complete" : "failed, the transfer is not complete");
+        boolean timedOut = last == null || !last.isEnded() || last.outcome() == Outcome.TIMED_OUT;
+        endWithError(timedOut ? "timed out, the transfer is not complete" : "failed, the transfer is not complete");
     }
 
     @Override
-    void malformed(String why) {
+    void onProtocolError(String reason) {
         front.broker().counters().increment("rsync.malformed");
-        leave(why);
+        leaveExchange(reason);
     }
 
     @Override
-    void ended() {
-        leave(null);
+    void onPeerClosed() {
+        leaveExchange(null);
     }
 
-    void endIfIdle() {
+    /** Ends a session that has not named a module yet, with a hint to retry. */
+    void endIfNoModule() {
         if (state == State.GREETING || state == State.MODULE) {
-            end("draining, come again in " + Lines.seconds(COME_BACK_US) + " s");
+            endWithError("draining, come again in " + DaemonLines.formatSeconds(RETRY_AFTER_US) + " s");
         }
     }
 
-    /** The client's own end of the exchange: nothing more is owed, and the attempt stops. */
-    private void leave(String why) {
-        Exchange left = exchange;
-        if (why == null) {
+    /**
+     * Ends the session from the client's side: the broker is told that the client is gone and stops the attempt.
+     *
+     * @param reason error text sent to the client, or null if it closed the connection
+     */
+    private void leaveExchange(String reason) {
+        Exchange abandoned = exchange;
+        if (reason == null) {
             close();
         } else {
-            end(why);
+            endWithError(reason);
         }
-        if (left != null) {
-            front.broker().clientGone(left);
+        if (abandoned != null) {
+            front.broker().clientGone(abandoned);
         }
     }
 
-    /** Ends with an error in the form that the client can read now, or by closing where none can be put in. */
-    private void end(String why) {
+    /**
+     * Ends the session with an error in the form that the client expects in this state: a line, or a frame of the
+     * node's stream. Closes without one if a write or a frame is incomplete.
+     */
+    private void endWithError(String reason) {
         if (state == State.ENDING || isClosed()) {
             return;
         }
         if (state == State.ARGUMENTS || state == State.RELAYING) {
-            boolean untouched = !transfer.begun() || transfer.untouched();
-            if (isWriting() || !untouched && !transfer.atFrame()) {
+            boolean streamAtStart = !transfer.isStarted() || transfer.isNodeStreamAtStart();
+            if (isWriting() || !streamAtStart && !transfer.isAtFrameBoundary()) {
                 close();
             } else {
-                endWith(Lines.errorFrame(why, untouched));
+                endWithBytes(DaemonLines.errorFrame(reason, streamAtStart));
             }
         } else {
-            endWith(ByteBuffer.wrap(Lines.error(why).getBytes(StandardCharsets.UTF_8)));
+            endWithBytes(ByteBuffer.wrap(DaemonLines.errorLine(reason).getBytes(StandardCharsets.UTF_8)));
         }
     }
 
-    private void endWith(ByteBuffer bytes) {
-        finish();
+    /** Writes the last bytes, then shuts the output down and gives the client time to close. */
+    private void endWithBytes(ByteBuffer bytes) {
+        enterEnding();
         write(bytes, () -> {
             getEndPoint().shutdownOutput();
-            idle = front.timers().schedule(front.broker().nowUs() + 500_000, this::close);
+            closeTimer = front.timers().schedule(front.broker().nowUs() + CLOSE_DELAY_US, this::close);
         });
         resume();
     }
 
-    private void finish() {
+    /** Discards further input and closes after the idle limit at the latest. */
+    private void enterEnding() {
         state = State.ENDING;
         exchange = null;
-        idle.cancel();
-        idle = front.timers().schedule(front.broker().nowUs() + front.config().idleUs(), this::close);
+        closeTimer.cancel();
+        closeTimer =
+                front.timers().schedule(front.broker().nowUs() + front.config().idleUs(), this::close);
     }
 
     @Override
     public void close() {
         if (!isClosed()) {
             super.close();
-            idle.cancel();
-            front.closed(this);
+            closeTimer.cancel();
+            front.sessionClosed(this);
             if (exchange != null) {
                 front.broker().clientGone(exchange);
             }
--- a/src/main/java/petrelstand/rsync/ItemReader.java
+++ b/src/main/java/petrelstand/rsync/ItemReader.java
@@ -2,50 +2,56 @@
 
 import java.nio.ByteBuffer;
 
-/** What both directions of a transfer share: items by file number, ended in three phases by a number of -1. */
+/** Parses what both directions share: items by file number, in phases that each end with file number -1. */
 abstract class ItemReader extends RecordReader {
-    static final int PHASES = 3;
-    private static final int DONE = -1;
-    private static final int BASIS_FOLLOWS = 1 << 11;
-    private static final int NAME_FOLLOWS = 1 << 12;
-    private static final int TRANSFER = 1 << 15;
-    private int phases;
+    static final int PHASE_COUNT = 3;
+    private static final int NDX_DONE = -1;
+    private static final int ITEM_BASIS_TYPE_FOLLOWS = 1 << 11;
+    private static final int ITEM_XNAME_FOLLOWS = 1 << 12;
+    private static final int ITEM_TRANSFER = 1 << 15;
 
-    /** Phases ended so far; the receiver's goodbye counts as one more. */
-    final int phases() {
-        return phases;
+    private int phasesEnded;
+
+    /** Number of phases ended; the receiver's final -1 (its goodbye) counts as one more. */
+    final int phasesEnded() {
+        return phasesEnded;
     }
 
-    /** Reads an item's head; true where a transfer follows it. */
-    final boolean item(ByteBuffer in) {
-        int number = i32(in);
-        if (number == DONE) {
-            phases++;
+    /** Reads an item's header or the end of a phase; returns true if a checksum header follows. */
+    final boolean readItemHeader(ByteBuffer in) {
+        int fileNumber = readInt(in);
+        if (fileNumber == NDX_DONE) {
+            phasesEnded++;
             return false;
         }
-        if (number < 0) {
-            throw new Malformed("file number " + number);
+        if (fileNumber < 0) {
+            throw new ProtocolException("file number " + fileNumber);
         }
-        int flags = u16(in);
-        if ((flags & BASIS_FOLLOWS) != 0) {
-            u8(in);
+        int flags = readUnsignedShort(in);
+        if ((flags & ITEM_BASIS_TYPE_FOLLOWS) != 0) {
+            readUnsignedByte(in);
         }
-        if ((flags & NAME_FOLLOWS) != 0) {
-            int length = u8(in);
-            pass(in, (length & 0x80) == 0 ? length : (length & 0x7f) << 8 | u8(in));
+        if ((flags & ITEM_XNAME_FOLLOWS) != 0) {
+            int length = readUnsignedByte(in);
+            skipField(in, (length & 0x80) == 0 ? length : (length & 0x7f) << 8 | readUnsignedByte(in));
         }
-        return (flags & TRANSFER) != 0;
+        return (flags & ITEM_TRANSFER) != 0;
     }
 
-    /** Reads the head of a file's block checksums and returns how many bytes of these follow it. */
-    static long sums(ByteBuffer in) {
-        long count = i32(in);
-        int block = i32(in);
-        int strong = i32(in);
-        int rest = i32(in);
-        if (count < 0 || block < 0 || strong < 0 || strong > 16 || rest < 0 || rest > block) {
-            throw new Malformed("the head of the checksums");
+    /** Reads the header of a file's block checksums; returns the length of the checksums in bytes. */
+    static long readChecksumHeader(ByteBuffer in) {
+        long count = readInt(in);
+        int blockBytes = readInt(in);
+        int strongSumBytes = readInt(in);
+        int lastBlockBytes = readInt(in);
+        if (count < 0
+                || blockBytes < 0
+                || strongSumBytes < 0
+                || strongSumBytes > 16
+                || lastBlockBytes < 0
+                || lastBlockBytes > blockBytes) {
+            throw new ProtocolException("the head of the checksums");
         }
-        return count * (4 + strong);
+        return count * (4 + strongSumBytes);
     }
 }
--- a/src/main/java/petrelstand/rsync/NodeSession.java
+++ b/src/main/java/petrelstand/rsync/NodeSession.java
@@ -6,17 +6,17 @@
 import petrelstand.core.Attempt;
 import petrelstand.decision.Scheduling.Outcome;
 
-/** A connection to a node that speaks the daemon protocol, for one attempt. */
-final class NodeSession extends Session implements Transfer.NodeEnd {
+/** A connection to an rsync daemon, used for one attempt. */
+final class NodeSession extends RelaySession implements Transfer.NodeEnd {
     private enum State {
         GREETING,
-        OPENING,
-        OPEN
+        MODULE_REQUESTED,
+        MODULE_OPEN
     }
 
     private final Attempt attempt;
     private final Transfer transfer;
-    private final Lines lines = new Lines();
+    private final DaemonLines lines = new DaemonLines();
     private State state = State.GREETING;
 
     NodeSession(EndPoint endPoint, Attempt attempt) {
@@ -25,86 +25,87 @@
         this.transfer = (Transfer) attempt.exchange().message();
     }
 
-    boolean isOpen() {
-        return state == State.OPEN;
+    boolean isModuleOpen() {
+        return state == State.MODULE_OPEN;
     }
 
     @Override
-    void opened() {
-        write(Lines.GREETING);
+    void onSessionOpened() {
+        write(DaemonLines.GREETING);
     }
 
     @Override
-    void moved() {
-        // The client's session watches for a relay that stands still.
+    void onProgress() {
+        // ClientSession detects an idle relay.
     }
 
     @Override
-    boolean use(ByteBuffer bytes) {
+    boolean consume(ByteBuffer bytes) {
         while (bytes.hasRemaining()) {
-            if (state == State.OPEN && !transfer.begun()) {
-                // A daemon may not speak before it has the arguments; how to read it is not known until then.
+            if (state == State.MODULE_OPEN && !transfer.isStarted()) {
+                // The options decide how to parse the daemon's stream, and the arguments have not been sent yet.
                 return false;
             }
-            if (state == State.OPEN) {
-                transfer.down(bytes.duplicate(), () -> {
+            if (state == State.MODULE_OPEN) {
+                transfer.relayFromNode(bytes.duplicate(), () -> {
                     bytes.position(bytes.limit());
-                    transfer.checkWhole();
+                    transfer.completeIfDone();
                     resume();
                 });
                 return !bytes.hasRemaining();
             }
-            String line = lines.next(bytes);
+            String line = lines.nextLine(bytes);
             if (line != null) {
-                line(line);
+                handleLine(line);
             }
         }
         return true;
     }
 
-    /** Lines before OK: a message of the day is passed over, and an error proves that nothing ran. */
-    private void line(String line) {
+    /** Handles a line before OK. Skips the message of the day; an error means that the daemon ran nothing. */
+    private void handleLine(String line) {
         if (line.startsWith("@ERROR") || line.startsWith("@RSYNCD: AUTHREQD") || line.equals("@RSYNCD: EXIT")) {
-            end(Outcome.REJECTED);
+            endAttempt(Outcome.REJECTED);
         } else if (state == State.GREETING) {
-            if (Lines.version(line) < Lines.VERSION) {
-                end(Outcome.REJECTED);
+            if (DaemonLines.parseVersion(line) < DaemonLines.PROTOCOL_VERSION) {
+                endAttempt(Outcome.REJECTED);
                 return;
             }
-            state = State.OPENING;
+            state = State.MODULE_REQUESTED;
             write(ByteBuffer.wrap((transfer.module() + "\n").getBytes(StandardCharsets.UTF_8)), () -> {});
         } else if (line.equals("@RSYNCD: OK")) {
-            state = State.OPEN;
-            transfer.opened(this);
+            state = State.MODULE_OPEN;
+            transfer.nodeOpened(this);
         }
     }
 
     @Override
-    public void relay(ByteBuffer bytes, Runnable left) {
-        write(bytes, left);
+    public void relay(ByteBuffer bytes, Runnable onWritten) {
+        write(bytes, onWritten);
     }
 
     @Override
-    public void begin() {
+    public void startReading() {
         resume();
     }
 
     @Override
-    public void finished() {
-        end(Outcome.SERVED);
+    public void onTransferComplete() {
+        endAttempt(Outcome.SERVED);
     }
 
     @Override
-    void ended() {
-        end(transfer.whole() ? Outcome.SERVED : transfer.begun() ? Outcome.RESET : Outcome.NOT_CONNECTED);
+    void onPeerClosed() {
+        endAttempt(
+                transfer.isComplete() ? Outcome.SERVED : transfer.isStarted() ? Outcome.RESET : Outcome.NOT_CONNECTED);
     }
 
     @Override
-    void malformed(String why) {
-        end(transfer.begun() ? Outcome.ERROR : Outcome.REJECTED);
+    void onProtocolError(String reason) {
+        endAttempt(transfer.isStarted() ? Outcome.ERROR : Outcome.REJECTED);
     }
 
-    private void end(Outcome outcome) {
+    private void endAttempt(Outcome outcome) {
         close();
         attempt.end(outcome, null, null);
     }
@@ -112,6 +113,6 @@
     @Override
     public void close() {
         super.close();
-        transfer.closed(this);
+        transfer.nodeClosed(this);
     }
 }
--- a/src/main/java/petrelstand/rsync/NodeTransportRouter.java
+++ b/src/main/java/petrelstand/rsync/NodeTransportRouter.java
@@ -4,29 +4,34 @@
 import petrelstand.core.Node;
 import petrelstand.core.NodeTransport;
 
-/** Sends each attempt to the server side that speaks its node's wire: private shards are rsync nodes. */
+/**
+ * Passes each call to the transport that speaks the node's protocol.
+ *
+ * @param platform transport of the platform's nodes
+ * @param rsync transport of the rsync daemons, which are the nodes of private shards
+ */
 public record NodeTransportRouter(NodeTransport platform, NodeTransport rsync) implements NodeTransport {
-    private NodeTransport of(Node node) {
+    private NodeTransport transportFor(Node node) {
         return node.isPrivate() ? rsync : platform;
     }
 
     @Override
     public void start(Attempt attempt) {
-        of(attempt.node()).start(attempt);
+        transportFor(attempt.node()).start(attempt);
     }
 
     @Override
     public void abandon(Attempt attempt) {
-        of(attempt.node()).abandon(attempt);
+        transportFor(attempt.node()).abandon(attempt);
     }
 
     @Override
     public void probe(Node node, long timeoutUs, ProbeCallback result) {
-        of(node).probe(node, timeoutUs, result);
+        transportFor(node).probe(node, timeoutUs, result);
     }
 
     @Override
     public void discardConnections(Node node) {
-        of(node).discardConnections(node);
+        transportFor(node).discardConnections(node);
     }
 }
--- a/src/main/java/petrelstand/rsync/ReceiverReader.java
+++ b/src/main/java/petrelstand/rsync/ReceiverReader.java
@@ -2,28 +2,28 @@
 
 import java.nio.ByteBuffer;
 
-/** The receiver's direction in protocol 29: on a pull its filters, then requests, the phases and the goodbye. */
+/** Parses the receiver's direction in protocol 29: filters on a pull, then file requests in phases and a goodbye. */
 final class ReceiverReader extends ItemReader {
-    private boolean filters;
+    private boolean readingFilters;
 
-    ReceiverReader(Options options) {
-        filters = options.pull();
+    ReceiverReader(TransferOptions options) {
+        readingFilters = options.pull();
     }
 
-    /** The goodbye follows the last phase. */
+    /** True after the goodbye, a further -1 after the last phase. */
     @Override
-    boolean done() {
-        return phases() > PHASES;
+    boolean isDone() {
+        return phasesEnded() > PHASE_COUNT;
     }
 
     @Override
-    void record(ByteBuffer in) {
-        if (filters) {
-            int length = i32(in);
-            pass(in, length);
-            filters = length > 0;
-        } else if (item(in)) {
-            skip(sums(in));
+    void readRecord(ByteBuffer in) {
+        if (readingFilters) {
+            int length = readInt(in);
+            skipField(in, length);
+            readingFilters = length > 0;
+        } else if (readItemHeader(in)) {
+            skip(readChecksumHeader(in));
         }
     }
 }
--- a/src/main/java/petrelstand/rsync/RecordReader.java
+++ b/src/main/java/petrelstand/rsync/RecordReader.java
@@ -4,136 +4,144 @@
 import java.nio.ByteOrder;
 
 /**
- * Reads a stream of little-endian records as its bytes come in. A record is read whole or not at all; what a file's
- * data and checksums fill is skipped and never kept, so that what is kept stays under a bound.
+ * Incremental parser of little-endian records. A record that is not complete is kept, up to {@link #MAX_RECORD_BYTES},
+ * and parsed again from its start when more input arrives. File data and checksums are skipped without being kept.
  */
 abstract class RecordReader {
-    /** Input that is not what the subset allows. */
-    static final class Malformed extends RuntimeException {
+    /** Input outside the supported subset of the protocol; the message is fit to be sent to a client. */
+    static final class ProtocolException extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
-        Malformed(String message) {
+        ProtocolException(String message) {
             super(message, null, false, false);
         }
     }
 
-    private static final class Short extends RuntimeException {
+    /** Control flow only: the input ends within a record. */
+    private static final class IncompleteRecord extends RuntimeException {
         private static final long serialVersionUID = 1L;
-        static final Short OF = new Short();
+        static final IncompleteRecord INSTANCE = new IncompleteRecord();
 
-        private Short() {
+        private IncompleteRecord() {
             super(null, null, false, false);
         }
     }
 
-    /** The longest record: a file's entry with two names at rsync's bound of 4096 bytes, and some fields. */
-    static final int MOST_KEPT = 10 * 1024;
+    /** Room for a file entry with two names of rsync's maximum of 4096 bytes, and its other fields. */
+    static final int MAX_RECORD_BYTES = 10 * 1024;
 
-    private ByteBuffer kept =
+    private ByteBuffer partialRecord =
             ByteBuffer.allocate(256).order(ByteOrder.LITTLE_ENDIAN).limit(0);
-    private long skip;
+    private long bytesToSkip;
 
-    /** Takes all bytes of the input. */
+    /**
+     * Parses all bytes of the input; its position stays.
+     *
+     * @throws ProtocolException if the input is outside the supported subset
+     */
     final void feed(ByteBuffer input) {
         ByteBuffer in = input.slice().order(ByteOrder.LITTLE_ENDIAN);
         while (in.hasRemaining()) {
-            in = skipped(in);
+            in = skipPending(in);
             if (!in.hasRemaining()) {
                 return;
             }
-            if (done()) {
-                throw new Malformed("bytes after the end of the transfer");
+            if (isDone()) {
+                throw new ProtocolException("bytes after the end of the transfer");
             }
-            if (kept.hasRemaining()) {
-                in = joined(in);
+            if (partialRecord.hasRemaining()) {
+                in = joinWithPartial(in);
             }
-            int mark = in.position();
+            int recordStart = in.position();
             try {
-                record(in);
-            } catch (Short e) {
-                in.position(mark);
-                keep(in);
+                readRecord(in);
+            } catch (IncompleteRecord e) {
+                in.position(recordStart);
+                keepPartial(in);
                 return;
             }
         }
     }
 
-    private ByteBuffer skipped(ByteBuffer in) {
-        int now = (int) Math.min(skip, in.remaining());
-        in.position(in.position() + now);
-        skip -= now;
+    private ByteBuffer skipPending(ByteBuffer in) {
+        int skippable = (int) Math.min(bytesToSkip, in.remaining());
+        in.position(in.position() + skippable);
+        bytesToSkip -= skippable;
         return in;
     }
 
-    private ByteBuffer joined(ByteBuffer in) {
-        ByteBuffer all = ByteBuffer.allocate(kept.remaining() + in.remaining()).order(ByteOrder.LITTLE_ENDIAN);
-        all.put(kept).put(in).flip();
-        kept.limit(0);
-        return all;
+    private ByteBuffer joinWithPartial(ByteBuffer in) {
+        ByteBuffer combined =
+                ByteBuffer.allocate(partialRecord.remaining() + in.remaining()).order(ByteOrder.LITTLE_ENDIAN);
+        combined.put(partialRecord).put(in).flip();
+        partialRecord.limit(0);
+        return combined;
     }
 
-    private void keep(ByteBuffer in) {
-        if (in.remaining() > MOST_KEPT) {
-            throw new Malformed("a record of over " + MOST_KEPT + " bytes");
+    private void keepPartial(ByteBuffer in) {
+        if (in.remaining() > MAX_RECORD_BYTES) {
+            throw new ProtocolException("a record of over " + MAX_RECORD_BYTES + " bytes");
         }
-        kept = ByteBuffer.allocate(Math.max(16, in.remaining())).order(ByteOrder.LITTLE_ENDIAN);
-        kept.put(in).flip();
+        partialRecord = ByteBuffer.allocate(Math.max(16, in.remaining())).order(ByteOrder.LITTLE_ENDIAN);
+        partialRecord.put(in).flip();
     }
 
-    /** Reads one record. */
-    abstract void record(ByteBuffer in);
+    /** Reads one record; the read methods abort it where the input ends, so state may change only after the reads. */
+    abstract void readRecord(ByteBuffer in);
 
-    /** True once the stream has reached its end. */
-    abstract boolean done();
+    /** Whether the stream has reached its end; input after it is rejected. */
+    abstract boolean isDone();
 
+    /** Skips bytes that follow the current record, without keeping them. */
     final void skip(long bytes) {
         if (bytes < 0) {
-            throw new Malformed("a negative length");
+            throw new ProtocolException("a negative length");
         }
-        skip = bytes;
+        bytesToSkip = bytes;
     }
 
-    /** True where the stream stands between two records. */
-    final boolean between() {
-        return skip == 0 && !kept.hasRemaining();
+    /** Whether the stream is between two records. */
+    final boolean isAtRecordBoundary() {
+        return bytesToSkip == 0 && !partialRecord.hasRemaining();
     }
 
-    static int u8(ByteBuffer in) {
-        need(in, 1);
+    static int readUnsignedByte(ByteBuffer in) {
+        requireBytes(in, 1);
         return in.get() & 0xff;
     }
 
-    static int u16(ByteBuffer in) {
-        need(in, 2);
+    static int readUnsignedShort(ByteBuffer in) {
+        requireBytes(in, 2);
         return in.getShort() & 0xffff;
     }
 
-    static int i32(ByteBuffer in) {
-        need(in, 4);
+    static int readInt(ByteBuffer in) {
+        requireBytes(in, 4);
         return in.getInt();
     }
 
-    /** A long as protocols before 30 write it: 4 bytes, or all ones and 8 bytes. */
-    static long longInt(ByteBuffer in) {
-        int low = i32(in);
+    /** Reads a long as encoded before protocol 30: 4 bytes, or 4 bytes of all ones followed by 8 bytes. */
+    static long readLong(ByteBuffer in) {
+        int low = readInt(in);
         if (low != -1) {
             return low;
         }
-        need(in, 8);
+        requireBytes(in, 8);
         return in.getLong();
     }
 
-    static void pass(ByteBuffer in, int bytes) {
-        if (bytes < 0 || bytes > MOST_KEPT) {
-            throw new Malformed("a length of " + bytes);
+    /** Skips a field of the current record. */
+    static void skipField(ByteBuffer in, int bytes) {
+        if (bytes < 0 || bytes > MAX_RECORD_BYTES) {
+            throw new ProtocolException("a length of " + bytes);
         }
-        need(in, bytes);
+        requireBytes(in, bytes);
         in.position(in.position() + bytes);
     }
 
-    private static void need(ByteBuffer in, int bytes) {
+    private static void requireBytes(ByteBuffer in, int bytes) {
         if (in.remaining() < bytes) {
-            throw Short.OF;
+            throw IncompleteRecord.INSTANCE;
         }
     }
 }
--- a/src/main/java/petrelstand/rsync/Session.java
+++ b/src/main/java/petrelstand/rsync/RelaySession.java
@@ -8,44 +8,47 @@
 import petrelstand.net.LoopConnection;
 
 /**
- * One connection of a relay, a client's or a node's. It reads into one buffer and reads on only when that is used up,
- * and has one write under way at most: so a side that takes nothing stops the other side's reading, not more.
+ * A connection to a client or a node. It has one input buffer, reads again only when that is consumed, and has at most
+ * one write in progress. A peer that stops reading thus stops the reading on the other side (back pressure) and the
+ * gateway buffers no more.
  */
-abstract class Session extends LoopConnection {
-    static final int BUFFER = 16 * 1024;
+abstract class RelaySession extends LoopConnection {
+    static final int INPUT_BUFFER_BYTES = 16 * 1024;
 
-    private final ByteBuffer input = BufferUtil.allocate(BUFFER);
+    private final ByteBuffer input = BufferUtil.allocate(INPUT_BUFFER_BYTES);
     private boolean reading;
-    private boolean held;
+    private boolean paused;
     private boolean writing;
     private boolean closed;
 
-    Session(EndPoint endPoint) {
+    RelaySession(EndPoint endPoint) {
         super(endPoint);
     }
 
     @Override
     public void onOpen() {
         super.onOpen();
-        opened();
+        onSessionOpened();
         onFillable();
     }
 
-    abstract void opened();
+    /** Called once when the connection is open, before the first read. */
+    abstract void onSessionOpened();
 
-    /** Uses bytes of the input; returns false where it wants no more for now, until {@link #resume}. */
-    abstract boolean use(ByteBuffer bytes);
+    /** Consumes input; returns false to stop reading until {@link #resume} is called. */
+    abstract boolean consume(ByteBuffer bytes);
 
-    /** The other side ended or broke the connection; all that came before was used. */
-    abstract void ended();
+    /** Called when the peer closed the connection or it failed; after a close, all input has been consumed. */
+    abstract void onPeerClosed();
 
-    /** Bytes moved on this connection. */
-    abstract void moved();
+    /** Called when bytes were read or a write completed. */
+    abstract void onProgress();
 
     final boolean isClosed() {
         return closed;
     }
 
+    /** Whether a write is in progress. */
     public final boolean isWriting() {
         return writing;
     }
@@ -59,8 +62,8 @@
         try {
             while (!closed) {
                 if (BufferUtil.hasContent(input)) {
-                    if (held || !use(input)) {
-                        held = true;
+                    if (paused || !consume(input)) {
+                        paused = true;
                         return;
                     }
                     continue;
@@ -68,30 +71,31 @@
                 BufferUtil.clear(input);
                 int filled = getEndPoint().fill(input);
                 if (filled < 0) {
-                    ended();
+                    onPeerClosed();
                     return;
                 }
                 if (filled == 0) {
                     fillInterested();
                     return;
                 }
-                moved();
+                onProgress();
             }
-        } catch (RecordReader.Malformed e) {
-            malformed(e.getMessage());
+        } catch (RecordReader.ProtocolException e) {
+            onProtocolError(e.getMessage());
         } catch (IOException e) {
-            ended();
+            onPeerClosed();
         } finally {
             reading = false;
         }
     }
 
-    abstract void malformed(String why);
+    /** Called when the input is not of the supported subset; the reason is fit to be sent to a client. */
+    abstract void onProtocolError(String reason);
 
-    /** Goes on reading after {@link #use} wanted no more. */
+    /** Resumes reading after {@link #consume} returned false. */
     final void resume() {
-        if (held && !closed) {
-            held = false;
+        if (paused && !closed) {
+            paused = false;
             onFillable();
         }
     }
@@ -100,7 +104,8 @@
         write(BufferUtil.toBuffer(text, StandardCharsets.UTF_8), () -> {});
     }
 
-    final void write(ByteBuffer bytes, Runnable left) {
+    /** Writes the bytes, then runs the callback unless the session was closed; no other write may be in progress. */
+    final void write(ByteBuffer bytes, Runnable onWritten) {
         writing = true;
         getEndPoint()
                 .write(
@@ -108,24 +113,24 @@
                                 () -> {
                                     writing = false;
                                     if (!closed) {
-                                        moved();
-                                        left.run();
+                                        onProgress();
+                                        onWritten.run();
                                     }
                                 },
-                                cause -> broken()),
+                                cause -> onConnectionFailed()),
                         bytes);
     }
 
-    private void broken() {
+    private void onConnectionFailed() {
         writing = false;
         if (!closed) {
-            ended();
+            onPeerClosed();
         }
     }
 
     @Override
     protected final void onFillInterestedFailed(Throwable cause) {
-        broken();
+        onConnectionFailed();
     }
 
     @Override
@@ -139,6 +144,6 @@
     @Override
     public void onClose(Throwable cause) {
         super.onClose(cause);
-        broken();
+        onConnectionFailed();
     }
 }
--- a/src/main/java/petrelstand/rsync/RsyncFront.java
+++ b/src/main/java/petrelstand/rsync/RsyncFront.java
@@ -11,16 +11,16 @@
 import petrelstand.core.Exchange;
 import petrelstand.core.Timers;
 
-/** The rsync front: its client sessions, and what they share. */
+/** The rsync front: accepts client connections and holds what their sessions share. */
 public final class RsyncFront {
-    /** Sessions that are only refused may be as many again as those that transfer. */
-    static final int REFUSED_TIMES = 2;
+    /** Limit of sessions in multiples of the transfer limit; those above the transfer limit are only refused. */
+    static final int MAX_SESSIONS_FACTOR = 2;
 
     private final Broker broker;
     private final Timers timers;
     private RsyncConfig config;
     private final Consumer<String> log;
-    private final Set<ClientSession> sessionCount = new LinkedHashSet<>();
+    private final Set<ClientSession> sessions = new LinkedHashSet<>();
     private boolean draining;
 
     public RsyncFront(Broker broker, Timers timers, RsyncConfig config, Consumer<String> log) {
@@ -30,37 +30,36 @@
         this.log = log;
     }
 
+    /** Opens a session; above the transfer limit it is refused, and above the session limit replaces an older one. */
     public Connection accept(EndPoint endPoint) {
-        if (sessionCount.size() >= REFUSED_TIMES * config.mostTransfers()) {
-            sessionCount.stream()
-                    .filter(ClientSession::isRefusedOnly)
-                    .findFirst()
-                    .ifPresent(ClientSession::close);
+        if (sessions.size() >= MAX_SESSIONS_FACTOR * config.mostTransfers()) {
+            sessions.stream().filter(ClientSession::isRefusedOnly).findFirst().ifPresent(ClientSession::close);
         }
-        boolean full = sessionCount.size() >= config.mostTransfers();
+        boolean full = sessions.size() >= config.mostTransfers();
         ClientSession session = new ClientSession(endPoint, this, full);
-        sessionCount.add(session);
+        sessions.add(session);
         broker.counters().increment("rsync.connections");
         return session;
     }
 
-    /** Whether new transfers are taken; those that were go on to their end. */
+    /** Sets whether new transfers are accepted; running transfers continue. */
     public void setAcceptingTransfers(boolean accepting) {
         draining = !accepting;
     }
 
-    /** Ends the sessions that have asked for nothing yet. */
+    /** Ends the sessions that have not named a module yet. */
     public void closeIdleSessions() {
-        List.copyOf(sessionCount).forEach(ClientSession::endIfIdle);
+        List.copyOf(sessions).forEach(ClientSession::endIfNoModule);
     }
 
-    /** Takes the operator's file as it is now; transfers that were taken go on. */
+    /** Replaces the configuration; running transfers continue. */
     public void reload(RsyncConfig changed) {
         config = changed;
     }
 
+    /** Number of open client sessions, with those that are only refused. */
     public int sessionCount() {
-        return sessionCount.size();
+        return sessions.size();
     }
 
     boolean isDraining() {
@@ -83,12 +82,12 @@
         log.accept("rsync: " + line);
     }
 
-    /** The client's arguments go on to the node: from here on the transfer may run. */
-    void began(Exchange exchange) {
+    /** Commits the active attempt before the arguments are sent: from here on the node may act on them. */
+    void commitAttempt(Exchange exchange) {
         exchange.activeAttempt().commit();
     }
 
-    void closed(ClientSession session) {
-        sessionCount.remove(session);
+    void sessionClosed(ClientSession session) {
+        sessions.remove(session);
     }
 }
--- a/src/main/java/petrelstand/rsync/RsyncNodeTransport.java
+++ b/src/main/java/petrelstand/rsync/RsyncNodeTransport.java
@@ -14,40 +14,41 @@
 import petrelstand.net.EventLoop;
 import petrelstand.net.SocketAddresses;
 
-/** The side that faces the rsync nodes: one new connection an attempt, since a daemon serves one transfer on each. */
+/** Sends attempts to rsync daemons, each on a new connection, since a daemon serves one transfer per connection. */
 public final class RsyncNodeTransport implements NodeTransport {
-    /** Connect time-outs within which a node must have opened the module. */
-    private static final int OPENING_TIMES = 4;
+    /** Time limit for opening the module after the connect, in multiples of the connect timeout. */
+    private static final int MODULE_TIMEOUT_FACTOR = 4;
 
     private final NodeConnectionPool.Dialer dialer;
     private final LongSupplier clock;
     private final Timers timers;
-    private final long connectUs;
+    private final long connectTimeoutUs;
 
     public RsyncNodeTransport(
             NodeConnectionPool.Dialer dialer, LongSupplier clock, Timers timers, double connectTimeoutMs) {
         this.dialer = dialer;
         this.clock = clock;
         this.timers = timers;
-        this.connectUs = (long) (connectTimeoutMs * 1000);
+        this.connectTimeoutUs = (long) (connectTimeoutMs * 1000);
     }
 
     @Override
     public void start(Attempt attempt) {
-        Dial dial = new Dial(attempt);
-        attempt.attachment(dial);
-        dial.timeout = timers.schedule(clock.getAsLong() + connectUs, dial::late);
+        NodeConnector connector = new NodeConnector(attempt);
+        attempt.attachment(connector);
+        connector.timeout = timers.schedule(clock.getAsLong() + connectTimeoutUs, connector::onTimeout);
         try {
-            dial.channel = dialer.connect(SocketAddresses.parse(attempt.node().address()), dial);
+            connector.channel =
+                    dialer.connect(SocketAddresses.parse(attempt.node().address()), connector);
         } catch (IOException | RuntimeException e) {
-            dial.fail();
+            connector.fail();
         }
     }
 
     @Override
     public void abandon(Attempt attempt) {
-        if (attempt.attachment() instanceof Dial dial) {
-            dial.drop();
+        if (attempt.attachment() instanceof NodeConnector connector) {
+            connector.closeConnection();
         }
     }
 
@@ -58,17 +59,17 @@
 
     @Override
     public void discardConnections(Node node) {
-        // No connection outlives its attempt.
+        // Each connection is closed with its attempt.
     }
 
-    /** A node that is being opened, and its session once it is up. */
-    private final class Dial implements EventLoop.Connector {
+    /** The connection of an attempt: the dial with its timeout, then the node's session. */
+    private final class NodeConnector implements EventLoop.Connector {
         private final Attempt attempt;
         private Timers.Timer timeout;
         private SocketChannel channel;
         private NodeSession session;
 
-        Dial(Attempt attempt) {
+        NodeConnector(Attempt attempt) {
             this.attempt = attempt;
         }
 
@@ -76,7 +77,7 @@
         public Connection connected(EndPoint endPoint) {
             session = new NodeSession(endPoint, attempt);
             timeout.cancel();
-            timeout = timers.schedule(clock.getAsLong() + OPENING_TIMES * connectUs, this::late);
+            timeout = timers.schedule(clock.getAsLong() + MODULE_TIMEOUT_FACTOR * connectTimeoutUs, this::onTimeout);
             return session;
         }
 
@@ -85,19 +86,19 @@
             fail();
         }
 
-        /** Guards against a node that accepts and then says nothing: nothing has run there. */
-        private void late() {
-            if (session == null || !session.isOpen()) {
+        /** Fails the attempt if the node has not opened the module in time; the daemon has run nothing then. */
+        private void onTimeout() {
+            if (session == null || !session.isModuleOpen()) {
                 fail();
             }
         }
 
         private void fail() {
-            drop();
+            closeConnection();
             attempt.end(Outcome.NOT_CONNECTED, null, null);
         }
 
-        private void drop() {
+        private void closeConnection() {
             timeout.cancel();
             if (session != null) {
                 session.close();
@@ -106,7 +107,7 @@
                 try {
                     channel.close();
                 } catch (IOException e) {
-                    // Nothing more can be done for it.
+                    // The channel is given up either way.
                 }
             }
         }
--- a/src/main/java/petrelstand/rsync/SenderReader.java
+++ b/src/main/java/petrelstand/rsync/SenderReader.java
@@ -2,139 +2,143 @@
 
 import java.nio.ByteBuffer;
 
-/** The sender's direction in protocol 29: the file list, then each file's data, the phases, and on a pull figures. */
+/** Parses the sender's direction in protocol 29: the file list, then file data in phases, and statistics on a pull. */
 final class SenderReader extends ItemReader {
-    private enum Part {
-        FILES,
-        USERS,
-        GROUPS,
-        ERRORS,
+    private enum Section {
+        FILE_LIST,
+        USER_NAMES,
+        GROUP_NAMES,
+        IO_ERROR,
         ITEMS,
         TOKENS,
-        FIGURES,
+        STATISTICS,
         END
     }
 
-    private static final int EXTENDED = 1 << 2;
-    private static final int SAME_MODE = 1 << 1;
-    private static final int SAME_USER = 1 << 3;
-    private static final int SAME_GROUP = 1 << 4;
-    private static final int SAME_NAME = 1 << 5;
-    private static final int LONG_NAME = 1 << 6;
-    private static final int SAME_TIME = 1 << 7;
-    private static final int SAME_MAJOR = 1 << 8;
-    private static final int SHORT_MINOR = 1 << 11;
-    private static final int DIGEST = 16;
-    private static final int FIGURES = 5;
+    private static final int XMIT_EXTENDED_FLAGS = 1 << 2;
+    private static final int XMIT_SAME_MODE = 1 << 1;
+    private static final int XMIT_SAME_UID = 1 << 3;
+    private static final int XMIT_SAME_GID = 1 << 4;
+    private static final int XMIT_SAME_NAME = 1 << 5;
+    private static final int XMIT_LONG_NAME = 1 << 6;
+    private static final int XMIT_SAME_TIME = 1 << 7;
+    private static final int XMIT_SAME_RDEV_MAJOR = 1 << 8;
+    private static final int XMIT_RDEV_MINOR_IS_SMALL = 1 << 11;
+    private static final int DIGEST_BYTES = 16;
+    private static final int STATISTICS_COUNT = 5;
 
-    private final Options options;
-    private Part part = Part.FILES;
-    private int mode;
-    private long files;
+    private final TransferOptions options;
+    private Section section = Section.FILE_LIST;
+    private int previousMode;
+    private long fileCount;
 
-    SenderReader(Options options) {
+    SenderReader(TransferOptions options) {
         this.options = options;
     }
 
     @Override
-    boolean done() {
-        return part == Part.END;
+    boolean isDone() {
+        return section == Section.END;
     }
 
-    long files() {
-        return files;
+    /** Number of entries of the file list read so far. */
+    long fileCount() {
+        return fileCount;
     }
 
     @Override
-    void record(ByteBuffer in) {
-        switch (part) {
-            case FILES -> file(in);
-            case USERS -> names(in, options.groups() ? Part.GROUPS : Part.ERRORS);
-            case GROUPS -> names(in, Part.ERRORS);
-            case ERRORS -> {
-                i32(in);
-                // A sender with nothing to send ends here.
-                part = files == 0 ? Part.END : Part.ITEMS;
+    void readRecord(ByteBuffer in) {
+        switch (section) {
+            case FILE_LIST -> readFileEntry(in);
+            case USER_NAMES -> readIdName(in, options.preserveGroups() ? Section.GROUP_NAMES : Section.IO_ERROR);
+            case GROUP_NAMES -> readIdName(in, Section.IO_ERROR);
+            case IO_ERROR -> {
+                readInt(in);
+                // With an empty file list the sender ends here.
+                section = fileCount == 0 ? Section.END : Section.ITEMS;
             }
             case ITEMS -> {
-                if (item(in)) {
-                    sums(in);
-                    part = Part.TOKENS;
-                } else if (phases() == PHASES) {
-                    part = options.pull() ? Part.FIGURES : Part.END;
+                if (readItemHeader(in)) {
+                    readChecksumHeader(in);
+                    section = Section.TOKENS;
+                } else if (phasesEnded() == PHASE_COUNT) {
+                    section = options.pull() ? Section.STATISTICS : Section.END;
                 }
             }
-            case TOKENS -> token(in);
-            case FIGURES -> {
-                for (int i = 0; i < FIGURES; i++) {
-                    longInt(in);
+            case TOKENS -> readToken(in);
+            case STATISTICS -> {
+                for (int i = 0; i < STATISTICS_COUNT; i++) {
+                    readLong(in);
                 }
-                part = Part.END;
+                section = Section.END;
             }
-            default -> throw new Malformed("bytes after the end of the transfer");
+            default -> throw new ProtocolException("bytes after the end of the transfer");
         }
     }
 
-    private void token(ByteBuffer in) {
-        int token = i32(in);
+    /** Reads a token: positive is the length of literal data, negative a matched block, 0 the end of the file. */
+    private void readToken(ByteBuffer in) {
+        int token = readInt(in);
         if (token > 0) {
             skip(token);
         } else if (token == 0) {
-            pass(in, DIGEST);
-            part = Part.ITEMS;
+            skipField(in, DIGEST_BYTES);
+            section = Section.ITEMS;
         }
     }
 
-    private void file(ByteBuffer in) {
-        int flags = u8(in);
+    private void readFileEntry(ByteBuffer in) {
+        int flags = readUnsignedByte(in);
         if (flags == 0) {
-            part = options.names() && options.users()
-                    ? Part.USERS
-                    : options.names() && options.groups() ? Part.GROUPS : Part.ERRORS;
+            section = options.sendsIdNames() && options.preserveUsers()
+                    ? Section.USER_NAMES
+                    : options.sendsIdNames() && options.preserveGroups() ? Section.GROUP_NAMES : Section.IO_ERROR;
             return;
         }
-        if ((flags & EXTENDED) != 0) {
-            flags |= u8(in) << 8;
+        if ((flags & XMIT_EXTENDED_FLAGS) != 0) {
+            flags |= readUnsignedByte(in) << 8;
         }
-        if ((flags & SAME_NAME) != 0) {
-            u8(in);
+        if ((flags & XMIT_SAME_NAME) != 0) {
+            readUnsignedByte(in);
         }
-        pass(in, (flags & LONG_NAME) != 0 ? i32(in) : u8(in));
-        longInt(in);
-        if ((flags & SAME_TIME) == 0) {
-            i32(in);
+        skipField(in, (flags & XMIT_LONG_NAME) != 0 ? readInt(in) : readUnsignedByte(in));
+        readLong(in);
+        if ((flags & XMIT_SAME_TIME) == 0) {
+            readInt(in);
         }
-        int itsMode = (flags & SAME_MODE) == 0 ? i32(in) : mode;
-        if (options.users() && (flags & SAME_USER) == 0) {
-            i32(in);
+        int fileMode = (flags & XMIT_SAME_MODE) == 0 ? readInt(in) : previousMode;
+        if (options.preserveUsers() && (flags & XMIT_SAME_UID) == 0) {
+            readInt(in);
         }
-        if (options.groups() && (flags & SAME_GROUP) == 0) {
-            i32(in);
+        if (options.preserveGroups() && (flags & XMIT_SAME_GID) == 0) {
+            readInt(in);
         }
-        int kind = itsMode & 0170000;
-        boolean device = kind == 0020000 || kind == 0060000 || kind == 0010000 || kind == 0140000;
-        if (options.devices() && device) {
-            if ((flags & SAME_MAJOR) == 0) {
-                i32(in);
+        int fileType = fileMode & 0170000;
+        boolean isSpecialFile =
+                fileType == 0020000 || fileType == 0060000 || fileType == 0010000 || fileType == 0140000;
+        if (options.preserveDevices() && isSpecialFile) {
+            if ((flags & XMIT_SAME_RDEV_MAJOR) == 0) {
+                readInt(in);
             }
-            if ((flags & SHORT_MINOR) != 0) {
-                u8(in);
+            if ((flags & XMIT_RDEV_MINOR_IS_SMALL) != 0) {
+                readUnsignedByte(in);
             } else {
-                i32(in);
+                readInt(in);
             }
         }
-        if (options.links() && kind == 0120000) {
-            pass(in, i32(in));
+        if (options.preserveLinks() && fileType == 0120000) {
+            skipField(in, readInt(in));
         }
-        mode = itsMode;
-        files++;
+        previousMode = fileMode;
+        fileCount++;
     }
 
-    private void names(ByteBuffer in, Part next) {
-        if (i32(in) == 0) {
-            part = next;
+    /** Reads an id and its name; id 0 ends the list. */
+    private void readIdName(ByteBuffer in, Section next) {
+        if (readInt(in) == 0) {
+            section = next;
         } else {
-            pass(in, u8(in));
+            skipField(in, readUnsignedByte(in));
         }
     }
 }
--- a/src/main/java/petrelstand/rsync/Transfer.java
+++ b/src/main/java/petrelstand/rsync/Transfer.java
@@ -3,38 +3,41 @@
 import java.nio.ByteBuffer;
 
 /**
- * The message of a transfer's exchange, where its client and its node meet: the module asked for, and once a node has
- * taken it, the two ends of the relay. It follows both directions and knows whether the transfer ended whole.
+ * The message of a transfer's exchange; connects the client's session with the node's. It parses both directions to
+ * know whether the transfer is complete. A transfer that has not started can be moved to another node.
  */
 final class Transfer {
-    /** One end: takes bytes and says when they have left, which is when the next may come. */
-    interface End {
-        void relay(ByteBuffer bytes, Runnable left);
+    /** A side of the relay. */
+    interface RelayEnd {
+        /** Writes the bytes and runs the callback when they are written; only then may the next call follow. */
+        void relay(ByteBuffer bytes, Runnable onWritten);
 
         boolean isWriting();
     }
 
-    /** The node's end is told when the transfer has ended whole. */
-    interface NodeEnd extends End {
-        void finished();
+    /** The node's side. */
+    interface NodeEnd extends RelayEnd {
+        /** Called when both directions are complete and written. */
+        void onTransferComplete();
 
-        /** Goes on reading, after it had to wait. */
-        void begin();
+        /** Starts reading the daemon's stream, since the arguments have been sent. */
+        void startReading();
     }
 
-    /** The client's end hears that a node has opened the module. */
-    interface ClientEnd extends End {
-        void taken();
+    /** The client's side. */
+    interface ClientEnd extends RelayEnd {
+        /** Called for each attempt whose node has opened the module. */
+        void onModuleOpened();
     }
 
     private final String module;
     private final ClientEnd client;
     private NodeEnd node;
-    private Options options;
+    private TransferOptions options;
     private SenderReader sender;
     private ReceiverReader receiver;
-    private MuxReader fromNode;
-    private RecordReader fromClient;
+    private MultiplexReader nodeStream;
+    private RecordReader clientStream;
 
     Transfer(String module, ClientEnd client) {
         this.module = module;
@@ -45,79 +48,87 @@
         return module;
     }
 
-    /** A node has opened the module for it. */
-    void opened(NodeEnd end) {
+    /** Attaches a node that has opened the module. */
+    void nodeOpened(NodeEnd end) {
         node = end;
-        client.taken();
+        client.onModuleOpened();
     }
 
-    /** The attempt ended; another may open it again as long as nothing was relayed. */
-    void closed(End end) {
+    /** Detaches the node when its session closes; a session that is not attached is ignored. */
+    void nodeClosed(RelayEnd end) {
         if (node == end) {
             node = null;
         }
     }
 
-    /** The arguments were read and lie within the subset. */
-    void begin(Options taken) {
-        options = taken;
-        sender = new SenderReader(taken);
-        receiver = new ReceiverReader(taken);
-        fromNode = new MuxReader(taken.pull() ? sender : receiver);
-        fromClient = taken.pull() ? receiver : sender;
+    /** Starts the relay with the options that were parsed from the client's arguments. */
+    void start(TransferOptions acceptedOptions) {
+        options = acceptedOptions;
+        sender = new SenderReader(acceptedOptions);
+        receiver = new ReceiverReader(acceptedOptions);
+        nodeStream = new MultiplexReader(acceptedOptions.pull() ? sender : receiver);
+        clientStream = acceptedOptions.pull() ? receiver : sender;
     }
 
-    /** A node has the module open. */
-    boolean isOpen() {
+    /** Whether a node that has opened the module is attached. */
+    boolean isModuleOpen() {
         return node != null;
     }
 
-    boolean begun() {
+    /** Whether the client's arguments were accepted. */
+    boolean isStarted() {
         return options != null;
     }
 
-    /** Bytes from the client; throws where they are not the protocol's. */
-    void up(ByteBuffer bytes, Runnable left) {
-        fromClient.feed(bytes);
-        node.relay(bytes, left);
-    }
-
     /**
-     * The client's arguments, as they came. The node is read from only when they have left: it may not speak sooner.
+     * Parses bytes from the client and writes them to the node.
+     *
+     * @throws RecordReader.ProtocolException if they are not of the supported subset
      */
-    void upArguments(ByteBuffer bytes, Runnable left) {
-        NodeEnd to = node;
-        to.relay(bytes, () -> {
-            to.begin();
-            left.run();
+    void relayFromClient(ByteBuffer bytes, Runnable onWritten) {
+        clientStream.feed(bytes);
+        node.relay(bytes, onWritten);
+    }
+
+    /** Writes the client's arguments to the node unchanged, then starts reading the node's stream. */
+    void relayArguments(ByteBuffer bytes, Runnable onWritten) {
+        NodeEnd target = node;
+        target.relay(bytes, () -> {
+            target.startReading();
+            onWritten.run();
         });
     }
 
-    void down(ByteBuffer bytes, Runnable left) {
-        fromNode.feed(bytes);
-        client.relay(bytes, left);
+    /**
+     * Parses bytes from the node and writes them to the client.
+     *
+     * @throws RecordReader.ProtocolException if they are not of the supported subset
+     */
+    void relayFromNode(ByteBuffer bytes, Runnable onWritten) {
+        nodeStream.feed(bytes);
+        client.relay(bytes, onWritten);
     }
 
-    /** True while nothing of the server's stream has passed, not even its seed. */
-    boolean untouched() {
-        return fromNode == null || fromNode.untouched();
+    /** Whether no byte of the node's stream has been relayed, not even the checksum seed. */
+    boolean isNodeStreamAtStart() {
+        return nodeStream == null || nodeStream.isAtStart();
     }
 
-    /** True where the server's stream stands between frames, so that an error message can be put in. */
-    boolean atFrame() {
-        return fromNode != null && fromNode.atFrame();
+    /** Whether the node's stream is between two frames, so that an error frame can be inserted. */
+    boolean isAtFrameBoundary() {
+        return nodeStream != null && nodeStream.isAtFrameBoundary();
     }
 
-    /** To be called when a write has left: ends the transfer where nothing more is to come or to go. */
-    void checkWhole() {
-        if (node != null && whole() && !node.isWriting() && !client.isWriting()) {
-            node.finished();
+    /** Call after each write: ends the transfer if both directions are complete and no write is in progress. */
+    void completeIfDone() {
+        if (node != null && isComplete() && !node.isWriting() && !client.isWriting()) {
+            node.onTransferComplete();
         }
     }
 
-    /** True once both directions have come to the protocol's own end. */
-    boolean whole() {
-        boolean empty = sender != null && sender.done() && sender.files() == 0;
-        return sender != null && sender.done() && (receiver.done() || empty);
+    /** Whether both directions have reached the end of the protocol; an empty file list ends the transfer early. */
+    boolean isComplete() {
+        boolean emptyFileList = sender != null && sender.isDone() && sender.fileCount() == 0;
+        return sender != null && sender.isDone() && (receiver.isDone() || emptyFileList);
     }
 }
--- a/src/test/java/petrelstand/rsync/SessionModelTest.java
+++ b/src/test/java/petrelstand/rsync/SessionModelTest.java
@@ -16,30 +16,30 @@
 import petrelstand.testing.Configs;
 import petrelstand.testing.Harness;
 
-/** Sessions on connections in memory, against a model: two scripts, each sent in pieces, each perhaps cut. */
+/** Runs sessions on in-memory connections: a client and a daemon script, sent in chunks and cut at random. */
 class SessionModelTest {
-    private static final String TAKEN = "taken.bulk-export";
-    private final Harness world = new Harness();
+    private static final String ACCEPTED_COUNTER = "taken.bulk-export";
+    private final Harness harness = new Harness();
     private final RsyncConfig config = Configs.load(
-                    Configs.operator(2000), Configs.xds(Map.of(8731, "HEALTHY")), world.settings)
+                    Configs.operator(2000), Configs.xds(Map.of(8731, "HEALTHY")), harness.settings)
             .rsync();
     private final RsyncFront front = new RsyncFront(
-            world.broker(new RsyncNodeTransport(world::dial, () -> world.nowUs, world.timers, 250)),
-            world.timers,
+            harness.broker(new RsyncNodeTransport(harness::dial, () -> harness.nowUs, harness.timers, 250)),
+            harness.timers,
             config,
-            world.log::add);
+            harness.log::add);
     private final MemoryEndPoint client;
-    private final StringBuilder clientGot = new StringBuilder();
-    private final StringBuilder nodeGot = new StringBuilder();
+    private final StringBuilder clientReceived = new StringBuilder();
+    private final StringBuilder nodeReceived = new StringBuilder();
     private String clientScript =
             "@RSYNCD: 31.0\ncharts\n" + GoldenTransfers.PULL_ARGUMENTS + text(GoldenTransfers.pullFromClient());
     private String nodeScript = "@RSYNCD: 31.0\n@RSYNCD: OK\n" + text(GoldenTransfers.pullFromNode());
     private MemoryEndPoint node;
-    private int dials;
+    private int connectionCount;
 
     SessionModelTest() {
         config.nodes().forEach(listed -> assertTrue(listed.isPrivate()));
-        world.list(config.nodes().toArray(petrelstand.core.Node[]::new));
+        harness.list(config.nodes().toArray(petrelstand.core.Node[]::new));
         client = MemoryEndPoint.open(front::accept);
     }
 
@@ -48,37 +48,37 @@
     }
 
     private void clientSends(int size) {
-        int now = Math.min(size, clientScript.length());
-        client.sendBytes(clientScript.substring(0, now).getBytes(StandardCharsets.ISO_8859_1));
-        clientScript = clientScript.substring(now);
+        int count = Math.min(size, clientScript.length());
+        client.sendBytes(clientScript.substring(0, count).getBytes(StandardCharsets.ISO_8859_1));
+        clientScript = clientScript.substring(count);
     }
 
     private void nodeSends(int size) {
-        if (node == null && !world.dialed.isEmpty()) {
-            node = world.up();
-            dials++;
+        if (node == null && !harness.dialed.isEmpty()) {
+            node = harness.up();
+            connectionCount++;
         }
         if (node != null) {
-            int now = Math.min(size, nodeScript.length());
-            node.sendBytes(nodeScript.substring(0, now).getBytes(StandardCharsets.ISO_8859_1));
-            nodeScript = nodeScript.substring(now);
+            int count = Math.min(size, nodeScript.length());
+            node.sendBytes(nodeScript.substring(0, count).getBytes(StandardCharsets.ISO_8859_1));
+            nodeScript = nodeScript.substring(count);
         }
     }
 
     private void collect() {
-        clientGot.append(client.takeReceived());
+        clientReceived.append(client.takeReceived());
         if (node != null) {
-            nodeGot.append(node.takeReceived());
+            nodeReceived.append(node.takeReceived());
         }
     }
 
     private long count(String name) {
-        return world.counters.get(name);
+        return harness.counters.get(name);
     }
 
-    /** Each request ends once, nothing stays open, and what is called served has passed whole and unchanged. */
+    /** Each request ends once, no session stays open, and a served transfer was relayed complete and unchanged. */
     @Property(tries = 500, seed = "20261205")
-    void aTransferEndsOnceAndIsServedOnlyWhole(
+    void endsOnceAndIsServedOnlyIfRelayedUnchanged(
             @ForAll @Size(max = 60) List<@IntRange(max = 15) Integer> steps,
             @ForAll @IntRange(min = 20, max = 200) int size) {
         SessionModelTest test = new SessionModelTest();
@@ -97,7 +97,7 @@
                         cut = true;
                     }
                 }
-                case 2 -> test.world.run(150_000);
+                case 2 -> test.harness.run(150_000);
                 default -> {
                     if (step % 2 == 0 && !cut) {
                         test.clientSends(size);
@@ -108,12 +108,12 @@
             }
             test.collect();
         }
-        test.world.run(12_000_000);
+        test.harness.run(12_000_000);
         test.collect();
-        assertEquals(0, test.world.broker.openRequests());
+        assertEquals(0, test.harness.broker.openRequests());
         assertEquals(0, test.front.sessionCount());
         assertEquals(
-                test.count(TAKEN),
+                test.count(ACCEPTED_COUNTER),
                 test.count("answered.served")
                         + test.count("answered.refused")
                         + test.count("answered.failed")
@@ -124,18 +124,18 @@
                 served,
                 test.clientScript.isEmpty()
                         && test.nodeScript.isEmpty()
-                        && test.dials == 1
-                        && test.clientGot
+                        && test.connectionCount == 1
+                        && test.clientReceived
                                 .toString()
                                 .equals("@RSYNCD: 29.0\n@RSYNCD: OK\n" + text(GoldenTransfers.pullFromNode()))
-                        && test.nodeGot
+                        && test.nodeReceived
                                 .toString()
                                 .equals("@RSYNCD: 29.0\ncharts\n" + GoldenTransfers.PULL_ARGUMENTS
                                         + text(GoldenTransfers.pullFromClient())));
     }
 
     @Test
-    void theModelsScriptsAreServedWhereNothingIsCut() {
+    void servesCompleteTransferWhenNothingIsCut() {
         for (int i = 0; i < 40; i++) {
             clientSends(50);
             nodeSends(50);
@@ -144,36 +144,36 @@
     }
 
     @Test
-    void aDaemonThatAcceptsAndSaysNothingIsNotConnected() {
+    void silentDaemonCountsAsNotConnected() {
         clientSends(22);
-        world.up();
-        world.run(1_000_000);
+        harness.up();
+        harness.run(1_000_000);
         assertEquals(1, count("outcome.not_connected"));
     }
 
-    /** Nothing has run at a node that died before it had the arguments: another attempt may open the module. */
+    /** A daemon that closed before it got the arguments has run nothing, so another attempt is allowed. */
     @Test
-    void aDaemonThatDiesBeforeTheArgumentsIsReplacedUnseen() {
+    void retriesOnNewConnectionIfDaemonClosesBeforeArguments() {
         clientSends(22);
         nodeSends(26);
         node.sendEof();
         node = null;
         nodeScript = "@RSYNCD: 31.0\n@RSYNCD: OK\n" + text(GoldenTransfers.pullFromNode());
-        world.run(400_000);
+        harness.run(400_000);
         for (int i = 0; i < 40; i++) {
             clientSends(50);
             nodeSends(50);
         }
-        assertEquals(2, dials);
+        assertEquals(2, connectionCount);
         assertEquals(1, count("answered.served"));
     }
 
     @Test
-    void aTransferPastItsDeadlineIsCutOnceAndItsNodeLetGo() {
+    void cutsTransferOnceAtDeadlineAndClosesNodeConnection() {
         clientSends(22 + GoldenTransfers.PULL_ARGUMENTS.length());
         nodeSends(26);
         for (int i = 0; i < 60; i++) {
-            world.run(100_000);
+            harness.run(100_000);
             nodeSends(1);
         }
         assertEquals(1, count("answered.cut"));
