--- a/src/main/java/petrelstand/state/Snapshot.java
+++ b/src/main/java/petrelstand/state/Snapshot.java
@@ -8,14 +8,14 @@
 import petrelstand.decision.Scheduling.Settings;
 
 /**
- * What one gateway had learned at one moment, as it is kept.
+ * The learned state of a gateway at one moment, as it is stored.
  *
  * @param gateway the gateway's name
- * @param settingsPrint {@link #fingerprint} of the settings under which it was learned
- * @param generation counts the snapshots of a folder, from 1
- * @param wallMs when it was taken, in Unix time, ms
- * @param clean true where the gateway took nothing and sent nothing after it: the last one of an orderly end
- * @param learned the figures, as the decision module handed them out
+ * @param settingsPrint {@link #fingerprint} of the settings in force when it was learned
+ * @param generation sequence number of the snapshot in its folder, from 1
+ * @param wallMs when it was taken, in milliseconds of Unix time
+ * @param clean true if the gateway accepted and sent nothing after it: the final snapshot of a clean shutdown
+ * @param learned the values exported by the decision module
  */
 public record Snapshot(
         String gateway,
@@ -24,7 +24,7 @@
         long wallMs,
         boolean cleanShutdown,
         LearnedState learned) {
-    /** Nodes that are kept, at most; what a folder gives back beyond it is not believed. */
+    /** Maximum number of nodes in a snapshot; further ones are neither written nor restored. */
     public static final int MAX_NODES = 4096;
 
     public Snapshot {
@@ -32,18 +32,18 @@
         Objects.requireNonNull(learned, "learned");
     }
 
-    /** The first 64 bits of the SHA-256 of the settings, written out: equal settings have equal prints. */
+    /** Returns the first 64 bits of the SHA-256 of the settings' text; equal settings have equal fingerprints. */
     public static long fingerprint(Settings settings) {
         try {
             byte[] hash = MessageDigest.getInstance("SHA-256")
                     .digest(settings.toString().getBytes(StandardCharsets.UTF_8));
-            long print = 0;
+            long fingerprint = 0;
             for (int i = 0; i < Long.BYTES; i++) {
-                print = print << 8 | hash[i] & 0xff;
+                fingerprint = fingerprint << 8 | hash[i] & 0xff;
             }
-            return print;
+            return fingerprint;
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java platform has SHA-256", e);
+            throw new IllegalStateException("SHA-256 is not available, though every Java platform must provide it", e);
         }
     }
 }
--- a/src/main/java/petrelstand/state/SnapshotEvaluator.java
+++ b/src/main/java/petrelstand/state/SnapshotEvaluator.java
@@ -13,43 +13,49 @@
 import petrelstand.decision.Scheduling.Settings;
 
 /**
- * Decides what old knowledge is worth. Each kind of figure has a half-life of its own, and its weight after that time
- * is a half: a measured rate then rests on half as many slots, a usual latency, a window and a part of a volume's use
- * lie half way between what was learned and what a gateway that knows nothing starts with. Silence does not fade into
- * half a silence: it is believed for two half-lives and then dropped.
+ * Decides how much of a stored snapshot is still usable. Each kind of value has its own half-life: measured rates lose
+ * weight, while latencies, windows and local fractions move toward the values of a fresh start. Silence is dropped
+ * after two half-lives.
  *
- * <p>Whatever a file says, what comes out is finite and bounded, and rests on so little evidence that fresh observation
- * outweighs it: {@link #MAX_NODE_SLOTS} slots of work at a node weigh as much as all that is recalled of its rate, and
- * {@link Policy#RATE_SPAN_MS} after the start nothing of it is left. Figures that guard a rule (a limit's store, the
- * units sent to a cold node) do not fade: they are taken at their worst.
+ * <p>Whatever the file contains, the result is finite and bounded, and new observations soon outweigh it: a node's rate
+ * rests on at most {@link #MAX_NODE_SLOTS} slots and is forgotten {@link Policy#RATE_SPAN_MS} after the start. Values
+ * that enforce a rule (levels of limits, units sent to a cold node) do not decay; their worst case is assumed.
  */
 public final class SnapshotEvaluator {
-    /** A node's speed is mostly its machine's; but neighbours come and go within seconds. */
     static final double RATE_HALF_LIFE_MS = 60_000;
-    /** Latency holds the load of the moment too, which a surge of some 10 s changes. */
+    /** Shorter than the half-life of rates, since latency also depends on the current load. */
     static final double LATENCY_HALF_LIFE_MS = 20_000;
 
     static final double WINDOW_HALF_LIFE_MS = 20_000;
-    /** Nodes fall silent for 8 to 26 s; believed for two of these. */
     static final double SILENCE_HALF_LIFE_MS = 10_000;
-    /** The gateway that leads for a volume changes every 7 to 17 s. */
-    static final double USE_HALF_LIFE_MS = 30_000;
-    /** Beyond this age nothing is believed at all. */
+    /** Half-life of the fraction of a volume's traffic that this gateway serves. */
+    static final double LOCAL_FRACTION_HALF_LIFE_MS = 30_000;
+    /** Older snapshots are rejected. */
     public static final double MAX_AGE_MS = 900_000;
-    /** Slots that the recalled rate of a node rests on at most: as many as the module's own assumption. */
+    /**
+     * Maximum number of slots that a node's restored rate rests on; equals the decision module's initial assumption.
+     */
     static final double MAX_NODE_SLOTS = 10;
-    /** The same for the mean of all nodes. */
+    /** Maximum number of slots that the restored mean rate of all nodes rests on. */
     static final double MAX_POOL_SLOTS = 20;
-    /** Units a slot, in largest requests, that a node can be remembered to have served. */
+    /** Maximum restored rate of a node, in requests of the largest size per slot. */
     static final double MAX_REQUESTS_PER_SLOT = Policy.MAX_WINDOW;
 
     static final double MIN_LATENCY_MS = 0.1;
 
-    /** What is recalled, or why nothing is; {@code dropped} counts lines that were nonsense or twice there. */
+    /**
+     * The result of an evaluation.
+     *
+     * @param learned the state to restore; empty if the snapshot was rejected
+     * @param rejectionReason why the whole snapshot was rejected, null if it was not
+     * @param ageMs age of the snapshot
+     * @param silentNodes restored nodes that are considered silent
+     * @param droppedEntries nodes and volumes that were invalid, duplicate or beyond the maximum
+     */
     public record Evaluation(
             LearnedState learned, String rejectionReason, double ageMs, int silentNodes, int droppedEntries) {
-        static Evaluation reject(double nowMs, double ageMs, String why) {
-            return new Evaluation(LearnedState.empty(nowMs), why, ageMs, 0, 0);
+        static Evaluation reject(double nowMs, double ageMs, String reason) {
+            return new Evaluation(LearnedState.empty(nowMs), reason, ageMs, 0, 0);
         }
     }
 
@@ -57,14 +63,14 @@
     private final String gateway;
     private final double initialLatencyMs;
     private final double maxAimMs;
-    /** No smaller window is taken over: one of 0 would never open again. */
+    /** Lower bound of a restored window; a window of 0 would never grow again. */
     private final double minWindow;
 
-    /** For a gateway of a name under settings. */
+    /** Creates an evaluator for the gateway of this name and its current settings. */
     public SnapshotEvaluator(String gateway, Settings settings) {
         this.gateway = gateway;
         this.settings = settings;
-        double tightest = settings.classes().stream()
+        double minAimMs = settings.classes().stream()
                 .mapToDouble(RequestClass::aimMs)
                 .min()
                 .orElseThrow();
@@ -73,49 +79,50 @@
                 .mapToDouble(RequestClass::aimMs)
                 .max()
                 .orElseThrow();
-        this.initialLatencyMs = Policy.INITIAL_LATENCY_SLOTS * Policy.SLOT_AIM_FRACTION * tightest;
+        this.initialLatencyMs = Policy.INITIAL_LATENCY_SLOTS * Policy.SLOT_AIM_FRACTION * minAimMs;
     }
 
-    /** Weighs a snapshot at a time, in Unix ms; a snapshot that is refused as a whole gives nothing and says why. */
-    public Evaluation evaluate(Snapshot old, double nowMs) {
-        double age = nowMs - old.wallMs();
-        if (!old.gateway().equals(gateway)) {
-            return Evaluation.reject(nowMs, age, "it is of another gateway, '" + old.gateway() + "'");
+    /** Evaluates a snapshot at the given time, in milliseconds of Unix time. */
+    public Evaluation evaluate(Snapshot snapshot, double nowMs) {
+        double ageMs = nowMs - snapshot.wallMs();
+        if (!snapshot.gateway().equals(gateway)) {
+            return Evaluation.reject(nowMs, ageMs, "it belongs to another gateway, '" + snapshot.gateway() + "'");
         }
-        if (old.settingsFingerprint() != Snapshot.fingerprint(settings)) {
-            return Evaluation.reject(nowMs, age, "the settings have changed");
+        if (snapshot.settingsFingerprint() != Snapshot.fingerprint(settings)) {
+            return Evaluation.reject(nowMs, ageMs, "the settings have changed since it was written");
         }
-        if (!(age >= 0)) {
-            return Evaluation.reject(nowMs, age, "it is from the future; was the clock set back?");
+        if (!(ageMs >= 0)) {
+            return Evaluation.reject(nowMs, ageMs, "its time is in the future; check the system clock");
         }
-        if (age > MAX_AGE_MS) {
-            return Evaluation.reject(nowMs, age, "it is older than " + (long) (MAX_AGE_MS / 1000) + " s");
+        if (ageMs > MAX_AGE_MS) {
+            return Evaluation.reject(nowMs, ageMs, "it is older than " + (long) (MAX_AGE_MS / 1000) + " s");
         }
-        LearnedState from = old.learned();
+        LearnedState stored = snapshot.learned();
         List<LearnedNode> nodes = new ArrayList<>();
-        Set<Long> seen = new HashSet<>();
-        for (LearnedNode node : from.nodes()) {
-            if (nodes.size() < Snapshot.MAX_NODES && isValid(node, old.wallMs()) && seen.add(node.node())) {
-                nodes.add(decay(node, age, nowMs));
+        Set<Long> seenIds = new HashSet<>();
+        for (LearnedNode node : stored.nodes()) {
+            if (nodes.size() < Snapshot.MAX_NODES && isValid(node, snapshot.wallMs()) && seenIds.add(node.node())) {
+                nodes.add(decay(node, ageMs, nowMs));
             }
         }
         List<LearnedVolume> volumes = new ArrayList<>();
-        seen.clear();
-        for (LearnedVolume volume : from.volumes()) {
-            if (volumes.size() < Policy.MAX_VOLUMES && isValid(volume) && seen.add(volume.volume())) {
-                volumes.add(decay(volume, age, old.cleanShutdown()));
+        seenIds.clear();
+        for (LearnedVolume volume : stored.volumes()) {
+            if (volumes.size() < Policy.MAX_VOLUMES && isValid(volume) && seenIds.add(volume.volume())) {
+                volumes.add(decay(volume, ageMs, snapshot.cleanShutdown()));
             }
         }
-        double weight = halfLifeWeight(age, RATE_HALF_LIFE_MS);
-        double slots =
-                isFiniteNonNegative(from.measuredSlots()) ? Math.min(from.measuredSlots(), MAX_POOL_SLOTS) * weight : 0;
-        double served = slots > 0 && isFiniteNonNegative(from.servedUnits())
-                ? slots * boundedRate(from.servedUnits(), from.measuredSlots())
+        double weight = halfLifeWeight(ageMs, RATE_HALF_LIFE_MS);
+        double slots = isFiniteNonNegative(stored.measuredSlots())
+                ? Math.min(stored.measuredSlots(), MAX_POOL_SLOTS) * weight
+                : 0;
+        double served = slots > 0 && isFiniteNonNegative(stored.servedUnits())
+                ? slots * boundedRate(stored.servedUnits(), stored.measuredSlots())
                 : 0;
         int silent = (int) nodes.stream().filter(node -> node.silentMs() > 0).count();
-        int dropped = from.nodes().size() - nodes.size() + from.volumes().size() - volumes.size();
+        int dropped = stored.nodes().size() - nodes.size() + stored.volumes().size() - volumes.size();
         return new Evaluation(
-                new LearnedState(nowMs, served > 0 ? slots : 0, served, nodes, volumes), null, age, silent, dropped);
+                new LearnedState(nowMs, served > 0 ? slots : 0, served, nodes, volumes), null, ageMs, silent, dropped);
     }
 
     static double halfLifeWeight(double ageMs, double halfLifeMs) {
@@ -126,7 +133,7 @@
         return value >= 0 && value < Double.POSITIVE_INFINITY;
     }
 
-    /** A node that started after the file was written can't be in it. */
+    /** Checks a stored node; one that started after the file was written is invalid. */
     private static boolean isValid(LearnedNode node, double writtenMs) {
         return isFiniteNonNegative(node.upSinceMs())
                 && node.upSinceMs() <= writtenMs
@@ -150,24 +157,24 @@
                 && Double.isFinite(volume.shareLevel());
     }
 
-    /** Units a slot; a node cannot have served more than a full window of largest requests. */
+    /** Returns the rate in units per slot, bounded by a full window of requests of the largest size. */
     private double boundedRate(double served, double slots) {
         return Math.min(served / slots, MAX_REQUESTS_PER_SLOT * settings.mostUnits());
     }
 
-    private LearnedNode decay(LearnedNode node, double age, double nowMs) {
-        double slots = Math.min(node.measuredSlots(), MAX_NODE_SLOTS) * halfLifeWeight(age, RATE_HALF_LIFE_MS);
+    private LearnedNode decay(LearnedNode node, double ageMs, double nowMs) {
+        double slots = Math.min(node.measuredSlots(), MAX_NODE_SLOTS) * halfLifeWeight(ageMs, RATE_HALF_LIFE_MS);
         double served = slots > 0 ? slots * boundedRate(node.servedUnits(), node.measuredSlots()) : 0;
         double window = interpolate(
                 Policy.INITIAL_WINDOW,
                 Math.max(minWindow, Math.min(node.window(), Policy.MAX_WINDOW)),
-                halfLifeWeight(age, WINDOW_HALF_LIFE_MS));
+                halfLifeWeight(ageMs, WINDOW_HALF_LIFE_MS));
         double latency = interpolate(
                 initialLatencyMs,
                 Math.max(MIN_LATENCY_MS, Math.min(node.latencyMs(), maxAimMs)),
-                halfLifeWeight(age, LATENCY_HALF_LIFE_MS));
-        boolean silent = node.silentMs() > 0 && halfLifeWeight(age, SILENCE_HALF_LIFE_MS) >= 0.25;
-        // What a cold node was sent is counted whole and from now on, so it never looks smaller than it was.
+                halfLifeWeight(ageMs, LATENCY_HALF_LIFE_MS));
+        boolean silent = node.silentMs() > 0 && halfLifeWeight(ageMs, SILENCE_HALF_LIFE_MS) >= 0.25;
+        // Counted in full from now on, so that the units sent to a cold node are never underestimated.
         boolean cold = node.upSinceMs() > 0
                 && nowMs
                         < node.upSinceMs()
@@ -181,32 +188,31 @@
                 window,
                 latency,
                 cold ? node.coldSentUnits() : 0,
-                silent ? Math.min(node.silentMs() + age, MAX_AGE_MS) : 0);
+                silent ? Math.min(node.silentMs() + ageMs, MAX_AGE_MS) : 0);
     }
 
-    private LearnedVolume decay(LearnedVolume volume, double age, boolean clean) {
+    private LearnedVolume decay(LearnedVolume volume, double ageMs, boolean cleanShutdown) {
         Plan plan = settings.plans().get(volume.plan());
         int hosts = volume.hostCount();
-        double part = interpolate(
+        double localFraction = interpolate(
                 Math.min(1 / Math.sqrt(hosts), 2.0 / hosts),
                 Math.max(1.0 / hosts, volume.localFraction()),
-                halfLifeWeight(age, USE_HALF_LIFE_MS));
-        // What was spent between the last snapshot and a crash is not known: all of the limit may be. After a clean
-        // end nothing was.
-        double limit = clean
-                ? refilledLevel(volume.limitLevel(), plan.limit() / hosts, age)
+                halfLifeWeight(ageMs, LOCAL_FRACTION_HALF_LIFE_MS));
+        // After a crash the whole limit may have been used since the snapshot; after a clean shutdown nothing was.
+        double limitLevel = cleanShutdown
+                ? refilledLevel(volume.limitLevel(), plan.limit() / hosts, ageMs)
                 : Math.min(0, volume.limitLevel());
         return new LearnedVolume(
                 volume.volume(),
                 volume.plan(),
                 hosts,
-                part,
-                limit,
-                refilledLevel(volume.reserveLevel(), plan.reserve() * part, age),
-                refilledLevel(volume.shareLevel(), plan.rate() * part, age));
+                localFraction,
+                limitLevel,
+                refilledLevel(volume.reserveLevel(), plan.reserve() * localFraction, ageMs),
+                refilledLevel(volume.shareLevel(), plan.rate() * localFraction, ageMs));
     }
 
-    /** A store's level after a time in which nothing was taken; the module cuts it at the store's size. */
+    /** Returns a token bucket's level after an idle time; the decision module caps it at the bucket's size. */
     private double refilledLevel(double level, double rate, double ageMs) {
         return Math.max(-settings.mostUnits(), Math.min(level, Double.MAX_VALUE / 2)) + rate * ageMs / 1000;
     }
--- a/src/main/java/petrelstand/state/SnapshotFiles.java
+++ b/src/main/java/petrelstand/state/SnapshotFiles.java
@@ -9,32 +9,32 @@
 import java.util.TreeSet;
 
 /**
- * The names of a state folder's files, and which of them may go. A snapshot is {@code learned-N.state}, N its
- * generation in 16 hex digits; while it is written its name ends in {@code .tmp}. Only what this process knows to be
- * whole is ever deleted, so that a file which it could not read stays for whoever looks into it.
+ * Names the snapshot files of a state folder and tracks which may be deleted. A snapshot is {@code learned-N.state}, N
+ * being its generation in 16 hex digits; while it is being written, {@code .tmp} is appended. Only files known to be
+ * complete are ever deleted, so that an unreadable file remains for inspection.
  */
 public final class SnapshotFiles {
-    /** Whole snapshots that stay in the folder. */
+    /** Number of complete snapshots that are kept in the folder. */
     public static final int MAX_KEPT_SNAPSHOTS = 2;
 
     private static final String PREFIX = "learned-";
     private static final String SUFFIX = ".state";
     private static final String TEMPORARY = ".tmp";
 
-    private final Set<Long> markComplete = new TreeSet<>(Comparator.reverseOrder());
-    private long highest;
+    private final Set<Long> completeGenerations = new TreeSet<>(Comparator.reverseOrder());
+    private long highestGeneration;
 
-    /** The name of a generation's file. */
+    /** Returns the file name of a complete snapshot. */
     public static String fileName(long generation) {
         return String.format(Locale.ROOT, PREFIX + "%016x" + SUFFIX, generation);
     }
 
-    /** The name that a generation's file has until it is whole and on the disk. */
+    /** Returns the file name of a snapshot that is not yet complete and synced. */
     public static String temporaryFileName(long generation) {
         return fileName(generation) + TEMPORARY;
     }
 
-    /** The generation of a snapshot's file; empty for any other name. */
+    /** Returns the generation in the name of a snapshot file; empty for any other name. */
     public static Optional<Long> parseGeneration(String name) {
         return name.matches(PREFIX + "[0-9a-f]{16}" + SUFFIX)
                 ? Optional.of(Long.parseUnsignedLong(name.substring(PREFIX.length(), PREFIX.length() + 16), 16))
@@ -42,14 +42,14 @@
                 : Optional.empty();
     }
 
-    /** True for what a write that did not end left behind. */
+    /** Returns whether the name is that of a temporary file, which an interrupted write leaves behind. */
     public static boolean isTemporary(String name) {
         return name.endsWith(TEMPORARY)
                 && parseGeneration(name.substring(0, name.length() - TEMPORARY.length()))
                         .isPresent();
     }
 
-    /** The snapshots among names, the newest first. */
+    /** Returns the generations of the snapshot files among these names, newest first. */
     public static List<Long> newestFirst(Collection<String> names) {
         return names.stream()
                 .map(SnapshotFiles::parseGeneration)
@@ -58,32 +58,37 @@
                 .toList();
     }
 
-    /** A file of this generation is there, whole or not: its number is not used again. */
+    /** Records that a file of this generation exists, complete or not, so that its number is not reused. */
     public void markSeen(long generation) {
-        highest = Math.max(highest, generation);
+        highestGeneration = Math.max(highestGeneration, generation);
     }
 
-    /** The file of this generation was read whole, or written whole and synced. */
+    /** Records that the file of this generation was read without errors, or was written and synced. */
     public void markComplete(long generation) {
         markSeen(generation);
-        markComplete.add(generation);
+        completeGenerations.add(generation);
     }
 
-    /** The next generation; IllegalStateException where numbers have run out. */
+    /**
+     * Returns the generation for the next snapshot.
+     *
+     * @throws IllegalStateException if the numbers are exhausted
+     */
     public long nextGeneration() {
-        if (highest == Long.MAX_VALUE) {
-            throw new IllegalStateException("generation " + highest + " is the last there is");
+        if (highestGeneration == Long.MAX_VALUE) {
+            throw new IllegalStateException(
+                    "cannot number the next snapshot: generation " + highestGeneration + " is the maximum");
         }
-        return highest + 1;
+        return highestGeneration + 1;
     }
 
-    /** Whole generations beyond those that stay, the newest first. */
+    /** Returns the complete generations beyond {@link #MAX_KEPT_SNAPSHOTS}, newest first. */
     public List<Long> deletable() {
-        return markComplete.stream().skip(MAX_KEPT_SNAPSHOTS).toList();
+        return completeGenerations.stream().skip(MAX_KEPT_SNAPSHOTS).toList();
     }
 
-    /** The file of this generation is gone. */
+    /** Records that the file of this generation was deleted. */
     public void markDeleted(long generation) {
-        markComplete.remove(generation);
+        completeGenerations.remove(generation);
     }
 }
--- a/src/main/java/petrelstand/state/SnapshotSchedule.java
+++ b/src/main/java/petrelstand/state/SnapshotSchedule.java
@@ -3,16 +3,18 @@
 import java.util.Optional;
 
 /**
- * Decides when the next snapshot is taken: one at a time, at a steady pace, after a failure later and later. It says
- * once that writing has stopped working, whether by a fault or by a write that does not end, and once that it works
- * again. Times are microseconds of the loop's clock.
+ * Decides when the next snapshot is taken: one at a time, at a fixed interval, with exponential backoff after failures.
+ * Reports once that writing has failed or hangs, and once that it works again. Times are microseconds of the event
+ * loop's clock.
  */
 public final class SnapshotSchedule {
-    /** A write that lasts longer is said to hang. */
+    /** A write that lasts this long is reported as hung. */
     public static final long HUNG_WRITE_US = 2_000_000;
 
     private static final long INITIAL_BACKOFF_US = 1_000_000;
     private static final long MAX_BACKOFF_US = 60_000_000;
+    /** Keeps the shifted backoff far from overflow. */
+    private static final int MAX_BACKOFF_SHIFT = 20;
 
     private final long intervalUs;
     private long nextCheckUs;
@@ -21,21 +23,21 @@
     private boolean failureReported;
     private int failures;
 
-    /** The first snapshot is due a whole interval after the start: earlier there is nothing to keep. */
+    /** Creates a schedule whose first snapshot is due one interval from now. */
     public SnapshotSchedule(long nowUs, long everyUs) {
         if (everyUs <= 0) {
-            throw new IllegalArgumentException("the interval must be positive, not " + everyUs);
+            throw new IllegalArgumentException("the snapshot interval must be positive, but is " + everyUs);
         }
         this.intervalUs = everyUs;
         this.nextCheckUs = nowUs + everyUs;
     }
 
-    /** True where a snapshot is to be taken now. */
+    /** Returns whether a snapshot should be taken now. */
     public boolean isDue(long nowUs) {
         return !isWriting && nowUs >= nextCheckUs;
     }
 
-    /** When to look again. */
+    /** Returns when {@link #isDue} and {@link #checkHung} should be called again. */
     public long nextCheckUs(long nowUs) {
         return Math.max(
                 nowUs + 1,
@@ -46,38 +48,50 @@
         return isWriting;
     }
 
-    /** A write began; IllegalStateException where another has not ended. */
+    /**
+     * Records the start of a write.
+     *
+     * @throws IllegalStateException if another write is in progress
+     */
     public void writeStarted(long nowUs) {
         if (isWriting) {
-            throw new IllegalStateException("a write is under way");
+            throw new IllegalStateException("cannot start a snapshot write: another one is in progress");
         }
         isWriting = true;
         writeStartUs = nowUs;
     }
 
-    /** Looks at a write under way; the line to be logged where it has just been found to hang. */
+    /** Returns the line to log if the write in progress has just been found to hang. */
     public Optional<String> checkHung(long nowUs) {
         if (!isWriting || failureReported || nowUs < writeStartUs + HUNG_WRITE_US) {
             return Optional.empty();
         }
         failureReported = true;
-        return Optional.of("a write has not ended in " + HUNG_WRITE_US / 1_000_000 + " s; service goes on without");
+        return Optional.of("a write has not ended in " + HUNG_WRITE_US / 1_000_000
+                + " s; serving continues without new snapshots");
     }
 
-    /** The write ended, with a fault or (null) without; the line to be logged where that is news. */
-    public Optional<String> writeEnded(long nowUs, String fault) {
+    /**
+     * Records the end of a write.
+     *
+     * @param error why it failed, null if it succeeded
+     * @return the line to log if this changes whether writing works
+     */
+    public Optional<String> writeEnded(long nowUs, String error) {
         isWriting = false;
-        if (fault == null) {
-            boolean news = failureReported;
+        if (error == null) {
+            boolean wasFailing = failureReported;
             failureReported = false;
             failures = 0;
             nextCheckUs = Math.max(writeStartUs + intervalUs, nowUs);
-            return news ? Optional.of("written again") : Optional.empty();
+            return wasFailing ? Optional.of("writing snapshots works again") : Optional.empty();
         }
-        long backOff = Math.min(MAX_BACKOFF_US, INITIAL_BACKOFF_US << Math.min(failures++, 20));
-        nextCheckUs = nowUs + Math.max(intervalUs, backOff);
-        boolean news = !failureReported;
+        long backoffUs = Math.min(MAX_BACKOFF_US, INITIAL_BACKOFF_US << Math.min(failures++, MAX_BACKOFF_SHIFT));
+        nextCheckUs = nowUs + Math.max(intervalUs, backoffUs);
+        boolean firstFailure = !failureReported;
         failureReported = true;
-        return news ? Optional.of("not written: " + fault + "; service goes on without") : Optional.empty();
+        return firstFailure
+                ? Optional.of("cannot write a snapshot: " + error + "; serving continues without new snapshots")
+                : Optional.empty();
     }
 }
--- a/src/main/java/petrelstand/store/AccountsLog.java
+++ b/src/main/java/petrelstand/store/AccountsLog.java
@@ -17,9 +17,10 @@
 import petrelstand.core.Counters;
 
 /**
- * Writes the accounts' seconds and minutes to files of a folder, {@code accounts-N.log}, on a thread of its own: a file
- * of at most {@link #MAX_FILE_BYTES}, {@link #MAX_FILES} of them, and a new one at each start, so that nothing is ever
- * appended to a torn end. What the thread does not take in time is dropped and counted; the loop never waits.
+ * Writes the accounts' seconds and minutes to the files {@code accounts-N.log} of a folder, on its own thread. Files
+ * are rotated once they exceed {@link #MAX_FILE_BYTES}, and {@link #MAX_FILES} are kept. Each start begins a new file,
+ * so that nothing is appended to a truncated one. Records beyond the queue's capacity are dropped and counted; the
+ * event loop never waits.
  */
 public final class AccountsLog implements Book.Keeper {
     static final int MAX_FILE_BYTES = 8 << 20;
@@ -28,7 +29,7 @@
     private static final long RETRY_DELAY_MS = 5_000;
     private static final byte[] END_MARKER = new byte[0];
 
-    /** Makes the folder, on the log's own thread. */
+    /** Opens the folder; called on the log's own thread. */
     interface FolderOpener {
         DiskFolder open() throws IOException;
     }
@@ -44,15 +45,15 @@
     private boolean failing;
 
     AccountsLog(
-            FolderOpener opening,
+            FolderOpener folderOpener,
             AccountsRecord.NameTable names,
-            int mostBytes,
+            int maxFileBytes,
             Counters counters,
             Consumer<Runnable> loop,
             Consumer<String> log) {
-        this.folderOpener = opening;
+        this.folderOpener = folderOpener;
         this.namesFrame = AccountsRecord.encodeFrame(names);
-        this.maxFileBytes = mostBytes;
+        this.maxFileBytes = maxFileBytes;
         this.counters = counters;
         this.loop = loop;
         this.log = line -> log.accept("accounts: " + line);
@@ -61,7 +62,7 @@
         thread.start();
     }
 
-    /** A log in a folder; {@code loop} runs what counts and logs. */
+    /** Creates a log that writes to a folder; {@code loop} runs its log calls on the event loop. */
     public static AccountsLog onDisk(
             Path folder,
             AccountsRecord.NameTable names,
@@ -71,7 +72,7 @@
         return new AccountsLog(() -> new DiskFolder(folder), names, MAX_FILE_BYTES, counters, loop, log);
     }
 
-    /** A file's number; -1 for another name. */
+    /** Returns the number in the name of an accounts file, -1 for any other name. */
     static long fileNumber(String name) {
         return name.matches("accounts-[0-9]{1,15}\\.log") ? Long.parseLong(name.substring(9, name.length() - 4)) : -1;
     }
@@ -92,10 +93,14 @@
         }
     }
 
-    /** Writes what waits and ends, within so many milliseconds; on another thread than the loop's. */
-    public boolean close(long withinMs) throws InterruptedException {
+    /**
+     * Writes the queued records and ends the thread. Blocks, so it must not be called on the event loop.
+     *
+     * @return false if that took longer than {@code timeoutMs}
+     */
+    public boolean close(long timeoutMs) throws InterruptedException {
         queue.offer(END_MARKER);
-        return ended.await(withinMs, TimeUnit.MILLISECONDS);
+        return ended.await(timeoutMs, TimeUnit.MILLISECONDS);
     }
 
     private void writeLoop() {
@@ -111,11 +116,11 @@
         }
     }
 
-    /** Writes until the end (false) or a fault (true). */
+    /** Writes files until the log is closed or an error occurs; returns whether to retry. */
     private boolean writeUntilEndOrError() throws InterruptedException {
         try (DiskFolder folder = folderOpener.open()) {
             if (!folder.tryLock()) {
-                report("another gateway has the folder; nothing is recorded", false);
+                report("the folder is locked by another gateway; not recording", false);
                 return false;
             }
             while (true) {
@@ -125,23 +130,23 @@
             }
         } catch (IOException | RuntimeException e) {
             report(
-                    "not recorded: "
-                            + String.valueOf(e.getMessage()).lines().findFirst().orElse("") + "; service goes on"
-                            + " without",
+                    "cannot write accounts records: "
+                            + String.valueOf(e.getMessage()).lines().findFirst().orElse("") + "; retrying in "
+                            + RETRY_DELAY_MS / 1000 + " s",
                     true);
             return true;
         }
     }
 
-    /** Writes one file; true where it is full, false at the end. */
+    /** Deletes old files and writes a new one; returns true when it is full, false when the log is closed. */
     private boolean writeFile(DiskFolder folder) throws IOException, InterruptedException {
         List<Long> numbers = new ArrayList<>(folder.list(SnapshotStore.MAX_FILES).stream()
                 .map(AccountsLog::fileNumber)
                 .filter(number -> number >= 0)
                 .sorted(Comparator.reverseOrder())
                 .toList());
-        for (long old : numbers.subList(Math.min(numbers.size(), MAX_FILES - 1), numbers.size())) {
-            folder.delete(fileName(old));
+        for (long obsolete : numbers.subList(Math.min(numbers.size(), MAX_FILES - 1), numbers.size())) {
+            folder.delete(fileName(obsolete));
         }
         String name = fileName(numbers.isEmpty() ? 1 : numbers.get(0) + 1);
         try (FileChannel file = folder.createForAppend(name)) {
@@ -158,7 +163,7 @@
                     file.force(false);
                 }
                 if (failing) {
-                    report("recorded again", false);
+                    report("recording again", false);
                 }
             }
             return true;
@@ -170,18 +175,18 @@
     }
 
     private static void writeFully(FileChannel file, byte[] bytes) throws IOException {
-        ByteBuffer left = ByteBuffer.wrap(bytes);
-        while (left.hasRemaining()) {
-            file.write(left);
+        ByteBuffer remaining = ByteBuffer.wrap(bytes);
+        while (remaining.hasRemaining()) {
+            file.write(remaining);
         }
     }
 
-    /** Says it once each way. */
-    private void report(String line, boolean fault) {
-        if (fault && failing) {
+    /** Logs a line, but of successive errors only the first. */
+    private void report(String line, boolean isError) {
+        if (isError && failing) {
             return;
         }
-        failing = fault;
+        failing = isError;
         loop.accept(() -> log.accept(line));
     }
 }
--- a/src/main/java/petrelstand/store/AccountsRecord.java
+++ b/src/main/java/petrelstand/store/AccountsRecord.java
@@ -17,34 +17,34 @@
 import petrelstand.accounts.Ledger;
 
 /**
- * The bytes of an accounts record, as docs/ACCOUNTS.md lays them out: a head of 12 bytes, then frames, each a length, a
- * CBOR array (RFC 8949) and a CRC-32C over both. A frame that is not whole ends the file: what stands before it counts.
+ * The format of accounts records, specified in docs/ACCOUNTS.md: a header of 12 bytes, then frames, each a length, a
+ * CBOR array (RFC 8949) and a CRC-32C over both. Reading stops at the first damaged frame and keeps those before it.
  */
 public final class AccountsRecord {
     static final int VERSION = 1;
     static final int HEADER_BYTES = 12;
-    /** A frame is no longer than this. */
+    /** Maximum length of the CBOR array in a frame. */
     static final int MAX_FRAME_BYTES = 1 << 18;
 
     private static final byte[] MAGIC = "PETRACCT".getBytes(StandardCharsets.US_ASCII);
     private static final CBORFactory CBOR = new CBORFactory();
 
-    /** Whose record it is, and the names of its classes and plans by place. */
+    /** The name of the gateway, and the names of its classes and plans by index. */
     public record NameTable(String gateway, List<String> classes, List<String> plans) {}
 
-    /** Percentiles of a group in a minute, by phase in the order of {@link Book.Phase}. */
+    /** The percentiles of a group in one minute, in the order of {@link Book.Phase}. */
     public record GroupPhases(Book.Group group, List<Book.Percentiles> phases) {}
 
-    /** A minute, from a second on. */
+    /** The figures of the minute that begins at {@code fromSecond}. */
     public record MinuteRecord(long fromSecond, long requests, long served, List<GroupPhases> groups) {}
 
-    /** What a file holds, and why it ended early (null: it did not). */
+    /** The content of a file; {@code fault} says why reading stopped early, null if it did not. */
     public record Content(NameTable names, List<Book.Second> seconds, List<MinuteRecord> minutes, String fault) {}
 
     private AccountsRecord() {}
 
     private interface FrameWriter {
-        void write(CBORGenerator to) throws IOException;
+        void write(CBORGenerator out) throws IOException;
     }
 
     static byte[] header() {
@@ -57,12 +57,12 @@
 
     private static byte[] encodeFrame(FrameWriter body) {
         ByteArrayOutputStream payload = new ByteArrayOutputStream(512);
-        try (CBORGenerator to = CBOR.createGenerator(payload)) {
-            to.writeStartArray();
-            body.write(to);
-            to.writeEndArray();
+        try (CBORGenerator out = CBOR.createGenerator(payload)) {
+            out.writeStartArray();
+            body.write(out);
+            out.writeEndArray();
         } catch (IOException e) {
-            throw new UncheckedIOException("an array in memory takes all that is written to it", e);
+            throw new UncheckedIOException("writing to an array in memory failed", e);
         }
         ByteBuffer frame = ByteBuffer.allocate(Integer.BYTES + payload.size() + Integer.BYTES);
         frame.putInt(payload.size()).put(payload.toByteArray());
@@ -71,63 +71,65 @@
     }
 
     static byte[] encodeFrame(NameTable names) {
-        return encodeFrame(to -> {
-            to.writeString("names");
-            to.writeString(names.gateway());
+        return encodeFrame(out -> {
+            out.writeString("names");
+            out.writeString(names.gateway());
             for (List<String> list : List.of(names.classes(), names.plans())) {
-                to.writeStartArray();
+                out.writeStartArray();
                 for (String name : list) {
-                    to.writeString(name);
+                    out.writeString(name);
                 }
-                to.writeEndArray();
+                out.writeEndArray();
             }
         });
     }
 
     static byte[] encodeFrame(Book.Second second) {
-        return encodeFrame(to -> {
-            to.writeString("second");
-            to.writeNumber(second.second());
-            to.writeNumber(second.requests());
-            to.writeNumber(second.waitUs());
-            to.writeStartArray();
+        return encodeFrame(out -> {
+            out.writeString("second");
+            out.writeNumber(second.second());
+            out.writeNumber(second.requests());
+            out.writeNumber(second.waitUs());
+            out.writeStartArray();
             for (Ledger.Entry entry : second.causes()) {
                 Ledger.Cell cell = entry.cell();
-                to.writeNumber(cell.node());
-                to.writeNumber(cell.volume());
-                to.writeNumber(cell.requestClass());
-                to.writeNumber(cell.cause().kind().ordinal());
-                to.writeNumber(cell.cause().volume());
-                to.writeNumber(cell.cause().requestClass());
-                to.writeNumber(entry.us());
-                to.writeNumber(entry.overUs());
+                out.writeNumber(cell.node());
+                out.writeNumber(cell.volume());
+                out.writeNumber(cell.requestClass());
+                out.writeNumber(cell.cause().kind().ordinal());
+                out.writeNumber(cell.cause().volume());
+                out.writeNumber(cell.cause().requestClass());
+                out.writeNumber(entry.us());
+                out.writeNumber(entry.overUs());
             }
-            to.writeEndArray();
+            out.writeEndArray();
         });
     }
 
     static byte[] encodeFrame(MinuteRecord minute) {
-        return encodeFrame(to -> {
-            to.writeString("minute");
-            to.writeNumber(minute.fromSecond());
-            to.writeNumber(minute.requests());
-            to.writeNumber(minute.served());
-            to.writeStartArray();
+        return encodeFrame(out -> {
+            out.writeString("minute");
+            out.writeNumber(minute.fromSecond());
+            out.writeNumber(minute.requests());
+            out.writeNumber(minute.served());
+            out.writeStartArray();
             for (GroupPhases group : minute.groups()) {
-                to.writeNumber(group.group().requestClass());
-                to.writeNumber(group.group().plan());
-                to.writeNumber(group.group().node());
-                for (Book.Percentiles p : group.phases()) {
-                    for (long value : new long[] {p.count(), p.p50(), p.p90(), p.p99(), p.max()}) {
-                        to.writeNumber(value);
+                out.writeNumber(group.group().requestClass());
+                out.writeNumber(group.group().plan());
+                out.writeNumber(group.group().node());
+                for (Book.Percentiles percentiles : group.phases()) {
+                    for (long value : new long[] {
+                        percentiles.count(), percentiles.p50(), percentiles.p90(), percentiles.p99(), percentiles.max()
+                    }) {
+                        out.writeNumber(value);
                     }
                 }
             }
-            to.writeEndArray();
+            out.writeEndArray();
         });
     }
 
-    /** A minute's figures, taken on the loop: its histograms go on with the book. */
+    /** Copies the figures of a minute; must run on the event loop, since the book reuses its histograms. */
     static MinuteRecord toRecord(Book.Minute minute) {
         List<GroupPhases> groups = new ArrayList<>();
         for (Book.Group group : minute.groups()) {
@@ -140,111 +142,115 @@
         return new MinuteRecord(minute.fromUs() / 1_000_000, minute.requests(), minute.served(), groups);
     }
 
-    /** Reads a file; a head that is not one of ours is a fault, and so is a version that is not known. */
+    /**
+     * Reads a file. Damage after the header is reported in {@link Content#fault}.
+     *
+     * @throws FileFormatException if the header is not that of an accounts record or its version is unsupported
+     */
     public static Content read(byte[] file) throws FileFormatException {
         if (file.length < HEADER_BYTES || !Arrays.equals(file, 0, MAGIC.length, MAGIC, 0, MAGIC.length)) {
-            throw new FileFormatException(0, "this is not an accounts record of petrelstand");
+            throw new FileFormatException(0, "not an accounts record of petrelstand: the magic bytes do not match");
         }
         int version = ByteBuffer.wrap(file).getShort(MAGIC.length) & 0xffff;
         if (version != VERSION) {
             throw new FileFormatException(
-                    MAGIC.length, "version " + version + " is not " + VERSION + ", the one that is read");
+                    MAGIC.length, "unsupported version " + version + ", only " + VERSION + " can be read");
         }
         NameTable names = new NameTable("", List.of(), List.of());
         List<Book.Second> seconds = new ArrayList<>();
         List<MinuteRecord> minutes = new ArrayList<>();
-        ByteBuffer in = ByteBuffer.wrap(file);
-        int at = HEADER_BYTES;
+        ByteBuffer bytes = ByteBuffer.wrap(file);
+        int offset = HEADER_BYTES;
         String fault = null;
-        while (at < file.length && fault == null) {
-            int left = file.length - at - 2 * Integer.BYTES;
-            int length = left < 0 ? -1 : in.getInt(at);
-            if (length < 1 || length > left || length > MAX_FRAME_BYTES) {
-                fault = "offset " + at + ": the record ends inside a frame";
-            } else if (in.getInt(at + Integer.BYTES + length)
-                    != SnapshotFormat.checksum(file, at, Integer.BYTES + length)) {
-                fault = "offset " + at + ": the frame's checksum does not fit";
+        while (offset < file.length && fault == null) {
+            int available = file.length - offset - 2 * Integer.BYTES;
+            int length = available < 0 ? -1 : bytes.getInt(offset);
+            if (length < 1 || length > available || length > MAX_FRAME_BYTES) {
+                fault = "offset " + offset + ": the file ends inside a frame or the frame's length is invalid";
+            } else if (bytes.getInt(offset + Integer.BYTES + length)
+                    != SnapshotFormat.checksum(file, offset, Integer.BYTES + length)) {
+                fault = "offset " + offset + ": the frame's checksum does not match";
             } else {
-                try (CBORParser from = CBOR.createParser(file, at + Integer.BYTES, length)) {
-                    from.nextToken();
-                    switch (readText(from)) {
-                        case "names" -> names = new NameTable(readText(from), readTexts(from), readTexts(from));
-                        case "second" -> seconds.add(readSecond(from));
-                        case "minute" -> minutes.add(readMinute(from));
+                try (CBORParser in = CBOR.createParser(file, offset + Integer.BYTES, length)) {
+                    in.nextToken();
+                    switch (readText(in)) {
+                        case "names" -> names = new NameTable(readText(in), readTexts(in), readTexts(in));
+                        case "second" -> seconds.add(readSecond(in));
+                        case "minute" -> minutes.add(readMinute(in));
                         default -> {}
                     }
                 } catch (IOException | IllegalArgumentException e) {
-                    fault = "offset " + at + ": the frame makes no sense: " + e.getMessage();
+                    fault = "offset " + offset + ": invalid frame: " + e.getMessage();
                 }
-                at += length + 2 * Integer.BYTES;
+                offset += length + 2 * Integer.BYTES;
             }
         }
         return new Content(names, seconds, minutes, fault);
     }
 
-    private static String readText(CBORParser from) throws IOException {
-        if (from.nextToken() != JsonToken.VALUE_STRING) {
-            throw new IllegalArgumentException("a text is wanted");
+    private static String readText(CBORParser in) throws IOException {
+        if (in.nextToken() != JsonToken.VALUE_STRING) {
+            throw new IllegalArgumentException("expected a text");
         }
-        return from.getText();
+        return in.getText();
     }
 
-    private static List<String> readTexts(CBORParser from) throws IOException {
-        List<String> all = new ArrayList<>();
-        for (JsonToken token = beginArray(from); token == JsonToken.VALUE_STRING; token = from.nextToken()) {
-            all.add(from.getText());
+    private static List<String> readTexts(CBORParser in) throws IOException {
+        List<String> values = new ArrayList<>();
+        for (JsonToken token = beginArray(in); token == JsonToken.VALUE_STRING; token = in.nextToken()) {
+            values.add(in.getText());
         }
-        return all;
+        return values;
     }
 
-    private static JsonToken beginArray(CBORParser from) throws IOException {
-        if (from.nextToken() != JsonToken.START_ARRAY) {
-            throw new IllegalArgumentException("a list is wanted");
+    private static JsonToken beginArray(CBORParser in) throws IOException {
+        if (in.nextToken() != JsonToken.START_ARRAY) {
+            throw new IllegalArgumentException("expected an array");
         }
-        return from.nextToken();
+        return in.nextToken();
     }
 
-    private static long readLong(CBORParser from) throws IOException {
-        from.nextToken();
-        return currentLong(from);
+    private static long readLong(CBORParser in) throws IOException {
+        in.nextToken();
+        return currentLong(in);
     }
 
-    private static long currentLong(CBORParser from) throws IOException {
-        if (from.currentToken() != JsonToken.VALUE_NUMBER_INT) {
-            throw new IllegalArgumentException("a whole number is wanted");
+    private static long currentLong(CBORParser in) throws IOException {
+        if (in.currentToken() != JsonToken.VALUE_NUMBER_INT) {
+            throw new IllegalArgumentException("expected an integer");
         }
-        return from.getLongValue();
+        return in.getLongValue();
     }
 
-    private static Book.Second readSecond(CBORParser from) throws IOException {
-        long second = readLong(from);
-        long requests = readLong(from);
-        long waitUs = readLong(from);
+    private static Book.Second readSecond(CBORParser in) throws IOException {
+        long second = readLong(in);
+        long requests = readLong(in);
+        long waitUs = readLong(in);
         List<Ledger.Entry> causes = new ArrayList<>();
-        for (JsonToken token = beginArray(from); token != JsonToken.END_ARRAY; token = from.nextToken()) {
-            long node = currentLong(from);
-            long volume = readLong(from);
-            int kind = (int) readLong(from);
-            int causeKind = (int) readLong(from);
+        for (JsonToken token = beginArray(in); token != JsonToken.END_ARRAY; token = in.nextToken()) {
+            long node = currentLong(in);
+            long volume = readLong(in);
+            int requestClass = (int) readLong(in);
+            int causeKind = (int) readLong(in);
             Cause cause = new Cause(
-                    Cause.Kind.values()[Math.floorMod(causeKind, Cause.Kind.values().length)], readLong(from), (int)
-                            readLong(from));
-            causes.add(new Ledger.Entry(new Ledger.Cell(node, volume, kind, cause), readLong(from), readLong(from)));
+                    Cause.Kind.values()[Math.floorMod(causeKind, Cause.Kind.values().length)], readLong(in), (int)
+                            readLong(in));
+            causes.add(
+                    new Ledger.Entry(new Ledger.Cell(node, volume, requestClass, cause), readLong(in), readLong(in)));
         }
         return new Book.Second(second, requests, waitUs, causes);
     }
 
-    private static MinuteRecord readMinute(CBORParser from) throws IOException {
-        long second = readLong(from);
-        long requests = readLong(from);
-        long served = readLong(from);
+    private static MinuteRecord readMinute(CBORParser in) throws IOException {
+        long second = readLong(in);
+        long requests = readLong(in);
+        long served = readLong(in);
         List<GroupPhases> groups = new ArrayList<>();
-        for (JsonToken token = beginArray(from); token != JsonToken.END_ARRAY; token = from.nextToken()) {
-            Book.Group group = new Book.Group((int) currentLong(from), (int) readLong(from), readLong(from));
+        for (JsonToken token = beginArray(in); token != JsonToken.END_ARRAY; token = in.nextToken()) {
+            Book.Group group = new Book.Group((int) currentLong(in), (int) readLong(in), readLong(in));
             List<Book.Percentiles> phases = new ArrayList<>();
             for (int i = 0; i < Book.Phase.values().length; i++) {
-                phases.add(new Book.Percentiles(
-                        readLong(from), readLong(from), readLong(from), readLong(from), readLong(from)));
+                phases.add(new Book.Percentiles(readLong(in), readLong(in), readLong(in), readLong(in), readLong(in)));
             }
             groups.add(new GroupPhases(group, phases));
         }
--- a/src/main/java/petrelstand/store/DiskFolder.java
+++ b/src/main/java/petrelstand/store/DiskFolder.java
@@ -23,7 +23,9 @@
 import java.util.List;
 import java.util.Set;
 
-/** A folder on a disk. The lock is the kernel's, on a file named {@code lock}: it ends with the process. */
+/**
+ * A folder of the file system. It is locked by a kernel lock on the file {@code lock}, released when the process ends.
+ */
 public final class DiskFolder implements Folder {
     static final String LOCK_FILE_NAME = "lock";
     private static final FileAttribute<Set<PosixFilePermission>> OWNER_ONLY =
@@ -31,10 +33,14 @@
 
     private final Path folder;
     private FileChannel lockFile;
-    /** What the locked file is to the file system: a folder put in the place of ours has another. */
+    /** File system identity of the locked file; differs if the folder has been replaced since. */
     private Object lockKey;
 
-    /** The folder is made where it is missing; its parent must be there. */
+    /**
+     * Opens a folder and creates it if missing.
+     *
+     * @throws IOException if the path is not a folder or its parent folder does not exist
+     */
     public DiskFolder(Path folder) throws IOException {
         this.folder = folder;
         if (!Files.isDirectory(folder)) {
@@ -42,9 +48,9 @@
                 Files.createDirectory(
                         folder, PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rwx------")));
             } catch (FileAlreadyExistsException e) {
-                throw new IOException(folder + " is not a folder", e);
+                throw new IOException("cannot use " + folder + ": it is not a folder", e);
             } catch (NoSuchFileException e) {
-                throw new IOException(folder + " has no parent folder", e);
+                throw new IOException("cannot create " + folder + ": its parent folder does not exist", e);
             }
         }
     }
@@ -59,7 +65,7 @@
         try {
             lock = lockFile.tryLock();
         } catch (OverlappingFileLockException e) {
-            // Another store of this very process has it.
+            // This process itself holds the lock through another instance.
         }
         if (lock == null) {
             close();
@@ -76,12 +82,12 @@
     }
 
     @Override
-    public List<String> list(int most) throws IOException {
+    public List<String> list(int maxFiles) throws IOException {
         List<String> names = new ArrayList<>();
         try (DirectoryStream<Path> files = Files.newDirectoryStream(folder)) {
             for (Path file : files) {
-                if (names.size() >= most) {
-                    throw new IOException("the folder has more than " + most + " files");
+                if (names.size() >= maxFiles) {
+                    throw new IOException("folder " + folder + " has more than " + maxFiles + " files");
                 }
                 names.add(file.getFileName().toString());
             }
@@ -90,15 +96,15 @@
     }
 
     @Override
-    public byte[] read(String name, int most) throws IOException {
+    public byte[] read(String name, int maxBytes) throws IOException {
         try (SeekableByteChannel file = Files.newByteChannel(
                 folder.resolve(name), Set.of(StandardOpenOption.READ, LinkOption.NOFOLLOW_LINKS))) {
-            if (file.size() > most) {
-                throw new IOException("it is longer than " + most + " bytes");
+            if (file.size() > maxBytes) {
+                throw new IOException("the file is longer than " + maxBytes + " bytes");
             }
             ByteBuffer content = ByteBuffer.allocate((int) file.size());
             while (content.hasRemaining() && file.read(content) >= 0) {
-                // Goes on until all is read or the file has become shorter.
+                // Repeats until the buffer is full or the file turns out to be shorter.
             }
             byte[] read = new byte[content.position()];
             content.flip().get(read);
@@ -109,20 +115,20 @@
     @Override
     public void create(String name, byte[] content) throws IOException {
         if (lockKey != null && !lockKey.equals(readLockKey())) {
-            throw new IOException("the folder is not the one that was locked");
+            throw new IOException("folder " + folder + " was replaced: it is not the one that was locked");
         }
         try (FileChannel file = FileChannel.open(
                 folder.resolve(name),
                 Set.<OpenOption>of(StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE, LinkOption.NOFOLLOW_LINKS),
                 OWNER_ONLY)) {
-            ByteBuffer left = ByteBuffer.wrap(content);
-            while (left.hasRemaining()) {
-                file.write(left);
+            ByteBuffer remaining = ByteBuffer.wrap(content);
+            while (remaining.hasRemaining()) {
+                file.write(remaining);
             }
         }
     }
 
-    /** Creates a file as {@link #create} does, and keeps it open for more. */
+    /** Creates a file like {@link #create} and returns a channel that appends to it. */
     FileChannel createForAppend(String name) throws IOException {
         create(name, new byte[0]);
         return FileChannel.open(
@@ -145,8 +151,8 @@
 
     @Override
     public void syncDirectory() throws IOException {
-        try (FileChannel names = FileChannel.open(folder, StandardOpenOption.READ)) {
-            names.force(true);
+        try (FileChannel directory = FileChannel.open(folder, StandardOpenOption.READ)) {
+            directory.force(true);
         }
     }
 
--- a/src/main/java/petrelstand/store/FileFormatException.java
+++ b/src/main/java/petrelstand/store/FileFormatException.java
@@ -1,13 +1,13 @@
 package petrelstand.store;
 
-/** What is wrong with a state file, and where: an offset in bytes from its start. */
+/** Thrown when a stored file is damaged or has an unsupported format; names the offset in bytes from its start. */
 public final class FileFormatException extends Exception {
     private static final long serialVersionUID = 1;
 
     private final long offset;
 
-    public FileFormatException(long offset, String what) {
-        super(what);
+    public FileFormatException(long offset, String problem) {
+        super(problem);
         this.offset = offset;
     }
 
--- a/src/main/java/petrelstand/store/Folder.java
+++ b/src/main/java/petrelstand/store/Folder.java
@@ -5,35 +5,35 @@
 import java.util.List;
 
 /**
- * What a state store asks of a file system, one method a step, so that a test can stop between any two. Names are plain
- * file names in one folder. Any method may block for as long as the disk does.
+ * The file operations on one folder that the stores need. Each method is a single step, so that a test can simulate a
+ * crash between any two. Names are plain file names. Any method may block for as long as the disk does.
  */
 public interface Folder extends Closeable {
-    /** Takes the folder for this process alone; false where another has it. */
+    /** Locks the folder for this process; returns false if another process holds the lock. */
     boolean tryLock() throws IOException;
 
-    /** The names of the files in it, at most so many. */
-    List<String> list(int most) throws IOException;
+    /** Returns the names of the files; fails if there are more than the maximum. */
+    List<String> list(int maxFiles) throws IOException;
 
-    /** Reads a file of at most so many bytes; a symbolic link is not followed but is a fault. */
-    byte[] read(String name, int most) throws IOException;
+    /** Reads a file; fails if it is longer than the maximum or a symbolic link. */
+    byte[] read(String name, int maxBytes) throws IOException;
 
-    /** Creates a file that its owner alone may read and write; one that is there already is a fault. */
+    /** Creates a file that only its owner may read and write; fails if it exists. */
     void create(String name, byte[] content) throws IOException;
 
-    /** Returns once a file's content is on the disk. */
+    /** Forces a file's content to the disk. */
     void sync(String name) throws IOException;
 
-    /** Renames in one step. */
+    /** Renames a file atomically. */
     void rename(String from, String to) throws IOException;
 
-    /** Returns once the folder's names are on the disk. */
+    /** Forces the folder's directory entries to the disk. */
     void syncDirectory() throws IOException;
 
-    /** Deletes a file, or the link of that name itself; one that is not there is no fault. */
+    /** Deletes a file if it exists; of a symbolic link the link itself. */
     void delete(String name) throws IOException;
 
-    /** Lets go of the folder. */
+    /** Releases the lock. */
     @Override
     void close() throws IOException;
 }
--- a/src/main/java/petrelstand/store/ProcessMarks.java
+++ b/src/main/java/petrelstand/store/ProcessMarks.java
@@ -13,12 +13,12 @@
 import java.util.Locale;
 
 /**
- * The marks that processes of one gateway leave in the folder that they share: a file each, locked for as long as the
- * process lives, whose one byte says whether it listens. The system lets go of a lock with its process, so that a mark
- * whose process was killed is known as such, and goes. Not for several threads.
+ * Lets the processes of one gateway find each other during a hot restart. Each process has a mark file in a shared
+ * folder, locked while it runs, whose single byte says whether it listens. The system releases the lock when the
+ * process ends, so that a mark without a lock is stale and is deleted. Not thread-safe.
  */
 public final class ProcessMarks implements Closeable {
-    /** What else there is: no other process, one that starts, or one that listens at the clients' address. */
+    /** Whether there is another process, and whether it is starting or already listens at the clients' address. */
     public enum OtherProcess {
         NONE,
         STARTING,
@@ -26,8 +26,11 @@
     }
 
     /**
-     * What a look found: the furthest of the other processes, how many there are, and whether this process's own mark
-     * was there all the time; where it had vanished, it was left anew before the look.
+     * The result of a scan.
+     *
+     * @param other the most advanced state among the other processes
+     * @param otherCount number of other processes
+     * @param ownMarkPresent false if this process's mark had disappeared; it was created again before the scan
      */
     public record ScanResult(OtherProcess other, int otherCount, boolean ownMarkPresent) {}
 
@@ -40,7 +43,7 @@
     private FileChannel channel;
     private byte state = STARTING;
 
-    /** Leaves a mark of a gateway, known by its name and address, that starts. */
+    /** Creates the mark of a starting process; {@code gateway} identifies the gateway by name and address. */
     public ProcessMarks(Path folder, String gateway) throws IOException {
         this.folder = folder;
         this.prefix = String.format(Locale.ROOT, "petrelstand-%08x-", gateway.hashCode());
@@ -56,43 +59,44 @@
         FileLock lock = channel.tryLock();
         if (lock == null) {
             channel.close();
-            throw new IOException("the new mark " + ownMark.getFileName() + " is locked by another process");
+            throw new IOException(
+                    "cannot lock the new mark " + ownMark.getFileName() + ": another process has locked it");
         }
         writeState(state);
     }
 
-    /** The file that one process hands its knowledge to the other in. */
+    /** Returns the path of the file in which a process passes its learned state to its replacement. */
     public Path handoverFile() {
         return folder.resolve(prefix + "learned");
     }
 
-    /** From here on the other process knows that this one listens. */
+    /** Records in the mark that this process listens. */
     public void markListening() throws IOException {
         writeState(LISTENING);
     }
 
-    private void writeState(byte what) throws IOException {
-        state = what;
-        channel.write(ByteBuffer.wrap(new byte[] {what}), 0);
+    private void writeState(byte newState) throws IOException {
+        state = newState;
+        channel.write(ByteBuffer.wrap(new byte[] {newState}), 0);
     }
 
-    /** Looks for other processes of this gateway; marks without one are taken away. */
+    /** Looks for other processes of this gateway and deletes stale marks. */
     public ScanResult scan() throws IOException {
-        boolean marked = Files.exists(ownMark);
-        if (!marked) {
+        boolean ownMarkPresent = Files.exists(ownMark);
+        if (!ownMarkPresent) {
             channel.close();
             createOwnMark();
         }
         OtherProcess found = OtherProcess.NONE;
-        int others = 0;
+        int otherCount = 0;
         try (DirectoryStream<Path> marks = Files.newDirectoryStream(folder, prefix + "*.mark")) {
             for (Path mark : marks) {
                 OtherProcess other = mark.equals(ownMark) ? OtherProcess.NONE : scan(mark);
                 found = other.compareTo(found) > 0 ? other : found;
-                others += other == OtherProcess.NONE ? 0 : 1;
+                otherCount += other == OtherProcess.NONE ? 0 : 1;
             }
         }
-        return new ScanResult(found, others, marked);
+        return new ScanResult(found, otherCount, ownMarkPresent);
     }
 
     private OtherProcess scan(Path mark) throws IOException {
@@ -102,8 +106,8 @@
                 Files.deleteIfExists(mark);
                 return OtherProcess.NONE;
             }
-            ByteBuffer said = ByteBuffer.allocate(1);
-            return other.read(said, 0) == 1 && said.get(0) == LISTENING
+            ByteBuffer content = ByteBuffer.allocate(1);
+            return other.read(content, 0) == 1 && content.get(0) == LISTENING
                     ? OtherProcess.LISTENING
                     : OtherProcess.STARTING;
         } catch (NoSuchFileException e) {
@@ -111,7 +115,7 @@
         }
     }
 
-    /** Takes the own mark away. */
+    /** Deletes the mark of this process. */
     @Override
     public void close() throws IOException {
         Files.deleteIfExists(ownMark);
--- a/src/main/java/petrelstand/store/SnapshotFormat.java
+++ b/src/main/java/petrelstand/store/SnapshotFormat.java
@@ -21,13 +21,13 @@
 import petrelstand.state.Snapshot;
 
 /**
- * The bytes of a snapshot, as docs/STATE.md lays them out: a head of 16 bytes, one CBOR array (RFC 8949), and a CRC-32C
- * over both. Numbers in head and tail are big-endian.
+ * The format of snapshot files, specified in docs/STATE.md: a header of 16 bytes, one CBOR array (RFC 8949), and a
+ * CRC-32C over both. Numbers in header and trailer are big-endian.
  */
 public final class SnapshotFormat {
-    /** The version that is written, and the oldest that is read. */
+    /** The only version that is written and read. */
     public static final int VERSION = 1;
-    /** A file is no longer than this; 4,096 nodes and 4,096 volumes take some 0.6 MB. */
+    /** Maximum length of a file. */
     public static final int MAX_FILE_BYTES = 2 << 20;
 
     static final int HEADER_BYTES = 16;
@@ -38,18 +38,18 @@
 
     private SnapshotFormat() {}
 
-    /** The whole file of a snapshot. */
+    /** Encodes a snapshot as the content of its file. */
     public static byte[] encode(Snapshot snapshot) {
         ByteArrayOutputStream payload = new ByteArrayOutputStream(4096);
-        try (CBORGenerator to = CBOR.createGenerator(payload)) {
-            writeSnapshot(to, snapshot);
+        try (CBORGenerator out = CBOR.createGenerator(payload)) {
+            writeSnapshot(out, snapshot);
         } catch (IOException e) {
-            throw new UncheckedIOException("an array in memory takes all that is written to it", e);
+            throw new UncheckedIOException("writing to an array in memory failed", e);
         }
         return encodeFile(VERSION, payload.toByteArray());
     }
 
-    /** Head, payload and checksum of a version. */
+    /** Puts the header before and the checksum after a payload. */
     static byte[] encodeFile(int version, byte[] payload) {
         ByteBuffer file = ByteBuffer.allocate(HEADER_BYTES + payload.length + TRAILER_BYTES);
         file.put(MAGIC)
@@ -61,82 +61,86 @@
         return file.array();
     }
 
-    /** The CRC-32C of a stretch of bytes, for every file of this package. */
+    /** Returns the CRC-32C of a range of bytes; used by every file format of this package. */
     public static int checksum(byte[] bytes, int from, int length) {
         CRC32C crc = new CRC32C();
         crc.update(bytes, from, length);
         return (int) crc.getValue();
     }
 
-    private static void writeSnapshot(CBORGenerator to, Snapshot snapshot) throws IOException {
+    private static void writeSnapshot(CBORGenerator out, Snapshot snapshot) throws IOException {
         LearnedState learned = snapshot.learned();
-        to.writeStartArray(null, 9);
-        to.writeString(snapshot.gateway());
-        to.writeNumber(snapshot.settingsFingerprint());
-        to.writeNumber(snapshot.generation());
-        to.writeNumber(snapshot.wallMs());
-        to.writeBoolean(snapshot.cleanShutdown());
-        to.writeNumber(learned.measuredSlots());
-        to.writeNumber(learned.servedUnits());
+        out.writeStartArray(null, 9);
+        out.writeString(snapshot.gateway());
+        out.writeNumber(snapshot.settingsFingerprint());
+        out.writeNumber(snapshot.generation());
+        out.writeNumber(snapshot.wallMs());
+        out.writeBoolean(snapshot.cleanShutdown());
+        out.writeNumber(learned.measuredSlots());
+        out.writeNumber(learned.servedUnits());
         List<LearnedNode> nodes =
                 learned.nodes().subList(0, Math.min(learned.nodes().size(), Snapshot.MAX_NODES));
-        to.writeStartArray(null, nodes.size());
+        out.writeStartArray(null, nodes.size());
         for (LearnedNode node : nodes) {
-            to.writeStartArray(null, 8);
-            to.writeNumber(node.node());
-            to.writeNumber(node.upSinceMs());
-            to.writeNumber(node.measuredSlots());
-            to.writeNumber(node.servedUnits());
-            to.writeNumber(node.window());
-            to.writeNumber(node.latencyMs());
-            to.writeNumber(node.coldSentUnits());
-            to.writeNumber(node.silentMs());
-            to.writeEndArray();
+            out.writeStartArray(null, 8);
+            out.writeNumber(node.node());
+            out.writeNumber(node.upSinceMs());
+            out.writeNumber(node.measuredSlots());
+            out.writeNumber(node.servedUnits());
+            out.writeNumber(node.window());
+            out.writeNumber(node.latencyMs());
+            out.writeNumber(node.coldSentUnits());
+            out.writeNumber(node.silentMs());
+            out.writeEndArray();
         }
-        to.writeEndArray();
-        to.writeStartArray(null, learned.volumes().size());
+        out.writeEndArray();
+        out.writeStartArray(null, learned.volumes().size());
         for (LearnedVolume volume : learned.volumes()) {
-            to.writeStartArray(null, 7);
-            to.writeNumber(volume.volume());
-            to.writeNumber(volume.plan());
-            to.writeNumber(volume.hostCount());
-            to.writeNumber(volume.localFraction());
-            to.writeNumber(volume.limitLevel());
-            to.writeNumber(volume.reserveLevel());
-            to.writeNumber(volume.shareLevel());
-            to.writeEndArray();
+            out.writeStartArray(null, 7);
+            out.writeNumber(volume.volume());
+            out.writeNumber(volume.plan());
+            out.writeNumber(volume.hostCount());
+            out.writeNumber(volume.localFraction());
+            out.writeNumber(volume.limitLevel());
+            out.writeNumber(volume.reserveLevel());
+            out.writeNumber(volume.shareLevel());
+            out.writeEndArray();
         }
-        to.writeEndArray();
-        to.writeEndArray();
+        out.writeEndArray();
+        out.writeEndArray();
     }
 
-    /** Reads a whole file; whatever is wrong is one fault that says where. */
+    /**
+     * Decodes the content of a file.
+     *
+     * @throws FileFormatException if anything in it is invalid; names the offset
+     */
     public static Snapshot decode(byte[] file) throws FileFormatException {
         if (file.length > MAX_FILE_BYTES) {
             throw new FileFormatException(MAX_FILE_BYTES, "the file is longer than " + MAX_FILE_BYTES + " bytes");
         }
         if (file.length < HEADER_BYTES + TRAILER_BYTES) {
-            throw new FileFormatException(file.length, "the file ends early: it has no whole head and checksum");
+            throw new FileFormatException(file.length, "the file is too short for header and checksum");
         }
         if (!Arrays.equals(file, 0, MAGIC.length, MAGIC, 0, MAGIC.length)) {
-            throw new FileFormatException(0, "this is not a state file of petrelstand");
+            throw new FileFormatException(0, "this is not a state file of petrelstand: the magic bytes do not match");
         }
         ByteBuffer bytes = ByteBuffer.wrap(file);
-        // A version that is not known may lay out all the rest in another way, so it is told first.
+        // Checked first, since another version may differ in everything that follows.
         int version = bytes.getShort(MAGIC.length) & 0xffff;
         if (version > VERSION) {
             throw new FileFormatException(
-                    MAGIC.length, "version " + version + " is newer than " + VERSION + ", the newest that is read");
+                    MAGIC.length, "version " + version + " is newer than " + VERSION + ", the newest that can be read");
         }
         if (version < VERSION) {
             throw new FileFormatException(
-                    MAGIC.length, "version " + version + " is older than " + VERSION + ", the oldest that is read");
+                    MAGIC.length, "version " + version + " is older than " + VERSION + ", the oldest that can be read");
         }
         int length = bytes.getInt(HEADER_BYTES - Integer.BYTES);
         if (length != file.length - HEADER_BYTES - TRAILER_BYTES) {
             throw new FileFormatException(
                     HEADER_BYTES - Integer.BYTES,
-                    "the head says " + length + " bytes of content, the file has "
+                    "the header announces " + length + " bytes of content, but the file has "
                             + (file.length - HEADER_BYTES - TRAILER_BYTES));
         }
         int checksum = checksum(file, 0, HEADER_BYTES + length);
@@ -144,17 +148,17 @@
             throw new FileFormatException(
                     HEADER_BYTES + length,
                     String.format(
-                            "the checksum is %08x, the content's is %08x",
+                            "the checksum is %08x, but that of the content is %08x",
                             bytes.getInt(HEADER_BYTES + length), checksum));
         }
         if (bytes.getShort(MAGIC.length + Short.BYTES) != 0) {
             throw new FileFormatException(MAGIC.length + Short.BYTES, "the reserved bytes are not 0");
         }
-        try (CBORParser from = CBOR.createParser(file, HEADER_BYTES, length)) {
-            Reader reader = new Reader(from);
+        try (CBORParser in = CBOR.createParser(file, HEADER_BYTES, length)) {
+            Reader reader = new Reader(in);
             Snapshot snapshot = reader.readSnapshot();
-            if (from.nextToken() != null) {
-                throw reader.fault("something follows the snapshot");
+            if (in.nextToken() != null) {
+                throw reader.invalid("unexpected data follows the snapshot");
             }
             return snapshot;
         } catch (IOException e) {
@@ -165,26 +169,26 @@
         }
     }
 
-    /** Reads the one array token by token: nothing is built that the format does not have. */
+    /** Reads the array token by token, so that invalid content is rejected before it takes memory. */
     private static final class Reader {
-        private final CBORParser from;
+        private final CBORParser in;
 
-        Reader(CBORParser from) {
-            this.from = from;
+        Reader(CBORParser in) {
+            this.in = in;
         }
 
-        FileFormatException fault(String what) {
+        FileFormatException invalid(String problem) {
             return new FileFormatException(
-                    Math.max(HEADER_BYTES, from.currentTokenLocation().getByteOffset()), what);
+                    Math.max(HEADER_BYTES, in.currentTokenLocation().getByteOffset()), problem);
         }
 
         Snapshot readSnapshot() throws IOException, FileFormatException {
             beginArray("the snapshot");
             String gateway = readText("the gateway's name");
-            long print = readLong("the settings' print");
+            long fingerprint = readLong("the settings' fingerprint");
             long generation = readLong("the generation");
             long wallMs = readLong("the time");
-            boolean clean = readBoolean("the clean end");
+            boolean cleanShutdown = readBoolean("the clean shutdown flag");
             double slots = readDouble("the slots of all nodes");
             double served = readDouble("the units of all nodes");
             List<LearnedNode> nodes = new ArrayList<>();
@@ -207,8 +211,8 @@
                 volumes.add(new LearnedVolume(
                         readLong("a volume's number"),
                         readInt("a volume's plan"),
-                        readInt("a volume's set"),
-                        readDouble("a volume's part"),
+                        readInt("a volume's host count"),
+                        readDouble("a volume's local fraction"),
                         readDouble("a volume's limit"),
                         readDouble("a volume's reserve"),
                         readDouble("a volume's share")));
@@ -216,69 +220,74 @@
             }
             endArray("the snapshot");
             return new Snapshot(
-                    gateway, print, generation, wallMs, clean, new LearnedState(wallMs, slots, served, nodes, volumes));
+                    gateway,
+                    fingerprint,
+                    generation,
+                    wallMs,
+                    cleanShutdown,
+                    new LearnedState(wallMs, slots, served, nodes, volumes));
         }
 
-        private void beginArray(String what) throws IOException, FileFormatException {
-            if (from.nextToken() != JsonToken.START_ARRAY) {
-                throw fault(what + ": a list is wanted here");
+        private void beginArray(String field) throws IOException, FileFormatException {
+            if (in.nextToken() != JsonToken.START_ARRAY) {
+                throw invalid(field + ": expected an array");
             }
         }
 
-        private void endArray(String what) throws IOException, FileFormatException {
-            if (from.nextToken() != JsonToken.END_ARRAY) {
-                throw fault(what + " has more fields than it should");
+        private void endArray(String field) throws IOException, FileFormatException {
+            if (in.nextToken() != JsonToken.END_ARRAY) {
+                throw invalid(field + " has too many fields");
             }
         }
 
-        private boolean beginNextEntry(String what, int read, int most) throws IOException, FileFormatException {
-            JsonToken token = from.nextToken();
+        private boolean beginNextEntry(String entry, int count, int max) throws IOException, FileFormatException {
+            JsonToken token = in.nextToken();
             if (token == JsonToken.END_ARRAY) {
                 return false;
             }
             if (token != JsonToken.START_ARRAY) {
-                throw fault("a " + what + ": a list is wanted here");
+                throw invalid("a " + entry + ": expected an array");
             }
-            if (read >= most) {
-                throw fault("there are more than " + most + " " + what + "s");
+            if (count >= max) {
+                throw invalid("there are more than " + max + " " + entry + "s");
             }
             return true;
         }
 
-        private String readText(String what) throws IOException, FileFormatException {
-            if (from.nextToken() != JsonToken.VALUE_STRING || from.getTextLength() > MAX_NAME_LENGTH) {
-                throw fault(what + ": a text of at most " + MAX_NAME_LENGTH + " characters is wanted here");
+        private String readText(String field) throws IOException, FileFormatException {
+            if (in.nextToken() != JsonToken.VALUE_STRING || in.getTextLength() > MAX_NAME_LENGTH) {
+                throw invalid(field + ": expected a text of at most " + MAX_NAME_LENGTH + " characters");
             }
-            return from.getText();
+            return in.getText();
         }
 
-        private long readLong(String what) throws IOException, FileFormatException {
-            if (from.nextToken() != JsonToken.VALUE_NUMBER_INT
-                    || from.getNumberType() == JsonParser.NumberType.BIG_INTEGER) {
-                throw fault(what + ": a whole number of 64 bits is wanted here");
+        private long readLong(String field) throws IOException, FileFormatException {
+            if (in.nextToken() != JsonToken.VALUE_NUMBER_INT
+                    || in.getNumberType() == JsonParser.NumberType.BIG_INTEGER) {
+                throw invalid(field + ": expected a 64-bit integer");
             }
-            return from.getLongValue();
+            return in.getLongValue();
         }
 
-        private int readInt(String what) throws IOException, FileFormatException {
-            long value = readLong(what);
+        private int readInt(String field) throws IOException, FileFormatException {
+            long value = readLong(field);
             if (value != (int) value) {
-                throw fault(what + ": " + value + " is out of range");
+                throw invalid(field + ": " + value + " does not fit into 32 bits");
             }
             return (int) value;
         }
 
-        private double readDouble(String what) throws IOException, FileFormatException {
-            if (from.nextToken() != JsonToken.VALUE_NUMBER_FLOAT || !Double.isFinite(from.getDoubleValue())) {
-                throw fault(what + ": a finite floating-point number is wanted here");
+        private double readDouble(String field) throws IOException, FileFormatException {
+            if (in.nextToken() != JsonToken.VALUE_NUMBER_FLOAT || !Double.isFinite(in.getDoubleValue())) {
+                throw invalid(field + ": expected a finite floating-point number");
             }
-            return from.getDoubleValue();
+            return in.getDoubleValue();
         }
 
-        private boolean readBoolean(String what) throws IOException, FileFormatException {
-            JsonToken token = from.nextToken();
+        private boolean readBoolean(String field) throws IOException, FileFormatException {
+            JsonToken token = in.nextToken();
             if (token != JsonToken.VALUE_TRUE && token != JsonToken.VALUE_FALSE) {
-                throw fault(what + ": true or false is wanted here");
+                throw invalid(field + ": expected true or false");
             }
             return token == JsonToken.VALUE_TRUE;
         }
--- a/src/main/java/petrelstand/store/SnapshotStore.java
+++ b/src/main/java/petrelstand/store/SnapshotStore.java
@@ -8,27 +8,34 @@
 import petrelstand.state.SnapshotFiles;
 
 /**
- * The snapshots of one folder. A write makes a file of the next generation under a temporary name, syncs it, renames it
- * and syncs the folder's names; only then may an older one go. So whatever is lost, torn or done in another order
- * before a sync, the newest whole file is the one that was written last or the one before it. Not for several threads.
+ * The snapshots of one folder. A write creates the next generation under a temporary name, syncs and renames it, and
+ * syncs the directory; only then are older files deleted. After a crash at any step, the newest complete file is thus
+ * that of the last write or of the one before. Not thread-safe.
  */
 public final class SnapshotStore implements Closeable {
-    /** Files that a folder of ours can hold: a few snapshots, the lock, and what was refused and kept. */
+    /** Maximum number of files in a folder, rejected ones included. */
     static final int MAX_FILES = 1000;
 
-    /** What opening found: the newest whole snapshot (null: none), and a line for each file that was refused. */
+    /**
+     * The result of opening a folder.
+     *
+     * @param newest the newest complete snapshot, null if there is none
+     * @param rejected one line for each file that was rejected
+     */
     public record OpenResult(Snapshot newest, List<String> rejected) {}
 
     private final Folder folder;
-    private final SnapshotFiles generations = new SnapshotFiles();
+    private final SnapshotFiles files = new SnapshotFiles();
 
     public SnapshotStore(Folder folder) {
         this.folder = folder;
     }
 
     /**
-     * Takes the folder and reads what is there, newest first, until {@link SnapshotFiles#MAX_KEPT_SNAPSHOTS} are found
-     * whole. Null where another process has the folder. A file that is refused stays.
+     * Locks the folder and reads its snapshots, newest first, until {@link SnapshotFiles#MAX_KEPT_SNAPSHOTS} complete
+     * ones are found. Rejected files stay in place; temporary files are deleted.
+     *
+     * @return null if another process holds the folder
      */
     public OpenResult open() throws IOException {
         if (!folder.tryLock()) {
@@ -36,20 +43,20 @@
         }
         List<String> names = folder.list(MAX_FILES);
         Snapshot newest = null;
-        List<String> refused = new ArrayList<>();
-        int whole = 0;
+        List<String> rejected = new ArrayList<>();
+        int complete = 0;
         for (long generation : SnapshotFiles.newestFirst(names)) {
-            generations.markSeen(generation);
-            if (whole == SnapshotFiles.MAX_KEPT_SNAPSHOTS) {
+            files.markSeen(generation);
+            if (complete == SnapshotFiles.MAX_KEPT_SNAPSHOTS) {
                 break;
             }
             try {
                 Snapshot snapshot = read(folder, generation);
-                generations.markComplete(generation);
+                files.markComplete(generation);
                 newest = newest == null ? snapshot : newest;
-                whole++;
+                complete++;
             } catch (IOException | FileFormatException e) {
-                refused.add(SnapshotFiles.fileName(generation) + ": " + e.getMessage());
+                rejected.add(SnapshotFiles.fileName(generation) + ": " + e.getMessage());
             }
         }
         for (String name : names) {
@@ -57,10 +64,10 @@
                 folder.delete(name);
             }
         }
-        return new OpenResult(newest, refused);
+        return new OpenResult(newest, rejected);
     }
 
-    /** Reads one generation; its number must be the one in its name. */
+    /** Reads one generation; fails if the file contains another generation than its name says. */
     static Snapshot read(Folder folder, long generation) throws IOException, FileFormatException {
         Snapshot snapshot =
                 SnapshotFormat.decode(folder.read(SnapshotFiles.fileName(generation), SnapshotFormat.MAX_FILE_BYTES));
@@ -71,29 +78,33 @@
         return snapshot;
     }
 
-    /** Writes the next generation; whatever fails, the one before it stays. Returns the bytes written. */
-    public int write(Snapshot taken) throws IOException {
-        long generation = generations.nextGeneration();
-        byte[] file = SnapshotFormat.encode(new Snapshot(
-                taken.gateway(),
-                taken.settingsFingerprint(),
+    /**
+     * Writes a snapshot as the next generation, whatever its own; if that fails, the previous file stays.
+     *
+     * @return the number of bytes written
+     */
+    public int write(Snapshot snapshot) throws IOException {
+        long generation = files.nextGeneration();
+        byte[] content = SnapshotFormat.encode(new Snapshot(
+                snapshot.gateway(),
+                snapshot.settingsFingerprint(),
                 generation,
-                taken.wallMs(),
-                taken.cleanShutdown(),
-                taken.learned()));
+                snapshot.wallMs(),
+                snapshot.cleanShutdown(),
+                snapshot.learned()));
         String temporary = SnapshotFiles.temporaryFileName(generation);
-        // What an earlier write left under this name, or a link that somebody put there.
+        // Removes a leftover of an earlier write or a foreign symbolic link.
         folder.delete(temporary);
-        folder.create(temporary, file);
+        folder.create(temporary, content);
         folder.sync(temporary);
         folder.rename(temporary, SnapshotFiles.fileName(generation));
         folder.syncDirectory();
-        generations.markComplete(generation);
-        for (long old : generations.deletable()) {
-            folder.delete(SnapshotFiles.fileName(old));
-            generations.markDeleted(old);
+        files.markComplete(generation);
+        for (long obsolete : files.deletable()) {
+            folder.delete(SnapshotFiles.fileName(obsolete));
+            files.markDeleted(obsolete);
         }
-        return file.length;
+        return content.length;
     }
 
     @Override
--- a/src/main/java/petrelstand/store/StateKeeper.java
+++ b/src/main/java/petrelstand/store/StateKeeper.java
@@ -23,17 +23,17 @@
 import petrelstand.state.SnapshotSchedule;
 
 /**
- * Keeps what a gateway has learned in a folder. It takes a snapshot on the loop's thread, which costs a look at each
- * node and volume, and hands it to a thread of its own, which encodes and writes; one write at a time, and nothing on
- * the loop ever waits for it. All methods but {@link #open} are for the loop's thread.
+ * Stores a gateway's learned state in a folder and restores it at the next start. Snapshots are taken on the event
+ * loop, then encoded and written on a separate thread, one at a time; the event loop never waits for a write. All
+ * methods but {@link #open} must be called on the event loop.
  */
 public final class StateKeeper {
-    /** A folder that has not answered by then is done without at the start. */
+    /** How long {@link #open} waits for the folder. */
     static final long OPEN_TIMEOUT_MS = 1_000;
-    /** How long the end of the gateway waits for the last write. */
+    /** How long the gateway's shutdown waits for the final snapshot. */
     public static final long FINAL_WRITE_TIMEOUT_US = 400_000;
 
-    /** Makes the folder, on the keeper's own thread. */
+    /** Opens the folder; called on the disk thread. */
     public interface FolderOpener {
         Folder open() throws IOException;
     }
@@ -53,16 +53,16 @@
     private Broker broker;
     private SnapshotSchedule schedule;
     private LearnedState restoredState;
-    /** Of the disk's thread alone. */
+    /** Used by the disk thread only; null while the folder is not open. */
     private SnapshotStore store;
 
     private Runnable afterWrite;
     private boolean disabled;
 
-    /** A keeper for a gateway; {@code wallMs} is the wall clock, by which a snapshot's age is told. */
+    /** Creates a keeper; {@code wallMs} is the wall clock, from which the age of a snapshot is computed. */
     public StateKeeper(
-            FolderOpener opening,
-            long everyUs,
+            FolderOpener folderOpener,
+            long intervalUs,
             String gateway,
             Settings settings,
             Timers timers,
@@ -71,8 +71,8 @@
             Executor loop,
             Counters counters,
             Consumer<String> log) {
-        this.folderOpener = opening;
-        this.intervalUs = everyUs;
+        this.folderOpener = folderOpener;
+        this.intervalUs = intervalUs;
         this.gateway = gateway;
         this.settingsFingerprint = Snapshot.fingerprint(settings);
         this.evaluator = new SnapshotEvaluator(gateway, settings);
@@ -89,10 +89,10 @@
         });
     }
 
-    /** A keeper whose folder is on a disk; so the gateway's own code names nothing of this package but the keeper. */
+    /** Creates a keeper for a folder of the file system. */
     public static StateKeeper onDisk(
             Path folder,
-            long everyUs,
+            long intervalUs,
             String gateway,
             Settings settings,
             Timers timers,
@@ -102,27 +102,36 @@
             Counters counters,
             Consumer<String> log) {
         return new StateKeeper(
-                () -> new DiskFolder(folder), everyUs, gateway, settings, timers, nowUs, wallMs, loop, counters, log);
+                () -> new DiskFolder(folder),
+                intervalUs,
+                gateway,
+                settings,
+                timers,
+                nowUs,
+                wallMs,
+                loop,
+                counters,
+                log);
     }
 
     /**
-     * Takes the folder and reads what was learned, before the gateway serves. Waits {@link #OPEN_TIMEOUT_MS} at most;
-     * whatever is wrong is one line, and the gateway starts without.
+     * Locks the folder and reads the stored state; called before the gateway serves. Blocks for at most
+     * {@link #OPEN_TIMEOUT_MS}. On failure it logs one line, and the gateway starts without restored state.
      */
     public void open() {
         try {
-            SnapshotStore.OpenResult found = diskThread
+            SnapshotStore.OpenResult result = diskThread
                     .submit((Callable<SnapshotStore.OpenResult>) this::openStore)
                     .get(OPEN_TIMEOUT_MS, TimeUnit.MILLISECONDS);
-            if (found == null) {
+            if (result == null) {
                 disabled = true;
                 log.accept("another gateway has the folder; this one keeps nothing");
                 return;
             }
-            found.rejected().forEach(line -> log.accept("refused and left in place: " + line));
-            evaluate(found.newest());
+            result.rejected().forEach(line -> log.accept("rejected a snapshot file and left it in place: " + line));
+            evaluate(result.newest());
         } catch (TimeoutException e) {
-            log.accept("the folder did not answer in " + OPEN_TIMEOUT_MS + " ms; starting without what was learned");
+            log.accept("the folder did not respond within " + OPEN_TIMEOUT_MS + " ms; starting without learned state");
         } catch (ExecutionException e) {
             log.accept("nothing remembered: " + reason(e.getCause()));
         } catch (InterruptedException e) {
@@ -133,11 +142,11 @@
     private SnapshotStore.OpenResult openStore() throws IOException {
         SnapshotStore opened = new SnapshotStore(folderOpener.open());
         try {
-            SnapshotStore.OpenResult found = opened.open();
-            if (found != null) {
+            SnapshotStore.OpenResult result = opened.open();
+            if (result != null) {
                 store = opened;
             }
-            return found;
+            return result;
         } finally {
             if (store != opened) {
                 opened.close();
@@ -150,41 +159,44 @@
             log.accept("nothing remembered: the folder holds no whole snapshot");
             return;
         }
-        SnapshotEvaluator.Evaluation verdict = evaluator.evaluate(newest, wallMs.getAsLong());
-        if (verdict.rejectionReason() != null) {
+        SnapshotEvaluator.Evaluation evaluation = evaluator.evaluate(newest, wallMs.getAsLong());
+        if (evaluation.rejectionReason() != null) {
             log.accept("nothing remembered: " + SnapshotFiles.fileName(newest.generation()) + ": "
-                    + verdict.rejectionReason());
+                    + evaluation.rejectionReason());
             return;
         }
-        restoredState = verdict.learned();
-        log.accept("remembered " + restoredState.nodes().size() + " nodes (" + verdict.silentNodes() + " silent) and "
+        restoredState = evaluation.learned();
+        log.accept("remembered " + restoredState.nodes().size() + " nodes (" + evaluation.silentNodes()
+                + " silent) and "
                 + restoredState.volumes().size() + " volumes, "
-                + String.format(Locale.ROOT, "%.1f", verdict.ageMs() / 1000)
+                + String.format(Locale.ROOT, "%.1f", evaluation.ageMs() / 1000)
                 + " s old, generation " + newest.generation() + (newest.cleanShutdown() ? ", after an orderly end" : "")
-                + (verdict.droppedEntries() > 0 ? "; " + verdict.droppedEntries() + " entries made no sense" : ""));
+                + (evaluation.droppedEntries() > 0
+                        ? "; " + evaluation.droppedEntries() + " invalid entries dropped"
+                        : ""));
     }
 
-    /** Gives the broker what was learned, before its first node list, and begins to keep what it learns. */
-    public void start(Broker of) {
-        broker = of;
+    /** Restores the learned state in the broker, before its first node list, and starts to take snapshots. */
+    public void start(Broker newBroker) {
+        broker = newBroker;
         if (restoredState != null) {
             broker.restoreLearnedState(restoredState);
             restoredState = null;
         }
         if (!disabled) {
-            // The first look takes some 15 ms, for its code is not linked yet: better now than while it serves.
+            // The first call is slow, since its code is not linked yet; make it before serving.
             broker.learnedState();
             schedule = new SnapshotSchedule(nowUs.getAsLong(), intervalUs);
-            tick();
+            checkSchedule();
         }
     }
 
-    /** What is learned from now on is learned under other settings: a start under these will find it its own. */
+    /** Marks later snapshots as learned under these settings, after a reload. */
     public void retune(Settings settings) {
         settingsFingerprint = Snapshot.fingerprint(settings);
     }
 
-    private void tick() {
+    private void checkSchedule() {
         if (afterWrite != null) {
             return;
         }
@@ -196,37 +208,37 @@
             counters.increment("state.hung");
             log.accept(line);
         });
-        timers.schedule(schedule.nextCheckUs(now), this::tick);
+        timers.schedule(schedule.nextCheckUs(now), this::checkSchedule);
     }
 
-    private void startWrite(boolean clean) {
+    private void startWrite(boolean cleanShutdown) {
         Snapshot snapshot =
-                new Snapshot(gateway, settingsFingerprint, 0, wallMs.getAsLong(), clean, broker.learnedState());
+                new Snapshot(gateway, settingsFingerprint, 0, wallMs.getAsLong(), cleanShutdown, broker.learnedState());
         schedule.writeStarted(nowUs.getAsLong());
         diskThread.execute(() -> {
             String fault = null;
             try {
                 if (store == null && openStore() == null) {
-                    throw new IOException("another gateway has the folder");
+                    throw new IOException("the folder is locked by another gateway");
                 }
                 store.write(snapshot);
             } catch (IOException | RuntimeException e) {
                 fault = reason(e);
                 closeStore();
             }
-            String how = fault;
-            loop.execute(() -> writeEnded(how));
+            String error = fault;
+            loop.execute(() -> writeEnded(error));
         });
     }
 
-    /** After a fault the folder is taken anew: it may have gone, and another may stand in its place. */
+    /** Closes the store after an error; the next write opens the folder again, which may have been replaced. */
     private void closeStore() {
         try {
             if (store != null) {
                 store.close();
             }
         } catch (IOException e) {
-            // The lock goes with the process at the latest; the fault of the write has been told.
+            // The write error is reported already, and the lock is released when the process ends.
         }
         store = null;
     }
@@ -242,15 +254,15 @@
     }
 
     /**
-     * All is answered: writes a last snapshot, marked as one after which nothing was sent, and goes on with the end
-     * once it is there, or {@link #FINAL_WRITE_TIMEOUT_US} later at the latest.
+     * Writes a final snapshot, marked as that of a clean shutdown, and runs {@code then} when it is written or after
+     * {@link #FINAL_WRITE_TIMEOUT_US}. Called once all requests are answered.
      */
     public void writeFinalSnapshot(Runnable then) {
         if (schedule == null) {
             then.run();
             return;
         }
-        long untilUs = nowUs.getAsLong() + FINAL_WRITE_TIMEOUT_US;
+        long deadlineUs = nowUs.getAsLong() + FINAL_WRITE_TIMEOUT_US;
         Runnable[] once = {then};
         Runnable end = () -> {
             Runnable next = once[0];
@@ -258,7 +270,7 @@
             next.run();
         };
         if (schedule.isWriting()) {
-            // One at a time: the one under way first. What it lacks is written after it, or not at all.
+            // Only one write at a time: the final one follows the write in progress.
             afterWrite = () -> {
                 afterWrite = end;
                 startWrite(true);
@@ -267,9 +279,10 @@
             afterWrite = end;
             startWrite(true);
         }
-        timers.schedule(untilUs, () -> {
+        timers.schedule(deadlineUs, () -> {
             if (schedule.isWriting()) {
-                log.accept("the last snapshot was not written in " + FINAL_WRITE_TIMEOUT_US / 1000 + " ms");
+                log.accept("the final snapshot was not written within " + FINAL_WRITE_TIMEOUT_US / 1000
+                        + " ms; ending without it");
             }
             end.run();
         });
--- a/src/main/java/petrelstand/store/VersionedTextFile.java
+++ b/src/main/java/petrelstand/store/VersionedTextFile.java
@@ -8,11 +8,12 @@
 import java.util.function.Consumer;
 
 /**
- * A text with its version, kept in a folder that is locked already: one file, replaced in one step, with a checksum. A
- * damaged one counts for nothing, and a line says so. Not for several threads at a time.
+ * Stores the last rules with their version in a folder that the caller has locked: one file with a checksum, replaced
+ * atomically. A damaged file is logged and ignored. Not thread-safe.
  */
 public final class VersionedTextFile {
     static final String FILE_NAME = "rules-last";
+    private static final String TEMPORARY_FILE_NAME = FILE_NAME + ".new";
     private static final int MAX_FILE_BYTES = 256 * 1024;
     private static final int HEADER_BYTES = Long.BYTES + Integer.BYTES;
 
@@ -20,60 +21,61 @@
     private final Consumer<String> log;
     private long version;
     private String text;
-    private boolean failed;
+    private boolean failing;
 
-    /** Reads what is kept. */
+    /** Reads the stored version and text; a missing file is version 0 without a text. */
     public VersionedTextFile(Folder folder, Consumer<String> log) throws IOException {
         this.folder = folder;
         this.log = log;
         try {
             byte[] content = folder.read(FILE_NAME, MAX_FILE_BYTES);
-            ByteBuffer head = ByteBuffer.wrap(content);
-            if (content.length < HEADER_BYTES || head.getInt(Long.BYTES) != checksum(content)) {
-                log.accept(FILE_NAME + " is damaged and counts for nothing");
+            ByteBuffer header = ByteBuffer.wrap(content);
+            if (content.length < HEADER_BYTES || header.getInt(Long.BYTES) != checksum(content)) {
+                log.accept(FILE_NAME + " is damaged and ignored: its length or checksum is wrong");
                 return;
             }
-            version = head.getLong(0);
+            version = header.getLong(0);
             text = new String(content, HEADER_BYTES, content.length - HEADER_BYTES, StandardCharsets.UTF_8);
         } catch (NoSuchFileException e) {
-            // The first start.
+            // Nothing has been stored yet.
         }
     }
 
     private static int checksum(byte[] content) {
-        byte[] without = content.clone();
-        Arrays.fill(without, Long.BYTES, HEADER_BYTES, (byte) 0);
-        return SnapshotFormat.checksum(without, 0, without.length);
+        byte[] zeroed = content.clone();
+        Arrays.fill(zeroed, Long.BYTES, HEADER_BYTES, (byte) 0);
+        return SnapshotFormat.checksum(zeroed, 0, zeroed.length);
     }
 
-    /** The version that an earlier life kept. */
+    /** Returns the version that was read, 0 if there was none. */
     public long version() {
         return version;
     }
 
-    /** Its text, or null. */
+    /** Returns the text that was read, null if there was none. */
     public String text() {
         return text;
     }
 
-    /** Keeps another; a fault is said once until it works again. */
-    public void save(long newer, String of) {
-        byte[] bytes = of.getBytes(StandardCharsets.UTF_8);
+    /** Replaces the stored version and text; logs the first of successive failures. */
+    public void save(long newVersion, String newText) {
+        byte[] bytes = newText.getBytes(StandardCharsets.UTF_8);
         ByteBuffer content = ByteBuffer.allocate(HEADER_BYTES + bytes.length);
-        content.putLong(newer).putInt(0).put(bytes);
+        content.putLong(newVersion).putInt(0).put(bytes);
         content.putInt(Long.BYTES, checksum(content.array()));
         try {
-            folder.delete(FILE_NAME + ".new");
-            folder.create(FILE_NAME + ".new", content.array());
-            folder.sync(FILE_NAME + ".new");
-            folder.rename(FILE_NAME + ".new", FILE_NAME);
+            folder.delete(TEMPORARY_FILE_NAME);
+            folder.create(TEMPORARY_FILE_NAME, content.array());
+            folder.sync(TEMPORARY_FILE_NAME);
+            folder.rename(TEMPORARY_FILE_NAME, FILE_NAME);
             folder.syncDirectory();
-            failed = false;
+            failing = false;
         } catch (IOException e) {
-            if (!failed) {
-                log.accept("version " + newer + " is not kept: " + e.getMessage());
+            if (!failing) {
+                log.accept(
+                        "cannot store version " + newVersion + ", an earlier one stays on the disk: " + e.getMessage());
             }
-            failed = true;
+            failing = true;
         }
     }
 }
--- a/src/test/java/petrelstand/state/SnapshotScheduleTest.java
+++ b/src/test/java/petrelstand/state/SnapshotScheduleTest.java
@@ -9,74 +9,76 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** When a snapshot is taken, what is said of failures, and which files may go. */
+/** Guards against overlapping or too frequent writes, repeated log lines, and deleting files that are needed. */
 class SnapshotScheduleTest {
-    private static final long SECOND = 1_000_000;
-    private final SnapshotSchedule plan = new SnapshotSchedule(0, 2 * SECOND);
+    private static final long SECOND_US = 1_000_000;
+    private final SnapshotSchedule schedule = new SnapshotSchedule(0, 2 * SECOND_US);
 
     @Test
-    void oneAtATimeAndAtASteadyPace() {
-        assertFalse(plan.isDue(2 * SECOND - 1));
-        assertTrue(plan.isDue(2 * SECOND));
-        plan.writeStarted(2 * SECOND);
-        assertFalse(plan.isDue(9 * SECOND));
-        assertThrows(IllegalStateException.class, () -> plan.writeStarted(9 * SECOND));
-        assertEquals(Optional.empty(), plan.writeEnded(2 * SECOND + 500, null));
-        assertFalse(plan.isDue(4 * SECOND - 1));
-        assertTrue(plan.isDue(4 * SECOND));
+    void writesOneSnapshotAtATimeAtAFixedInterval() {
+        assertFalse(schedule.isDue(2 * SECOND_US - 1));
+        assertTrue(schedule.isDue(2 * SECOND_US));
+        schedule.writeStarted(2 * SECOND_US);
+        assertFalse(schedule.isDue(9 * SECOND_US));
+        assertThrows(IllegalStateException.class, () -> schedule.writeStarted(9 * SECOND_US));
+        assertEquals(Optional.empty(), schedule.writeEnded(2 * SECOND_US + 500, null));
+        assertFalse(schedule.isDue(4 * SECOND_US - 1));
+        assertTrue(schedule.isDue(4 * SECOND_US));
     }
 
     @Test
-    void failuresAreToldOnceAndComeLaterAndLaterUntilItWorksAgain() {
-        long now = 2 * SECOND;
-        long before = 0;
+    void backsOffAfterFailuresAndReportsOnlyTheFirst() {
+        long now = 2 * SECOND_US;
+        long previousDelayUs = 0;
         for (int i = 0; i < 12; i++) {
-            plan.writeStarted(now);
-            assertEquals(i == 0, plan.writeEnded(now, "disk full").isPresent());
-            long rest = plan.nextCheckUs(now) - now;
-            assertTrue(rest >= before && rest >= 2 * SECOND && rest <= 60 * SECOND, "rest " + rest);
-            before = rest;
-            now += rest;
-            assertTrue(plan.isDue(now));
+            schedule.writeStarted(now);
+            assertEquals(i == 0, schedule.writeEnded(now, "disk full").isPresent());
+            long delayUs = schedule.nextCheckUs(now) - now;
+            assertTrue(
+                    delayUs >= previousDelayUs && delayUs >= 2 * SECOND_US && delayUs <= 60 * SECOND_US,
+                    "delay " + delayUs);
+            previousDelayUs = delayUs;
+            now += delayUs;
+            assertTrue(schedule.isDue(now));
         }
-        assertEquals(60 * SECOND, before);
-        plan.writeStarted(now);
-        assertEquals(Optional.of("written again"), plan.writeEnded(now, null));
-        assertEquals(now + 2 * SECOND, plan.nextCheckUs(now));
-        plan.writeStarted(now + 2 * SECOND);
-        assertEquals(Optional.empty(), plan.writeEnded(now + 2 * SECOND, null));
+        assertEquals(60 * SECOND_US, previousDelayUs);
+        schedule.writeStarted(now);
+        assertEquals(Optional.of("writing snapshots works again"), schedule.writeEnded(now, null));
+        assertEquals(now + 2 * SECOND_US, schedule.nextCheckUs(now));
+        schedule.writeStarted(now + 2 * SECOND_US);
+        assertEquals(Optional.empty(), schedule.writeEnded(now + 2 * SECOND_US, null));
     }
 
     @Test
-    void aWriteThatHangsIsToldOnceAndSoIsItsEnd() {
-        plan.writeStarted(2 * SECOND);
-        assertEquals(Optional.empty(), plan.checkHung(4 * SECOND - 1));
-        assertEquals(4 * SECOND, plan.nextCheckUs(3 * SECOND));
-        assertTrue(plan.checkHung(4 * SECOND).isPresent());
-        assertEquals(Optional.empty(), plan.checkHung(5 * SECOND));
-        assertTrue(plan.nextCheckUs(5 * SECOND) > 5 * SECOND);
-        assertEquals(Optional.of("written again"), plan.writeEnded(12 * SECOND, null));
-        assertTrue(plan.isDue(12 * SECOND));
+    void reportsAHungWriteOnceAndItsEndOnce() {
+        schedule.writeStarted(2 * SECOND_US);
+        assertEquals(Optional.empty(), schedule.checkHung(4 * SECOND_US - 1));
+        assertEquals(4 * SECOND_US, schedule.nextCheckUs(3 * SECOND_US));
+        assertTrue(schedule.checkHung(4 * SECOND_US).isPresent());
+        assertEquals(Optional.empty(), schedule.checkHung(5 * SECOND_US));
+        assertTrue(schedule.nextCheckUs(5 * SECOND_US) > 5 * SECOND_US);
+        assertEquals(Optional.of("writing snapshots works again"), schedule.writeEnded(12 * SECOND_US, null));
+        assertTrue(schedule.isDue(12 * SECOND_US));
     }
 
     @Test
-    void onlyWholeGenerationsBeyondTheKeptOnesMayGo() {
-        SnapshotFiles generations = new SnapshotFiles();
-        generations.markSeen(7);
-        generations.markComplete(5);
-        generations.markComplete(4);
-        assertEquals(8, generations.nextGeneration());
-        assertEquals(List.of(), generations.deletable());
-        generations.markComplete(8);
-        assertEquals(List.of(4L), generations.deletable());
-        generations.markDeleted(4);
-        generations.markComplete(9);
-        assertEquals(List.of(5L), generations.deletable());
-        assertEquals(10, generations.nextGeneration());
+    void onlyCompleteGenerationsBeyondTheKeptOnesAreDeletable() {
+        SnapshotFiles files = new SnapshotFiles();
+        files.markSeen(7);
+        files.markComplete(5);
+        files.markComplete(4);
+        assertEquals(8, files.nextGeneration());
+        assertEquals(List.of(), files.deletable());
+        files.markComplete(8);
+        assertEquals(List.of(4L), files.deletable());
+        files.markDeleted(4);
+        files.markComplete(9);
+        assertEquals(List.of(5L), files.deletable());
+        assertEquals(10, files.nextGeneration());
     }
 
     @Test
-    void namesAreReadBackAndOthersPassedOver() {
+    void parsesItsOwnFileNamesAndIgnoresOthers() {
         assertEquals(Optional.of(0x1fL), SnapshotFiles.parseGeneration(SnapshotFiles.fileName(0x1f)));
         for (String other : List.of(
                 "lock",
--- a/src/test/java/petrelstand/store/AccountsLogTest.java
+++ b/src/test/java/petrelstand/store/AccountsLogTest.java
@@ -26,7 +26,7 @@
 import petrelstand.accounts.Ledger;
 import petrelstand.core.Counters;
 
-/** Records of the accounts: read back as written, torn anywhere, rotated, and never in the loop's way. */
+/** Guards against losing intact records of a damaged file, unbounded files, and a disk that blocks the event loop. */
 class AccountsLogTest {
     private static final AccountsRecord.NameTable NAMES =
             new AccountsRecord.NameTable("n1", List.of("tile-read", "survey-write", "bulk-export"), List.of("basic"));
@@ -46,49 +46,49 @@
     }
 
     private static byte[] file(int seconds) throws IOException {
-        ByteArrayOutputStream all = new ByteArrayOutputStream();
-        all.write(AccountsRecord.header());
-        all.write(AccountsRecord.encodeFrame(NAMES));
+        ByteArrayOutputStream content = new ByteArrayOutputStream();
+        content.write(AccountsRecord.header());
+        content.write(AccountsRecord.encodeFrame(NAMES));
         for (int i = 1; i <= seconds; i++) {
-            all.write(AccountsRecord.encodeFrame(second(i)));
+            content.write(AccountsRecord.encodeFrame(second(i)));
         }
-        return all.toByteArray();
+        return content.toByteArray();
     }
 
     @Test
-    void whatIsWrittenIsReadBackAndATornEndLosesOnlyWhatWasTorn() throws Exception {
-        byte[] whole = file(5);
-        AccountsRecord.Content content = AccountsRecord.read(whole);
+    void damageLosesOnlyTheRecordsFromThereOn() throws Exception {
+        byte[] intact = file(5);
+        AccountsRecord.Content content = AccountsRecord.read(intact);
         assertEquals(NAMES, content.names());
         assertEquals(List.of(second(1), second(2), second(3), second(4), second(5)), content.seconds());
         assertNull(content.fault());
         int frame = AccountsRecord.encodeFrame(second(1)).length;
-        for (int cut = AccountsRecord.HEADER_BYTES; cut < whole.length; cut++) {
-            AccountsRecord.Content torn = AccountsRecord.read(Arrays.copyOf(whole, cut));
-            int expected = Math.max(0, 5 - (whole.length - cut + frame - 1) / frame);
-            assertEquals(expected, torn.seconds().size(), "cut at " + cut);
+        for (int cut = AccountsRecord.HEADER_BYTES; cut < intact.length; cut++) {
+            AccountsRecord.Content truncated = AccountsRecord.read(Arrays.copyOf(intact, cut));
+            int expected = Math.max(0, 5 - (intact.length - cut + frame - 1) / frame);
+            assertEquals(expected, truncated.seconds().size(), "cut at " + cut);
         }
-        for (int at = AccountsRecord.HEADER_BYTES; at < whole.length; at++) {
-            byte[] flipped = whole.clone();
+        for (int at = AccountsRecord.HEADER_BYTES; at < intact.length; at++) {
+            byte[] flipped = intact.clone();
             flipped[at] ^= 0x41;
-            AccountsRecord.Content bad = AccountsRecord.read(flipped);
-            assertTrue(bad.fault().startsWith("offset "), bad.fault());
-            assertEquals(content.seconds().subList(0, bad.seconds().size()), bad.seconds());
+            AccountsRecord.Content damaged = AccountsRecord.read(flipped);
+            assertTrue(damaged.fault().startsWith("offset "), damaged.fault());
+            assertEquals(content.seconds().subList(0, damaged.seconds().size()), damaged.seconds());
         }
         for (int at = 0; at < 10; at++) {
-            byte[] flipped = whole.clone();
+            byte[] flipped = intact.clone();
             flipped[at] ^= 0x41;
             assertThrows(FileFormatException.class, () -> AccountsRecord.read(flipped));
         }
     }
 
-    private AccountsLog log(AccountsLog.FolderOpener opening, int mostBytes) {
-        Consumer<Runnable> on = loop::add;
-        return new AccountsLog(opening, NAMES, mostBytes, counters, on, log::add);
+    private AccountsLog log(AccountsLog.FolderOpener opening, int maxFileBytes) {
+        Consumer<Runnable> eventLoop = loop::add;
+        return new AccountsLog(opening, NAMES, maxFileBytes, counters, eventLoop, log::add);
     }
 
     @Test
-    void filesAreRotatedAndANewStartBeginsANewOne() throws Exception {
+    void filesAreRotatedAndEachStartBeginsANewFile() throws Exception {
         AccountsLog first = log(() -> new DiskFolder(folder), 2_000);
         for (int i = 1; i <= 200; i++) {
             first.over(second(i));
@@ -120,12 +120,12 @@
     }
 
     @Test
-    void aDiskThatHangsDropsAndCountsAndHoldsNothingUp() throws Exception {
-        CountDownLatch hangs = new CountDownLatch(1);
+    void hungDiskDropsAndCountsRecordsWithoutBlocking() throws Exception {
+        CountDownLatch diskResponds = new CountDownLatch(1);
         AccountsLog hung = log(
                 () -> {
                     try {
-                        hangs.await();
+                        diskResponds.await();
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
                     }
@@ -137,24 +137,24 @@
         }
         assertEquals(1_000 - 256, counters.get("accounts.dropped"));
         assertTrue(!hung.close(50));
-        hangs.countDown();
+        diskResponds.countDown();
     }
 
     @Test
-    void aFolderThatCannotBeUsedIsToldOnce() throws Exception {
-        AccountsLog none = log(
+    void unusableFolderIsReportedOnce() throws Exception {
+        AccountsLog unusable = log(
                 () -> {
                     throw new IOException("No space left on device");
                 },
                 1 << 20);
-        none.over(second(1));
+        unusable.over(second(1));
         Runnable line = loop.poll(20, TimeUnit.SECONDS);
         line.run();
-        assertEquals(List.of("accounts: not recorded: No space left on device; service goes on without"), log);
+        assertEquals(List.of("accounts: cannot write accounts records: No space left on device; retrying in 5 s"), log);
     }
 
     @Test
-    void theBookTellsEachSecondAndMinuteOnce() {
+    void bookReportsEachSecondAndMinuteOnce() {
         Book book = new Book();
         List<Book.Second> seconds = new ArrayList<>();
         List<AccountsRecord.MinuteRecord> minutes = new ArrayList<>();
--- a/src/test/java/petrelstand/store/IncarnationFileTest.java
+++ b/src/test/java/petrelstand/store/IncarnationFileTest.java
@@ -10,30 +10,32 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A life's incarnation is above that of the life before, whatever the wall clock says and whenever the power goes. */
+/** Guards against reusing incarnations after a crash at any step or when the wall clock goes back. */
 class IncarnationFileTest {
     @Test
-    void aCutAtAnyStepNeverLetsALaterLifeBeginLower() throws Exception {
+    void incarnationsIncreaseAfterACrashAtAnyStep() throws Exception {
         int tried = 0;
         int steps = 0;
-        for (int cut = 0; cut <= steps; cut++) {
+        for (int crashStep = 0; crashStep <= steps; crashStep++) {
             SimFolder folder = new SimFolder();
             IncarnationFile.reserve(folder, 1_000, line -> {});
-            int before = folder.steps();
-            folder.failBeforeStep = before + cut;
-            long used = 1_000 + IncarnationFile.RESERVED_COUNT;
+            int stepsBefore = folder.steps();
+            folder.failBeforeStep = stepsBefore + crashStep;
+            long highestUsed = 1_000 + IncarnationFile.RESERVED_COUNT;
             try {
-                // The clock went back: only the file can tell.
-                used = IncarnationFile.reserve(folder, 10, line -> {}) + IncarnationFile.RESERVED_COUNT;
-                steps = Math.max(steps, folder.steps() - before);
+                // The clock went back, so only the file can tell.
+                highestUsed = IncarnationFile.reserve(folder, 10, line -> {}) + IncarnationFile.RESERVED_COUNT;
+                steps = Math.max(steps, folder.steps() - stepsBefore);
             } catch (SimFolder.PowerLoss e) {
-                steps = cut + 1;
+                steps = crashStep + 1;
             }
             for (int subset = 0; subset < folder.crashOutcomes(); subset++) {
                 for (int loss = 0; loss < SimFolder.LOSS_MODES; loss++) {
                     List<String> lines = new ArrayList<>();
                     long next = IncarnationFile.reserve(folder.afterCrash(subset, loss), 10, lines::add);
-                    assertTrue(next > used && lines.isEmpty(), "cut " + cut + ": " + next + " after " + used + lines);
+                    assertTrue(
+                            next > highestUsed && lines.isEmpty(),
+                            "crash before step " + crashStep + ": " + next + " after " + highestUsed + lines);
                     tried++;
                 }
             }
@@ -42,13 +44,15 @@
     }
 
     @Test
-    void aDamagedFileIsSetAsideAndASecondProcessIsRefused() throws Exception {
+    void renamesADamagedFileAndRejectsASecondProcess() throws Exception {
         SimFolder folder = new SimFolder();
         folder.create(
                 IncarnationFile.FILE_NAME, "petrelstand incarnation 77 00000000\n".getBytes(StandardCharsets.US_ASCII));
         List<String> lines = new ArrayList<>();
         assertEquals(500, IncarnationFile.reserve(folder, 500, lines::add));
-        assertTrue(lines.get(0).startsWith("incarnation is set aside: "), lines.toString());
+        assertTrue(
+                lines.get(0).startsWith("incarnation is damaged, renamed it to incarnation.damaged: "),
+                lines.toString());
         assertTrue(folder.list(10).contains("incarnation.damaged"));
         folder.lockedByOther = true;
         assertThrows(IOException.class, () -> IncarnationFile.reserve(folder, 500, lines::add));
--- a/src/test/java/petrelstand/store/SimFolder.java
+++ b/src/test/java/petrelstand/store/SimFolder.java
@@ -11,11 +11,11 @@
 import java.util.function.Consumer;
 
 /**
- * A folder whose disk may fail. What was not synced may be lost, torn or done in any order: a file's unsynced content
- * is none, a part, or noise of the right length, and of the changes to names since the last sync any subset is there.
+ * Simulates a folder on a disk that may lose power. After a power loss, unsynced content may be missing, truncated or
+ * replaced by zeros, and any subset of the unsynced directory changes may have been applied.
  */
 class SimFolder implements Folder {
-    /** A file: what a reader sees, and what is on the disk for sure (null: nothing of its content). */
+    /** The content that a reader sees, and the content that is synced (null if none is). */
     private static final class File {
         private byte[] content;
         private byte[] onDisk;
@@ -26,29 +26,30 @@
         }
     }
 
-    /** A change to the names that the disk may not have seen: a name and its file, null where it is gone. */
+    /** An unsynced directory change: a name and its file, null if the name was removed. */
     private record Change(String name, File file) {}
 
-    /** A rename is one change on most disks; that it may be half there is the harder case, and is tried as well. */
     private final Map<String, File> names = new TreeMap<>();
 
     private final Map<String, File> onDisk = new TreeMap<>();
     private final List<Change> unsynced = new ArrayList<>();
+    private static final int MAX_VARIED_CHANGES = 12;
+
     private int steps;
-    /** The step before which the power is cut; steps count from 0. */
+    /** The step, counted from 0, before which the power is lost. */
     int failBeforeStep = Integer.MAX_VALUE;
-    /** Called before each step; may throw in its place. */
+    /** Called with the name of each step before it; may throw to make the step fail. */
     Consumer<String> beforeStep = step -> {};
 
     boolean lockedByOther;
 
-    /** The power was cut. */
+    /** Thrown in place of a step when the power is lost. */
     static final class PowerLoss extends RuntimeException {
         private static final long serialVersionUID = 1;
     }
 
-    private void step(String what) {
-        beforeStep.accept(what);
+    private void step(String name) {
+        beforeStep.accept(name);
         if (steps++ >= failBeforeStep) {
             throw new PowerLoss();
         }
@@ -67,18 +68,18 @@
         unsynced.add(new Change(name, file));
     }
 
-    /** How many ways a cut now can leave the disk. */
+    /** Returns in how many ways a power loss now can leave the directory. */
     int crashOutcomes() {
-        return 1 << Math.min(12, unsynced.size());
+        return 1 << Math.min(MAX_VARIED_CHANGES, unsynced.size());
     }
 
-    /** The folder as found after a cut: a subset of the unsynced changes, and one of the ways to lose content. */
+    /** Returns the folder after a power loss, for one subset of the unsynced changes and one way to lose content. */
     SimFolder afterCrash(int subset, int loss) {
         SimFolder found = new SimFolder();
         Map<String, File> left = new TreeMap<>(onDisk);
         for (int i = 0; i < unsynced.size(); i++) {
-            // Changes before the last twelve are there: the bound on what is enumerated.
-            int bit = i - Math.max(0, unsynced.size() - 12);
+            // Only the last changes are varied, which bounds the number of subsets.
+            int bit = i - Math.max(0, unsynced.size() - MAX_VARIED_CHANGES);
             if (bit < 0 || (subset >> bit & 1) != 0) {
                 Change change = unsynced.get(i);
                 if (change.file == null) {
@@ -97,14 +98,15 @@
         return found;
     }
 
+    /** Number of ways in which unsynced content can be lost. */
     static final int LOSS_MODES = 4;
 
     private static byte[] loseContent(byte[] content, int loss) {
-        byte[] noise = new byte[content.length];
+        byte[] zeros = new byte[content.length];
         return switch (loss) {
             case 0 -> new byte[0];
             case 1 -> Arrays.copyOf(content, content.length / 2);
-            case 2 -> noise;
+            case 2 -> zeros;
             default -> {
                 byte[] torn = content.clone();
                 Arrays.fill(torn, 0, Math.min(torn.length, 512), (byte) 0);
@@ -119,7 +121,7 @@
     }
 
     @Override
-    public List<String> list(int most) {
+    public List<String> list(int max) {
         return List.copyOf(names.keySet());
     }
 
@@ -132,7 +134,7 @@
     }
 
     @Override
-    public byte[] read(String name, int most) throws IOException {
+    public byte[] read(String name, int max) throws IOException {
         return file(name).content.clone();
     }
 
@@ -156,6 +158,7 @@
     public void rename(String from, String to) throws IOException {
         step("rename");
         File file = file(from);
+        // Two separate changes, so that a half-applied rename is covered.
         change(to, file);
         change(from, null);
     }
--- a/src/test/java/petrelstand/store/SnapshotStoreTest.java
+++ b/src/test/java/petrelstand/store/SnapshotStoreTest.java
@@ -24,12 +24,12 @@
 import petrelstand.state.Snapshot;
 import petrelstand.state.SnapshotFiles;
 
-/** Files that are never half written, on a disk that loses, tears and reorders, and on a real one. */
+/** Guards against losing or misreading snapshots after a crash, damage, or interference with the folder. */
 class SnapshotStoreTest {
     @TempDir
     Path folder;
 
-    /** A snapshot that tells which one it is. */
+    /** Returns a snapshot that is identified by its time. */
     static Snapshot snapshot(int number) {
         List<LearnedNode> nodes = new ArrayList<>();
         List<LearnedVolume> volumes = new ArrayList<>();
@@ -40,39 +40,42 @@
         return new Snapshot("n1", 42, 0, number, number % 2 == 0, new LearnedState(number, number, 1, nodes, volumes));
     }
 
-    private static Snapshot same(Snapshot of, long generation) {
+    private static Snapshot withGeneration(Snapshot snapshot, long generation) {
         return new Snapshot(
-                of.gateway(), of.settingsFingerprint(), generation, of.wallMs(), of.cleanShutdown(), of.learned());
+                snapshot.gateway(),
+                snapshot.settingsFingerprint(),
+                generation,
+                snapshot.wallMs(),
+                snapshot.cleanShutdown(),
+                snapshot.learned());
     }
 
     @Test
-    void whatIsWrittenIsReadBack() throws Exception {
-        Snapshot written = same(snapshot(3), 9);
+    void encodedSnapshotRoundTrips() throws Exception {
+        Snapshot written = withGeneration(snapshot(3), 9);
         assertEquals(written, SnapshotFormat.decode(SnapshotFormat.encode(written)));
     }
 
-    /**
-     * Every step of eight writes is a place for the power to fail, and then every way in which that leaves the disk.
-     */
+    /** Simulates a power loss before each step of eight writes, with every resulting state of the disk. */
     @Test
-    void aCutAtAnyStepLeavesTheLastSnapshotOrTheOneBefore() throws Exception {
+    void crashAtAnyStepKeepsTheLastOrThePreviousSnapshot() throws Exception {
         int tried = 0;
-        boolean goesOn = true;
-        for (int cut = 0; goesOn; cut++) {
+        boolean crashed = true;
+        for (int crashStep = 0; crashed; crashStep++) {
             SimFolder disk = new SimFolder();
-            disk.failBeforeStep = cut;
-            int durable = 0;
-            int begun = 0;
+            disk.failBeforeStep = crashStep;
+            int lastCompleted = 0;
+            int started = 0;
             try {
                 SnapshotStore store = new SnapshotStore(disk);
                 assertNotNull(store.open());
-                for (begun = 1; begun <= 8; begun++) {
-                    store.write(snapshot(begun));
-                    durable = begun;
+                for (started = 1; started <= 8; started++) {
+                    store.write(snapshot(started));
+                    lastCompleted = started;
                 }
-                goesOn = false;
+                crashed = false;
             } catch (SimFolder.PowerLoss e) {
-                // The disk is looked at below.
+                // The disk is checked below.
             }
             for (int subset = 0; subset < disk.crashOutcomes(); subset++) {
                 for (int loss = 0; loss < SimFolder.LOSS_MODES; loss++) {
@@ -81,25 +84,25 @@
                     Snapshot newest = store.open().newest();
                     long number = newest == null ? 0 : newest.wallMs();
                     assertTrue(
-                            number == durable || number == begun,
-                            "cut " + cut + ", subset " + subset + ", loss " + loss + ": " + number + " of " + durable
-                                    + " or " + begun);
+                            number == lastCompleted || number == started,
+                            "crash before step " + crashStep + ", subset " + subset + ", loss " + loss + ": " + number
+                                    + " of " + lastCompleted + " or " + started);
                     if (number > 0) {
-                        assertEquals(same(snapshot((int) number), number), newest);
+                        assertEquals(withGeneration(snapshot((int) number), number), newest);
                     }
-                    // And it can be written on from there.
+                    // Writing continues from there.
                     store.write(snapshot(50));
                     assertEquals(50, new SnapshotStore(found).open().newest().wallMs());
                     tried++;
                 }
             }
         }
-        assertTrue(tried > 500, "only " + tried + " ways were tried");
+        assertTrue(tried > 500, "only " + tried + " cases were tried");
     }
 
-    /** The test above finds a store that skips a sync: without it, its promise does not hold. */
+    /** Shows that the simulated disk detects a missing sync. */
     @Test
-    void aStoreWithoutSyncsIsFoundOut() throws Exception {
+    void simulatedDiskLosesUnsyncedSnapshots() throws Exception {
         SimFolder disk = new SimFolder() {
             @Override
             public void sync(String name) {}
@@ -116,41 +119,43 @@
     }
 
     @Test
-    void everyByteFlippedAndEveryLengthCutIsRefused() throws Exception {
-        byte[] good = SnapshotFormat.encode(same(snapshot(1), 1));
-        for (int at = 0; at < good.length; at++) {
+    void rejectsEveryChangedByteAndEveryTruncation() throws Exception {
+        byte[] valid = SnapshotFormat.encode(withGeneration(snapshot(1), 1));
+        for (int index = 0; index < valid.length; index++) {
             for (int flip : new int[] {1, 0x80, 0xff}) {
-                byte[] bad = good.clone();
-                bad[at] ^= (byte) flip;
-                FileFormatException fault = assertThrows(FileFormatException.class, () -> SnapshotFormat.decode(bad));
+                byte[] damaged = valid.clone();
+                damaged[index] ^= (byte) flip;
+                FileFormatException fault =
+                        assertThrows(FileFormatException.class, () -> SnapshotFormat.decode(damaged));
                 assertTrue(fault.offset() >= 0
-                        && fault.offset() <= good.length
+                        && fault.offset() <= valid.length
                         && !fault.getMessage().contains("\n"));
             }
-            byte[] cut = Arrays.copyOf(good, at);
-            assertThrows(FileFormatException.class, () -> SnapshotFormat.decode(cut));
+            byte[] truncated = Arrays.copyOf(valid, index);
+            assertThrows(FileFormatException.class, () -> SnapshotFormat.decode(truncated));
         }
-        assertThrows(FileFormatException.class, () -> SnapshotFormat.decode(Arrays.copyOf(good, good.length + 1)));
+        assertThrows(FileFormatException.class, () -> SnapshotFormat.decode(Arrays.copyOf(valid, valid.length + 1)));
     }
 
-    /** A checksum that fits does not make nonsense sense. */
+    /** Guards against trusting content because its checksum is right. */
     @Test
-    void nonsenseThatIsWellFormedIsRefusedWithItsPlace() throws Exception {
-        byte[] good = SnapshotFormat.encode(same(snapshot(1), 1));
+    void rejectsInvalidContentWithAValidChecksum() throws Exception {
+        byte[] valid = SnapshotFormat.encode(withGeneration(snapshot(1), 1));
         byte[] payload =
-                Arrays.copyOfRange(good, SnapshotFormat.HEADER_BYTES, good.length - SnapshotFormat.TRAILER_BYTES);
-        refused(SnapshotFormat.encodeFile(2, payload), "offset 8: version 2 is newer than 1");
-        refused(SnapshotFormat.encodeFile(0, payload), "offset 8: version 0 is older than 1");
-        refused(SnapshotFormat.encodeFile(1, new byte[0]), "a list is wanted here");
-        refused(SnapshotFormat.encodeFile(1, Arrays.copyOf(payload, payload.length - 1)), "offset");
-        refused(SnapshotFormat.encodeFile(1, Arrays.copyOf(payload, payload.length + 1)), "something follows");
-        refused(SnapshotFormat.encode(with(new LearnedNode(1, 0, Double.NaN, 1, 1, 1, 0, 0))), "a node's slots");
-        refused(
+                Arrays.copyOfRange(valid, SnapshotFormat.HEADER_BYTES, valid.length - SnapshotFormat.TRAILER_BYTES);
+        assertRejected(SnapshotFormat.encodeFile(2, payload), "offset 8: version 2 is newer than 1");
+        assertRejected(SnapshotFormat.encodeFile(0, payload), "offset 8: version 0 is older than 1");
+        assertRejected(SnapshotFormat.encodeFile(1, new byte[0]), "expected an array");
+        assertRejected(SnapshotFormat.encodeFile(1, Arrays.copyOf(payload, payload.length - 1)), "offset");
+        assertRejected(
+                SnapshotFormat.encodeFile(1, Arrays.copyOf(payload, payload.length + 1)), "unexpected data follows");
+        assertRejected(SnapshotFormat.encode(with(new LearnedNode(1, 0, Double.NaN, 1, 1, 1, 0, 0))), "a node's slots");
+        assertRejected(
                 SnapshotFormat.encode(with(new LearnedNode(1, 0, 1, 1, 1, Double.POSITIVE_INFINITY, 0, 0))),
                 "a node's latency");
-        refused(SnapshotFormat.encodeFile(1, nodes(1_000_000 / 8)), "there are more than 4096 nodes");
-        refused(new byte[SnapshotFormat.MAX_FILE_BYTES + 1], "the file is longer than");
-        refused(
+        assertRejected(SnapshotFormat.encodeFile(1, nodes(1_000_000 / 8)), "there are more than 4096 nodes");
+        assertRejected(new byte[SnapshotFormat.MAX_FILE_BYTES + 1], "the file is longer than");
+        assertRejected(
                 "this is a text and not a state file".getBytes(java.nio.charset.StandardCharsets.US_ASCII),
                 "offset 0: this is not a state file");
     }
@@ -161,42 +166,42 @@
 
     private static byte[] nodes(int count) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        try (CBORGenerator to = new CBORFactory().createGenerator(bytes)) {
-            to.writeStartArray(null, 9);
-            to.writeString("n1");
+        try (CBORGenerator out = new CBORFactory().createGenerator(bytes)) {
+            out.writeStartArray(null, 9);
+            out.writeString("n1");
             for (long head : new long[] {42, 1, 1}) {
-                to.writeNumber(head);
+                out.writeNumber(head);
             }
-            to.writeBoolean(true);
-            to.writeNumber(1.0);
-            to.writeNumber(1.0);
-            to.writeStartArray(null, count);
+            out.writeBoolean(true);
+            out.writeNumber(1.0);
+            out.writeNumber(1.0);
+            out.writeStartArray(null, count);
             for (int i = 0; i < count; i++) {
-                to.writeStartArray(null, 8);
-                to.writeNumber(i);
+                out.writeStartArray(null, 8);
+                out.writeNumber(i);
                 for (int field = 0; field < 7; field++) {
-                    to.writeNumber(1.0f);
+                    out.writeNumber(1.0f);
                 }
-                to.writeEndArray();
+                out.writeEndArray();
                 if (bytes.size() > SnapshotFormat.MAX_FILE_BYTES - 100_000) {
                     break;
                 }
             }
-            to.flush();
+            out.flush();
         } catch (IOException e) {
-            // The list was left open on purpose: its length is what it claims.
+            // Closing fails, since the array has fewer elements than announced.
         }
         return Arrays.copyOf(bytes.toByteArray(), Math.min(bytes.size(), SnapshotFormat.MAX_FILE_BYTES - 1000));
     }
 
-    private static void refused(byte[] file, String why) {
-        String message = assertThrows(FileFormatException.class, () -> SnapshotFormat.decode(file), why)
+    private static void assertRejected(byte[] file, String reason) {
+        String message = assertThrows(FileFormatException.class, () -> SnapshotFormat.decode(file), reason)
                 .getMessage();
-        assertTrue(message.contains(why), message + " should be: " + why);
+        assertTrue(message.contains(reason), message + " should contain: " + reason);
     }
 
     @Test
-    void whatIsRefusedStaysAndTheOneBeforeIsUsed() throws Exception {
+    void rejectedFilesStayAndTheOlderSnapshotIsUsed() throws Exception {
         Path older = folder.resolve(SnapshotFiles.fileName(1));
         try (SnapshotStore store = new SnapshotStore(new DiskFolder(folder))) {
             store.open();
@@ -230,7 +235,7 @@
     }
 
     @Test
-    void aLinkPutInTheWayIsNotFollowed() throws Exception {
+    void symbolicLinksAreNotFollowed() throws Exception {
         Path precious = Files.writeString(folder.resolve("precious"), "keep me");
         Path state = folder.resolve("state");
         try (SnapshotStore store = new SnapshotStore(new DiskFolder(state))) {
@@ -248,7 +253,7 @@
     }
 
     @Test
-    void theSecondOfTwoOnOneFolderGoesWithout() throws Exception {
+    void secondStoreOnOneFolderIsRejected() throws Exception {
         try (SnapshotStore first = new SnapshotStore(new DiskFolder(folder));
                 SnapshotStore second = new SnapshotStore(new DiskFolder(folder))) {
             assertNotNull(first.open());
@@ -261,7 +266,7 @@
     }
 
     @Test
-    void aFolderThatWasReplacedIsNotWrittenTo() throws Exception {
+    void replacedFolderIsNotWrittenTo() throws Exception {
         Path state = folder.resolve("state");
         try (SnapshotStore store = new SnapshotStore(new DiskFolder(state))) {
             store.open();
--- a/src/test/java/petrelstand/store/StateKeeperTest.java
+++ b/src/test/java/petrelstand/store/StateKeeperTest.java
@@ -23,18 +23,18 @@
 import petrelstand.testing.Harness;
 import petrelstand.testing.SilentClient;
 
-/** The keeper between a broker in virtual time and a folder that fails: service goes on, and one line tells. */
+/** Guards against learned state lost over a restart, and against a failing folder that affects serving. */
 class StateKeeperTest {
-    private static final long EVERY_US = 2_000_000;
+    private static final long INTERVAL_US = 2_000_000;
     private final SimFolder disk = new SimFolder();
     private final LinkedBlockingQueue<Runnable> loop = new LinkedBlockingQueue<>();
-    private final Harness world = new Harness();
-    private StateKeeper.FolderOpener opening = () -> disk;
+    private final Harness harness = new Harness();
+    private StateKeeper.FolderOpener folderOpener = () -> disk;
 
-    private final class Server implements NodeTransport {
+    private final class FixedDelayNode implements NodeTransport {
         @Override
         public void start(Attempt attempt) {
-            world.timers.schedule(world.nowUs + 20_000, () -> attempt.end(Outcome.SERVED, "body", Map.of()));
+            harness.timers.schedule(harness.nowUs + 20_000, () -> attempt.end(Outcome.SERVED, "body", Map.of()));
         }
 
         @Override
@@ -48,30 +48,30 @@
     }
 
     private Broker broker() {
-        return world.broker(new Server());
+        return harness.broker(new FixedDelayNode());
     }
 
     private StateKeeper keeper() {
         return new StateKeeper(
-                () -> opening.open(),
-                EVERY_US,
+                () -> folderOpener.open(),
+                INTERVAL_US,
                 "n1",
-                world.settings,
-                world.timers,
-                () -> world.nowUs,
-                () -> world.nowUs / 1000,
+                harness.settings,
+                harness.timers,
+                () -> harness.nowUs,
+                () -> harness.nowUs / 1000,
                 loop::add,
-                world.counters,
-                world.log::add);
+                harness.counters,
+                harness.log::add);
     }
 
-    /** Lets time pass, and waits for the write that it began, in which nothing else happens. */
-    private void write() throws Exception {
-        world.run(EVERY_US);
-        took();
+    /** Advances time by one interval and waits for the end of the write that is then due. */
+    private void runOneInterval() throws Exception {
+        harness.run(INTERVAL_US);
+        awaitWrite();
     }
 
-    private void took() throws Exception {
+    private void awaitWrite() throws Exception {
         Runnable task = loop.poll(20, TimeUnit.SECONDS);
         assertTrue(task != null, "no write ended");
         task.run();
@@ -84,63 +84,63 @@
                     "ask",
                     new SilentClient(),
                     exchange -> {});
-            world.run(10_000);
+            harness.run(10_000);
         }
     }
 
-    private long lines(String text) {
-        return world.log.stream().filter(line -> line.contains(text)).count();
+    private long countLines(String text) {
+        return harness.log.stream().filter(line -> line.contains(text)).count();
     }
 
     @Test
-    void whatOneGatewayLearnedTheNextOneKnows() throws Exception {
+    void restoresLearnedStateAfterARestart() throws Exception {
         StateKeeper first = keeper();
         first.open();
         Broker broker = broker();
         first.start(broker);
-        world.list(Harness.node("s-00000001", 3, NodeState.READY, 0));
+        harness.list(Harness.node("s-00000001", 3, NodeState.READY, 0));
         serve(broker, 100);
         LearnedNode before = broker.learnedState().nodes().get(0);
         assertTrue(before.latencyMs() < 40, before.toString());
         boolean[] ended = new boolean[1];
         first.writeFinalSnapshot(() -> ended[0] = true);
-        // A write of the ordinary pace may be under way; the last one follows it.
+        // A periodic write may be in progress; the final one follows it.
         while (!ended[0]) {
-            took();
+            awaitWrite();
         }
-        world.run(1_000_000);
+        harness.run(1_000_000);
         StateKeeper second = keeper();
         second.open();
         Broker next = broker();
         second.start(next);
-        world.list(Harness.node("s-00000001", 3, NodeState.READY, 0));
+        harness.list(Harness.node("s-00000001", 3, NodeState.READY, 0));
         LearnedNode after = next.learnedState().nodes().get(0);
         assertEquals(before.latencyMs(), after.latencyMs(), 5);
         assertTrue(after.window() > 3, after.toString());
         assertEquals(1, next.learnedState().volumes().size());
         assertTrue(
-                world.log.stream()
+                harness.log.stream()
                         .anyMatch(
                                 line -> line.matches(
                                         "state: remembered 1 nodes \\(0 silent\\) and 1 volumes, 1\\.0 s old, generation [12], after an orderly end")),
-                world.log.toString());
+                harness.log.toString());
     }
 
     @Test
-    void aNodeThatStartedAnewSinceIsNotRemembered() throws Exception {
+    void restartedNodeIsNotRestored() throws Exception {
         StateKeeper first = keeper();
         first.open();
         Broker broker = broker();
         first.start(broker);
-        world.list(Harness.node("s-00000001", 3, NodeState.READY, 0));
+        harness.list(Harness.node("s-00000001", 3, NodeState.READY, 0));
         serve(broker, 20);
-        write();
+        runOneInterval();
         StateKeeper second = keeper();
         second.open();
         Broker next = broker();
         second.start(next);
-        world.list(
-                Harness.node("s-00000001", 3, NodeState.READY, world.nowUs / 1000.0),
+        harness.list(
+                Harness.node("s-00000001", 3, NodeState.READY, harness.nowUs / 1000.0),
                 Harness.node("s-00000002", 4, NodeState.READY, 0));
         for (LearnedNode node : next.learnedState().nodes()) {
             assertEquals(0, node.measuredSlots());
@@ -149,93 +149,92 @@
     }
 
     @Test
-    void aDiskThatFailsIsToldOnceAndServiceGoesOnUntilItWorksAgain() throws Exception {
+    void failingDiskIsReportedOnceAndServingContinues() throws Exception {
         StateKeeper keeper = keeper();
         keeper.open();
         Broker broker = broker();
         keeper.start(broker);
-        world.list(Harness.node("s-00000001", 3, NodeState.READY, 0));
+        harness.list(Harness.node("s-00000001", 3, NodeState.READY, 0));
         disk.beforeStep = step -> {
             if (step.equals("create")) {
                 throw new UncheckedIOException(new IOException("No space left on device"));
             }
         };
-        write();
-        world.run(EVERY_US);
-        took();
+        runOneInterval();
+        harness.run(INTERVAL_US);
+        awaitWrite();
         serve(broker, 5);
-        world.run(100_000);
-        assertEquals(5, world.counters.get("answered.served"));
-        assertEquals(1, lines("No space left on device"), world.log.toString());
-        assertEquals(2, world.counters.get("state.failed"));
+        harness.run(100_000);
+        assertEquals(5, harness.counters.get("answered.served"));
+        assertEquals(1, countLines("No space left on device"), harness.log.toString());
+        assertEquals(2, harness.counters.get("state.failed"));
         disk.beforeStep = step -> {};
-        world.run(60_000_000);
-        took();
-        assertEquals(1, lines("state: written again"));
-        assertEquals(1, world.counters.get("state.written"));
+        harness.run(60_000_000);
+        awaitWrite();
+        assertEquals(1, countLines("state: writing snapshots works again"));
+        assertEquals(1, harness.counters.get("state.written"));
     }
 
-    /** A folder that goes away is opened anew, and taken again, when it comes back. */
     @Test
-    void aFolderThatGoesAwayAndComesBackIsUsedAgain() throws Exception {
-        StateKeeper.FolderOpener there = opening;
-        opening = () -> {
+    void reopensAFolderThatDisappearedAndReturned() throws Exception {
+        StateKeeper.FolderOpener workingOpener = folderOpener;
+        folderOpener = () -> {
             throw new java.nio.file.NoSuchFileException("/state");
         };
         StateKeeper keeper = keeper();
         keeper.open();
-        assertEquals(1, lines("nothing remembered: NoSuchFileException /state"), world.log.toString());
+        assertEquals(1, countLines("nothing remembered: NoSuchFileException /state"), harness.log.toString());
         keeper.start(broker());
-        write();
-        assertEquals(1, lines("state: not written: NoSuchFileException /state"));
-        opening = there;
-        world.run(10_000_000);
-        took();
-        assertEquals(1, lines("state: written again"), world.log.toString());
+        runOneInterval();
+        assertEquals(1, countLines("state: cannot write a snapshot: NoSuchFileException /state"));
+        folderOpener = workingOpener;
+        harness.run(10_000_000);
+        awaitWrite();
+        assertEquals(1, countLines("state: writing snapshots works again"), harness.log.toString());
     }
 
     @Test
-    void aSyncThatHangsHoldsNothingUp() throws Exception {
-        CountDownLatch hangs = new CountDownLatch(1);
+    void hungWriteDoesNotBlockServingOrShutdown() throws Exception {
+        CountDownLatch diskResponds = new CountDownLatch(1);
         StateKeeper keeper = keeper();
         keeper.open();
         Broker broker = broker();
         keeper.start(broker);
-        world.list(Harness.node("s-00000001", 3, NodeState.READY, 0));
+        harness.list(Harness.node("s-00000001", 3, NodeState.READY, 0));
         disk.beforeStep = step -> {
             try {
-                hangs.await();
+                diskResponds.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         };
-        world.run(EVERY_US + SnapshotSchedule.HUNG_WRITE_US + 1_000);
-        assertEquals(1, lines("a write has not ended in 2 s"), world.log.toString());
+        harness.run(INTERVAL_US + SnapshotSchedule.HUNG_WRITE_US + 1_000);
+        assertEquals(1, countLines("a write has not ended in 2 s"), harness.log.toString());
         serve(broker, 5);
-        world.run(10_000_000);
-        assertEquals(5, world.counters.get("answered.served"));
-        assertEquals(1, lines("a write has not ended"));
-        // The end does not wait for it longer than stated.
+        harness.run(10_000_000);
+        assertEquals(5, harness.counters.get("answered.served"));
+        assertEquals(1, countLines("a write has not ended"));
+        // The shutdown waits no longer than its timeout.
         boolean[] ended = new boolean[1];
         keeper.writeFinalSnapshot(() -> ended[0] = true);
-        world.run(StateKeeper.FINAL_WRITE_TIMEOUT_US - 1);
+        harness.run(StateKeeper.FINAL_WRITE_TIMEOUT_US - 1);
         assertTrue(!ended[0]);
-        world.run(1);
+        harness.run(1);
         assertTrue(ended[0]);
-        assertEquals(1, lines("the last snapshot was not written in 400 ms"));
-        hangs.countDown();
-        took();
-        assertEquals(1, world.counters.get("state.written"));
+        assertEquals(1, countLines("the final snapshot was not written within 400 ms"));
+        diskResponds.countDown();
+        awaitWrite();
+        assertEquals(1, harness.counters.get("state.written"));
     }
 
     @Test
-    void aFolderThatAnotherHasIsLeftAlone() throws Exception {
+    void folderLockedByAnotherGatewayIsNotTouched() throws Exception {
         disk.lockedByOther = true;
         StateKeeper keeper = keeper();
         keeper.open();
         keeper.start(broker());
-        world.run(10 * EVERY_US);
-        assertEquals(List.of("state: another gateway has the folder; this one keeps nothing"), world.log);
+        harness.run(10 * INTERVAL_US);
+        assertEquals(List.of("state: another gateway has the folder; this one keeps nothing"), harness.log);
         assertEquals(0, disk.steps());
         boolean[] ended = new boolean[1];
         keeper.writeFinalSnapshot(() -> ended[0] = true);
