--- a/src/main/java/petrelstand/Gateway.java
+++ b/src/main/java/petrelstand/Gateway.java
@@ -44,7 +44,7 @@
 final class Gateway {
     private static final long END_CHECK_INTERVAL_US = 10_000;
     private static final long DRAIN_CHECK_INTERVAL_US = 50_000;
-    /** A gradual drain closes this fraction of the idle connections at each check, and at least the minimum below. */
+    /** At each check, a gradual drain closes one in this many connections, but at least the minimum below. */
     private static final int GRADUAL_CLOSE_DIVISOR = 16;
 
     private static final int MIN_GRADUAL_CLOSES = 2;
--- a/src/main/java/petrelstand/OperationPart.java
+++ b/src/main/java/petrelstand/OperationPart.java
@@ -77,7 +77,7 @@
                 Path.of(temporaryFolder == null ? System.getProperty("java.io.tmpdir") : temporaryFolder),
                 loop,
                 threadSafeClock,
-                this::otherProcess,
+                this::otherProcessChanged,
                 log);
         Telemetry telemetry = new Telemetry(broker, counters, () -> (int) httpFront.answeringCount());
         this.operatorApi = new OperatorDoor(
@@ -140,7 +140,7 @@
         hotRestart.startScanning(broker);
     }
 
-    private void otherProcess(Other current) {
+    private void otherProcessChanged(Other current) {
         log.accept("hot restart: "
                 + switch (current) {
                     case NONE -> "the other process is gone; this one has the gateway's whole share";
--- a/src/main/java/petrelstand/RulesPart.java
+++ b/src/main/java/petrelstand/RulesPart.java
@@ -68,7 +68,7 @@
     interface LeaseHolderFactory {
         LeaseHolder create(
                 long nowUs,
-                long life,
+                long instanceNonce,
                 RulesConfig config,
                 long seed,
                 Function<String, Rules> loader,
@@ -111,8 +111,8 @@
 
     private long generationNonce;
 
-    private static LeaseHolderFactory holderFactory = (now, life, config, seed, loader, act) ->
-            new LeaseHolder(now, life, config.voters(), config.promise(), seed, loader, act);
+    private static LeaseHolderFactory holderFactory = (nowUs, instanceNonce, config, seed, loader, actions) ->
+            new LeaseHolder(nowUs, instanceNonce, config.voters(), config.promise(), seed, loader, actions);
 
     /** Replaces the lease holder's factory, before the start; for tests. */
     static void setHolderFactory(LeaseHolderFactory factory) {
@@ -281,7 +281,7 @@
         }
     }
 
-    /** The voter's clock; unlike the loop's, it may be read from any thread. */
+    /** The voter's clock, in µs; safe to read from any thread. */
     private long monotonicUs() {
         return System.nanoTime() / 1000;
     }
@@ -313,7 +313,7 @@
     /** Proposes changed rules of the operator's file; they take effect only once the voters have agreed. */
     void reload(RulesConfig changed) {
         if (changed == null || changed.text() == null || proposer == null) {
-            log.accept("the changed [rules] section is ignored: only a restart switches a section on or off");
+            log.accept("the [rules] section is not reloaded: only a restart switches a section on or off");
         } else if (!changed.text().equals(proposedText)) {
             proposedText = changed.text();
             proposer.fileChanged(nowUs.getAsLong(), proposedText, System.currentTimeMillis());
@@ -575,7 +575,7 @@
 
     // ---- Effective rules ----
 
-    /** Returns the rsync configuration without the modules that the effective rules close and the nodes they remove. */
+    /** Returns the rsync configuration without modules closed by the effective rules and with removed nodes as gone. */
     RsyncConfig applyRules(RsyncConfig configured) {
         if (holder == null) {
             return configured;
--- a/src/test/java/petrelstand/CrossingsTest.java
+++ b/src/test/java/petrelstand/CrossingsTest.java
@@ -20,7 +20,7 @@
 import petrelstand.testing.ScriptedPeers.Listener;
 import petrelstand.testing.ScriptedPeers.Peer;
 
-/** Pairs of events that cross on a gateway's connections, each forced on real sockets (docs/design/crossings.md). */
+/** Forces races between two events on a gateway's connections, on real sockets (docs/design/crossings.md). */
 @Timeout(60)
 class CrossingsTest extends GatewayTestBase {
     private final CountDownLatch ended = new CountDownLatch(1);
@@ -29,7 +29,7 @@
     private Listener discovery;
     private int port;
 
-    /** A gateway before one node, with times so long that a slow machine decides nothing. */
+    /** Starts a gateway with one node and with timeouts too long for a slow machine to reach. */
     private void start(String... replaced) throws Exception {
         start(closeAfterTest(new Listener()), replaced);
     }
@@ -64,7 +64,7 @@
         return closeAfterTest(node.accept());
     }
 
-    /** The gateway's next connection to the node, once its request is read. */
+    /** Accepts the gateway's next connection and reads its request. */
     private Peer acceptRequestAtNode() throws IOException {
         Peer peer = acceptAtNode();
         peer.readMessage();
@@ -75,7 +75,7 @@
         void run() throws Exception;
     }
 
-    /** Does something while the gateway's loop stands still: what comes of it meets the loop in one turn. */
+    /** Runs an action while the loop is blocked, so that the loop handles all its effects in one iteration. */
     private void whileLoopIsBlocked(TestAction action) throws Exception {
         CountDownLatch blocked = new CountDownLatch(1);
         CountDownLatch released = new CountDownLatch(1);
@@ -99,7 +99,7 @@
         return answer.isEmpty() ? "closed" : answer.substring(9, 12);
     }
 
-    // ---- Answers that end, and answers that are cut ----
+    // ---- Complete and cut responses ----
 
     private static final String UNFRAMED_RESPONSE = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf a tile";
 
@@ -151,11 +151,9 @@
         awaitCounter("outcome.reset", 2);
     }
 
-    // ---- Connections that come up late ----
+    // ---- Connections that are established late ----
 
-    /**
-     * A gateway before a node whose backlog is full: what is dialed comes up when the test has taken what is before it.
-     */
+    /** Starts with a node whose backlog is full: connections complete after the test has accepted the fillers. */
     private void startWithFullNode(String... replaced) throws Exception {
         Listener full = closeAfterTest(new Listener(1));
         for (int i = 0; i < 2; i++) {
@@ -164,14 +162,14 @@
         start(full, replaced);
     }
 
-    /** The gateway's connection, after those that stood before it. */
+    /** Accepts the two connections that fill the backlog, then the gateway's. */
     private Peer acceptAfterFillers() throws IOException {
         acceptAtNode();
         acceptAtNode();
         return acceptAtNode();
     }
 
-    /** Guards against an attempt that begins after its client left, where settings forbid to cancel what is out. */
+    /** Guards against an attempt that starts after its client left, if the settings forbid cancelling. */
     @Test
     void lateConnectionCarriesOnlyNextRequestAfterClientLeft() throws Exception {
         startWithFullNode("\"cancel\":true", "\"cancel\":false");
@@ -186,7 +184,7 @@
         late.write(ScriptedPeers.okResponse("two"));
     }
 
-    /** Guards against an end that lies behind more bytes than are read while a request waits. */
+    /** Guards against a client's close that goes unnoticed behind unread input. */
     @Test
     void detectsClientCloseBehindUnreadInput() throws Exception {
         startWithFullNode();
@@ -207,13 +205,9 @@
         }
     }
 
-    // ---- The first list ----
+    // ---- The first node list ----
 
-    /**
-     * Guards against a process that serves by the list in its file while its agent has a newer one, which counts as
-     * told from the first moment: on a large day five restarted gateways sent to nodes that had begun to drain before
-     * they started.
-     */
+    /** Guards against a process that starts serving with the outdated node list of its configuration. */
     @Test
     void servesOnlyAfterFirstDiscoveryResponse() throws Exception {
         node = closeAfterTest(new Listener());
@@ -242,9 +236,7 @@
 
     // ---- Descriptors ----
 
-    // ---- Descriptors ----
-
-    /** Idle clients may come in any number, also in the moments in which discovery must be dialed anew. */
+    /** Guards against idle clients that leave no descriptor for reconnecting to discovery. */
     @Test
     void idleClientsDoNotExhaustDescriptors() throws Exception {
         start(closeAfterTest(LoopbackPeers.storageNode(1)).port(), "\"sockets\":1024", "\"sockets\":128");
@@ -264,7 +256,7 @@
         again.readMessage();
         again.write(ScriptedPeers.okResponse("{\"version\":2,\"full\":false,\"servers\":[]}"));
         awaitCounter("discovery.answers", 1);
-        // Half a request has its second; whoever comes meanwhile may be told to come again.
+        // Clients with half a request are closed after a second; until then others may be refused.
         String answer = "";
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
         for (int i = 0; System.nanoTime() < until && !answer.startsWith("HTTP/1.1 200"); i++) {
@@ -288,8 +280,8 @@
     // ---- The end of the process ----
 
     /**
-     * Guards against connections that the system has accepted and the program has not: the loop stands still over the
-     * end of listening, so that this is the first thing it does, and the process would end with nothing to wait for.
+     * Guards against connections in the backlog that are lost at the exit: the loop is blocked when listening ends, so
+     * that it handles this first.
      */
     @Test
     void answersBackloggedConnectionsBeforeExit() throws Exception {
@@ -301,7 +293,7 @@
             for (int i = 0; i < 50; i++) {
                 clients.add(client().write(ScriptedPeers.readRequest("tile-read", "t" + i, 30_000)));
             }
-            // The end of listening is a time, not an order: it has to be over.
+            // Listening ends by a timer, which must be due.
             TimeUnit.NANOSECONDS.sleep(Math.max(0, listened - System.nanoTime()));
         });
         for (int i = 0; i < clients.size(); i++) {
--- a/src/test/java/petrelstand/DefectiveRules.java
+++ b/src/test/java/petrelstand/DefectiveRules.java
@@ -2,7 +2,7 @@
 
 import petrelstand.agreement.LeaseHolder;
 
-/** The program with a planted defect in its leases, by the name in the argument; the checks must find each. */
+/** Serves as a gateway with a planted defect in its leases, named by the argument, that the checks must detect. */
 public final class DefectiveRules {
     private DefectiveRules() {}
 
@@ -10,9 +10,9 @@
         if (!args[0].equals("never-over")) {
             throw new IllegalArgumentException("no defect " + args[0]);
         }
-        // A lease once given is acted on until another comes.
-        RulesPart.setHolderFactory((now, life, config, seed, loader, act) ->
-                new LeaseHolder(now, life, config.voters(), config.promise(), seed, loader, act) {
+        // A lease never expires.
+        RulesPart.setHolderFactory((nowUs, instanceNonce, config, seed, loader, actions) ->
+                new LeaseHolder(nowUs, instanceNonce, config.voters(), config.promise(), seed, loader, actions) {
                     @Override
                     protected boolean isLeaseValid(long at) {
                         return super.isLeaseValid(Long.MIN_VALUE / 4) || knownVersions()[0] > 0;
--- a/src/test/java/petrelstand/EndingProcessTest.java
+++ b/src/test/java/petrelstand/EndingProcessTest.java
@@ -24,10 +24,9 @@
 import petrelstand.testing.GatewayProcesses.GatewayProcess;
 import petrelstand.testing.LoopbackPeers.Client;
 
-/** A started process that can serve nobody any more ends, says so, and leaves its port free. */
+/** Guards against a process that can't serve any more but does not exit or keeps its port. */
 @Timeout(120)
 class EndingProcessTest {
-    /** In which a process ends that is told to at once. The program takes less; the rest is the machine. */
     private static final long EXIT_TIMEOUT_MS = 2_000;
 
     @TempDir
@@ -55,7 +54,7 @@
         new ServerSocket(gateway.port(), 1, InetAddress.getLoopbackAddress()).close();
     }
 
-    /** Waits for the end; gives how long it took, ms. */
+    /** Waits for the exit and returns how long it took, ms. */
     private static long awaitExit(GatewayProcess run, int status, long withinMs) throws InterruptedException {
         long startNs = System.nanoTime();
         assertTrue(run.process().waitFor(withinMs, TimeUnit.MILLISECONDS), "still there: " + run.linesRead());
@@ -72,11 +71,10 @@
     })
     void errorOnLoopEndsProcess(String fault, String error) throws Exception {
         GatewayProcess run = startFaulty(fault);
-        // Filling the heap takes collections of garbage; the line comes when the error does.
         String line = run.await("petrelstand: fatal: ");
         long tookMs = awaitExit(run, ExitStatus.FATAL_ERROR, EXIT_TIMEOUT_MS);
         System.out.println("an error on the loop, " + fault + ": ended " + tookMs + " ms after its line");
-        // Where memory is out, another thread's last words may stand before it.
+        // Without memory, the output of another thread may precede the line.
         line = line.substring(line.indexOf("petrelstand: fatal: "));
         assertTrue(line.startsWith("petrelstand: fatal: thread loop has ended by " + error), line);
         assertTrue(line.endsWith("; the process ends with status 70"), line);
--- a/src/test/java/petrelstand/FaultyGateway.java
+++ b/src/test/java/petrelstand/FaultyGateway.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.CompletableFuture;
 import petrelstand.config.GatewayConfig;
 
-/** The gateway as it is served, with one task on its loop that its argument names, once it serves. For tests. */
+/** Serves as a gateway and then runs a fault, named by the argument, on its loop. */
 public final class FaultyGateway {
     private FaultyGateway() {}
 
@@ -55,7 +55,7 @@
             try {
                 Thread.sleep(Long.MAX_VALUE);
             } catch (InterruptedException e) {
-                // It stands still all the same.
+                // The loop must stay stalled.
             }
         }
     }
--- a/src/test/java/petrelstand/GatewayTestBase.java
+++ b/src/test/java/petrelstand/GatewayTestBase.java
@@ -9,8 +9,7 @@
 import org.junit.jupiter.api.AfterEach;
 
 /**
- * What tests of a whole gateway on loopback share: it and all that they opened end with the test, and its counts are
- * read.
+ * Base of tests with a whole gateway on loopback: closes it and all resources after each test, and reads its counters.
  */
 abstract class GatewayTestBase {
     private final List<AutoCloseable> closeAfterTest = new ArrayList<>();
@@ -31,14 +30,14 @@
         }
     }
 
-    /** A count of the gateway's, read on its loop. */
+    /** Reads a counter of the gateway on its loop. */
     long counter(String name) throws Exception {
         CompletableFuture<Long> read = new CompletableFuture<>();
         gateway.execute(() -> read.complete(gateway.broker().counters().get(name)));
         return read.get(20, TimeUnit.SECONDS);
     }
 
-    /** A count, once it has come to be: what the loop counts may follow what a client sees. */
+    /** Waits for a counter's value, since the loop may count after the client has its answer. */
     void awaitCounter(String name, long wanted) throws Exception {
         for (int i = 0; i < 2000 && counter(name) != wanted; i++) {
             Thread.sleep(5);
--- a/src/test/java/petrelstand/KnownRedTest.java
+++ b/src/test/java/petrelstand/KnownRedTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What deploy/test makes of KNOWN-RED.txt, with a stand-in for Maven that fails the tests named in a file. */
+/** Runs deploy/test with lists of known failures and a fake Maven, in which the tests named in a file fail. */
 class KnownRedTest {
     private static final String MAVEN = """
             #!/bin/sh
@@ -53,7 +53,7 @@
 
     private record Result(int status, String text) {}
 
-    /** Runs the script with these tests failing and these lines listed. */
+    /** Runs the script with failing tests and the lines of KNOWN-RED.txt. */
     private Result run(List<String> failing, List<String> lines) throws IOException, InterruptedException {
         Files.write(project.resolve("failing"), failing);
         if (!lines.isEmpty()) {
--- a/src/test/java/petrelstand/LayersTest.java
+++ b/src/test/java/petrelstand/LayersTest.java
@@ -1,6 +1,8 @@
 package petrelstand;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
@@ -8,30 +10,60 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The decisions and the core know no wire, no socket and no clock. */
+/** Checks which packages may use I/O, clocks, libraries and each other. */
 class LayersTest {
     private static final Path ROOT = Path.of("src/main/java/petrelstand");
     private static final Pattern FORBIDDEN = Pattern.compile(
             "java\\.net|java\\.nio|java\\.io\\.|java\\.time|"
                     + "org\\.eclipse|com\\.google|nanoTime|currentTimeMillis|System\\.(in|out|err)|new Thread|"
                     + "petrelstand\\.(http|net|rsync|config|discovery|sim|store|cli|logging|lab|fleet|consensus|cbor|operation)\\b");
+    /** Libraries that the rules name; each must still be used somewhere. */
+    private static final List<String> LIBRARIES = List.of("org.eclipse", "com.google", "microraft", "picocli");
+    /** Matches the names of this project in the text of a rule: a path, then one name or a group of alternatives. */
+    private static final Pattern PROJECT_NAMES =
+            Pattern.compile("petrelstand\\\\\\.((?:\\w+\\\\\\.)*)(?:\\((?:\\?!)?([^)]+)\\)|(\\w+))");
 
-    private static List<String> linesMatching(String layer, Pattern forbidden) throws IOException {
-        List<String> found = new ArrayList<>();
-        try (Stream<Path> files = Files.walk(ROOT.resolve(layer))) {
-            for (Path file : files.filter(f -> f.toString().endsWith(".java")).toList()) {
-                for (String line : Files.readAllLines(file)) {
-                    if (forbidden.matcher(line).find()) {
-                        found.add(file.getFileName() + ": " + line.strip());
-                    }
+    /** Returns the lines of a package that match a rule; fails if the package or a name in the rule does not exist. */
+    private static List<String> linesMatching(String layer, Pattern rule) throws IOException {
+        assertEquals(List.of(), missingNames(rule), "names in the rule " + rule + " that do not exist");
+        List<Path> sources = sources(ROOT.resolve(layer));
+        assertFalse(sources.isEmpty(), "no sources in " + layer);
+        List<String> matching = new ArrayList<>();
+        for (Path source : sources) {
+            for (String line : Files.readAllLines(source)) {
+                if (rule.matcher(line).find()) {
+                    matching.add(source.getFileName() + ": " + line.strip());
                 }
             }
         }
-        return found;
+        return matching;
+    }
+
+    private static List<Path> sources(Path folder) throws IOException {
+        try (Stream<Path> files = Files.walk(folder)) {
+            return files.filter(file -> file.toString().endsWith(".java")).toList();
+        }
+    }
+
+    /** Returns the packages and types of this project that a rule names and that do not exist. */
+    private static List<String> missingNames(Pattern rule) {
+        List<String> missing = new ArrayList<>();
+        Matcher names = PROJECT_NAMES.matcher(rule.pattern());
+        while (names.find()) {
+            String alternatives = names.group(2) == null ? names.group(3) : names.group(2);
+            for (String name : alternatives.split("\\|")) {
+                String path = (names.group(1) + name).replace("\\.", "/");
+                if (Files.notExists(ROOT.resolve(path)) && Files.notExists(ROOT.resolve(path + ".java"))) {
+                    missing.add(path.replace('/', '.'));
+                }
+            }
+        }
+        return missing;
     }
 
     @Test
@@ -40,7 +72,7 @@
         assertEquals(List.of(), linesMatching("core", FORBIDDEN));
     }
 
-    /** What old knowledge is worth is decided without a file, a clock or a wire; character sets are no I/O. */
+    /** Character sets are allowed, since they are no I/O. */
     @Test
     void stateUsesNoIoOrClock() throws IOException {
         assertEquals(
@@ -51,20 +83,17 @@
         assertEquals(List.of(), linesMatching("state", Pattern.compile("petrelstand\\.core")));
     }
 
-    /** Whom a wait is laid on is decided without a file, a clock or a wire. */
     @Test
     void accountsUseNoIoOrClock() throws IOException {
         assertEquals(List.of(), linesMatching("accounts", FORBIDDEN));
     }
 
-    /** Who is there is decided without a socket, a clock or a thread, and without anything else of the gateway. */
     @Test
     void membersUseNoIoOrClockOrOtherPackage() throws IOException {
         assertEquals(List.of(), linesMatching("members", FORBIDDEN));
         assertEquals(List.of(), linesMatching("members", Pattern.compile("import petrelstand\\.(?!members)")));
     }
 
-    /** When gateways may act on which rules is decided without a socket, a clock, a thread or the consensus library. */
     @Test
     void agreementUsesNoIoOrClockOrOtherPackage() throws IOException {
         assertEquals(List.of(), linesMatching("agreement", FORBIDDEN));
@@ -72,9 +101,6 @@
                 List.of(), linesMatching("agreement", Pattern.compile("import petrelstand\\.(?!agreement)|microraft")));
     }
 
-    /**
-     * What each part of a process's life means, and which settings hold when, is decided by times and settings alone.
-     */
     @Test
     void lifecycleAndRetuningUseNoIoOrClock() throws IOException {
         for (String layer : List.of("lifecycle", "retuning")) {
@@ -86,11 +112,11 @@
         }
     }
 
-    /** Curves through measured costs are fitted from the points alone; the package's own name has the lab in it. */
+    /** The package's own name is allowed, though it contains that of the lab. */
     @Test
     void fittingUsesNoIoOrOtherPackage() throws IOException {
-        Pattern otherThanItself = Pattern.compile("import petrelstand\\.(?!lab\\.capacity\\.fit)");
-        assertEquals(List.of(), linesMatching("lab/capacity/fit", otherThanItself));
+        Pattern otherPackages = Pattern.compile("import petrelstand\\.(?!lab\\.capacity\\.fit)");
+        assertEquals(List.of(), linesMatching("lab/capacity/fit", otherPackages));
         assertEquals(
                 List.of(),
                 linesMatching("lab/capacity/fit", FORBIDDEN).stream()
@@ -98,7 +124,6 @@
                         .toList());
     }
 
-    /** Only the command line and the gateway's own wiring know the store, and nothing that serves knows the lab. */
     @Test
     void servingPackagesDoNotUseLabOrCommandLine() throws IOException {
         for (String layer : List.of(
@@ -135,4 +160,43 @@
     void scanFindsForbiddenLines() throws IOException {
         assertTrue(linesMatching("net", FORBIDDEN).size() > 3);
     }
+
+    /** Guards against rules that match nothing because what they name was renamed or removed. */
+    @Test
+    void rulesThatNameMissingPackagesOrTypesFail() {
+        for (String rule : List.of(
+                "petrelstand\\.gone",
+                "petrelstand\\.(core|gone)\\b",
+                "import petrelstand\\.(?!gone|core)",
+                "import petrelstand\\.(?!lab\\.capacity\\.gone)",
+                "petrelstand\\.core\\.(Broker|Gone)")) {
+            AssertionError error =
+                    assertThrows(AssertionError.class, () -> linesMatching("net", Pattern.compile(rule)), rule);
+            assertTrue(error.getMessage().contains("that do not exist"), error.getMessage());
+        }
+        assertThrows(IOException.class, () -> linesMatching("gone", FORBIDDEN));
+    }
+
+    @Test
+    void namesOfExistingPackagesAndTypesAreFound() {
+        assertEquals(List.of(), missingNames(Pattern.compile("petrelstand\\.core\\.(Broker|Node)|petrelstand\\.Main")));
+        assertEquals(List.of("core.Gone"), missingNames(Pattern.compile("petrelstand\\.core\\.(Broker|Gone)")));
+    }
+
+    @Test
+    void librariesInTheRulesAreUsed() throws IOException {
+        List<String> unused = new ArrayList<>(LIBRARIES);
+        for (Path source : sources(ROOT)) {
+            for (String line : Files.readAllLines(source)) {
+                unused.removeIf(library -> line.startsWith("import ") && line.contains(library + "."));
+            }
+        }
+        assertEquals(List.of(), unused);
+    }
+
+    /** The classes that {@link ServeProcessTest} expects not to be loaded must exist, or it would check nothing. */
+    @Test
+    void optionalClassesOfServeProcessTestExist() {
+        assertEquals(List.of(), missingNames(ServeProcessTest.OPTIONAL_CLASSES));
+    }
 }
--- a/src/test/java/petrelstand/LimitProcessTest.java
+++ b/src/test/java/petrelstand/LimitProcessTest.java
@@ -21,24 +21,21 @@
 import petrelstand.testing.GatewayProcesses.GatewayProcess;
 import petrelstand.testing.LoopbackPeers.Client;
 
-/**
- * A volume's limit over two started processes of one gateway: one takes the other's place, one is stopped, one is
- * killed.
- */
+/** Guards against two processes of one gateway that together exceed a limit during a hot restart, a stop or a kill. */
 @Timeout(120)
 class LimitProcessTest {
     private static final double RATE = 20;
     private static final double BURST = 24;
-    /** What the rule adds on sockets, and as much again for answers that are seen late and close together here. */
+    /** Allowance for answers that the test sees late and close together. */
     private static final double SLACK = RATE * 0.3;
 
     private static final int CLIENTS = 8;
-    /** Half of the burst, which is the most that may be under way; each body goes in pieces. */
+    /** With {@link #SLOW_UNITS} each, half of the burst, the maximum that may be in flight. */
     private static final int SLOW_BODIES = 6;
 
     private static final int SLOW_UNITS = 2;
     private static final int SLOW_BYTES = 100_000;
-    /** Both processes serve for so long: twice the rate would exceed the limit by 60. */
+    /** How long both processes serve: twice the rate would exceed the limit by 60 units. */
     private static final long BOTH_SERVE_MS = 3_000;
 
     @TempDir
@@ -47,7 +44,7 @@
     private GatewayProcesses gateway;
     private final AtomicBoolean stopped = new AtomicBoolean();
     private final List<Thread> clients = new ArrayList<>();
-    /** When each served request was answered, ns, and its units. */
+    /** Units of each served request by the time of its answer, ns. */
     private final ConcurrentSkipListMap<Long, Integer> served = new ConcurrentSkipListMap<>();
 
     private final AtomicLong requestNumber = new AtomicLong();
@@ -88,7 +85,7 @@
         }
     }
 
-    /** A connection for each request, so that the system deals them out to the processes that listen. */
+    /** Uses a connection for each request, so that the system distributes them over the listening processes. */
     private void sendUntilStopped() {
         while (!stopped.get()) {
             long number = requestNumber.incrementAndGet();
@@ -99,7 +96,7 @@
                 }
                 TimeUnit.MILLISECONDS.sleep(10);
             } catch (IOException | java.io.UncheckedIOException e) {
-                // A process that ends, or was killed, in between.
+                // The process ended or was killed in between.
             } catch (InterruptedException e) {
                 return;
             }
@@ -136,7 +133,7 @@
         assertEquals(0, fresh.telemetry("bad_gateway.tile-read"));
     }
 
-    /** The old process holds a full store, is stopped while the new one comes, and goes on; then it is killed. */
+    /** The old process is stopped with a full token bucket while the new one starts; then resumed and killed. */
     @Test
     void resumedProcessDoesNotExceedItsShare() throws Exception {
         GatewayProcess old = startServing();
@@ -153,7 +150,7 @@
         assertLimitHeld();
     }
 
-    /** Bodies that began over time end in one moment, with all that the limit allows right behind them. */
+    /** Requests admitted earlier complete at once, followed by as many as the limit allows. */
     @Test
     void slowBodiesEndingTogetherStayWithinLimit() throws Exception {
         GatewayProcess run = startServing();
--- a/src/test/java/petrelstand/LintTest.java
+++ b/src/test/java/petrelstand/LintTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The checks of {@code make lint}, by the project's own build file, on a project of one file that breaks them. */
+/** Runs the checks of {@code make lint} with the project's build file on one file that violates them. */
 class LintTest {
     @TempDir
     Path project;
--- a/src/test/java/petrelstand/LoopbackTest.java
+++ b/src/test/java/petrelstand/LoopbackTest.java
@@ -28,7 +28,7 @@
 import petrelstand.testing.LoopbackPeers.Client;
 import petrelstand.testing.LoopbackPeers.Server;
 
-/** Whole gateways on loopback, between clients, storage nodes and rsync daemons that the tests play. */
+/** Tests whole gateways on loopback with fake clients, storage nodes and rsync daemons. */
 @Timeout(60)
 class LoopbackTest extends GatewayTestBase {
     @TempDir
@@ -37,7 +37,7 @@
     private int httpPort;
     private int rsyncPort;
 
-    /** Times of the classes are made long: a machine that stands still for a while must not decide a test. */
+    /** Loads a configuration with long deadlines, so that a stall of the machine does not fail a test. */
     private GatewayConfig config(Server node) throws IOException {
         Path file = Files.writeString(
                 folder.resolve("config.json"),
@@ -227,11 +227,7 @@
         assertArrayEquals(Golden.pullDown(), Golden.join(first, rest));
     }
 
-    /**
-     * Found on a fleet's day of restarts: a write that ended long after the listener closed was answered, and the
-     * process ended with the answer under way. The end waits for a client that has not yet closed, from the last answer
-     * on.
-     */
+    /** Guards against an exit that resets a connection while a late answer is on its way to the client. */
     @Test
     void lateAnswerIsNotCutByProcessExit() throws Exception {
         AtomicLong answeredNs = new AtomicLong();
@@ -258,7 +254,7 @@
         gateway.execute(gateway::drain);
         assertTrue(client.readAnswer().startsWith("200 ok"));
         assertTrue(ended.await(20, TimeUnit.SECONDS));
-        // Stalls of the machine only add to this.
+        // Stalls of the machine only add to the time.
         assertTrue(endedNs.get() - answeredNs.get() >= 400_000_000L, (endedNs.get() - answeredNs.get()) / 1000 + " us");
     }
 
@@ -273,11 +269,11 @@
         awaitCounter("rsync.idle", 1);
         awaitCounter("client_gone", 1);
         awaitCounter("outcome.cancelled", 1);
-        // What both sockets' buffers hold, and no more: the relay itself keeps 16 KiB a direction.
+        // The buffers of both sockets; the relay itself keeps 16 KiB per direction.
         assertTrue(sent.get() < 24L << 20, "the daemon could send " + sent);
     }
 
-    /** The golden pull up to its data, then one token of a gigabyte. */
+    /** Returns the golden pull up to its data, then one token of a gigabyte. */
     private static byte[] endlessStart() {
         byte[] files = java.util.Arrays.copyOf(Golden.pullDown(), 4 + 4 + filesLength());
         byte[] token = Golden.hex("01000000" + "0080" + "00000000" + "00000000" + "00000000" + "00000000" + "00000040");
@@ -327,7 +323,7 @@
         assertTrue(silent.in.read() == '@');
     }
 
-    // ---- The program itself ----
+    // ---- Started processes ----
 
     private Process startProcess(Path configFile) throws IOException {
         ProcessBuilder builder = new ProcessBuilder(
@@ -357,23 +353,23 @@
         Process process = startProcess(file);
         var log = process.inputReader();
         while (!log.readLine().contains("ready: n1")) {
-            // The lines before it tell of the nodes.
+            // Skips the lines about nodes.
         }
-        Client taken = closeAfterTest(new Client(port));
+        Client busy = closeAfterTest(new Client(port));
         Client idle = closeAfterTest(new Client(port));
         idle.send("GET /ready HTTP/1.1\r\nHost: b\r\n\r\n");
         assertEquals("200 ready\n", idle.readAnswer());
-        taken.send("GET /tile-read/00000000000000a1/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: b\r\nX-Txn: t1\r\n"
+        busy.send("GET /tile-read/00000000000000a1/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: b\r\nX-Txn: t1\r\n"
                 + "X-Qos-Policy: basic\r\nX-Remaining-Ms: 1500\r\nX-Placement: units=1,shard=3,hosts=1\r\n\r\n");
         while (node.connections.get() == 0) {
             Thread.sleep(2);
         }
         process.toHandle().destroy();
         while (!log.readLine().contains("draining")) {
-            // The hook has asked the loop to drain.
+            // Waits until the drain has begun.
         }
         assertTrue(closeAfterTest(new Client(port)).get("tile-read", "t2").startsWith("200 node:t2"));
-        assertEquals("200 node:t1", taken.readAnswer());
+        assertEquals("200 node:t1", busy.readAnswer());
         assertEquals("closed", idle.readAnswer());
         String last = log.lines().reduce("", (a, b) -> b);
         assertTrue(process.waitFor(20, TimeUnit.SECONDS));
@@ -397,7 +393,7 @@
         return String.valueOf(line);
     }
 
-    /** An unhandled SIGHUP ends a virtual machine: this program reads its file anew instead, and serves on. */
+    /** Guards against a SIGHUP that ends the process, as it does if unhandled, or applies a broken file. */
     @Test
     void sighupChangesDiscoveryAndRejectsBadFile() throws Exception {
         Server node = closeAfterTest(LoopbackPeers.storageNode(1));
--- a/src/test/java/petrelstand/MemoryBoundsProcessTest.java
+++ b/src/test/java/petrelstand/MemoryBoundsProcessTest.java
@@ -22,7 +22,7 @@
 import petrelstand.testing.GatewayProcesses;
 import petrelstand.testing.LoopbackPeers.Client;
 
-/** A started gateway with a small heap, and clients that bring 1, 2 and 10 times what it may hold. */
+/** Guards against a gateway with a small heap that fails under 1, 2 and 10 times its maximum of clients. */
 class MemoryBoundsProcessTest {
     private static final int SOCKETS = 1024;
     private static final String HEAP = "-Xmx32m";
@@ -102,7 +102,7 @@
         assertServesBeside(number -> ahead.repeat(30));
     }
 
-    /** Opens connections that all send the same and stay; an ordinary client is served beside and after them. */
+    /** Opens connections that send a text and stay open; another client must be served beside and after them. */
     private void assertServesBeside(IntFunction<String> requestText) throws Exception {
         for (int factor : FACTORS) {
             List<SocketChannel> held = new ArrayList<>();
@@ -127,7 +127,7 @@
                         .toList());
     }
 
-    /** A connection that has sent as much as the system takes at once; the gateway may have closed it. */
+    /** Opens a connection and sends as much as one write accepts; the gateway may have closed it. */
     private SocketChannel openAndSend(String text) throws IOException {
         SocketChannel channel = SocketChannel.open();
         try {
@@ -140,7 +140,7 @@
         return channel;
     }
 
-    /** An ordinary client, which comes again where it is refused, is served within a time. */
+    /** Requires that a client, which retries when refused, is served in time. */
     private void assertServed(int factor) throws Exception {
         long until = System.nanoTime() + SERVE_TIMEOUT_NS;
         List<String> answers = new ArrayList<>();
--- a/src/test/java/petrelstand/OperationProcessTest.java
+++ b/src/test/java/petrelstand/OperationProcessTest.java
@@ -27,7 +27,7 @@
 import petrelstand.testing.GatewayProcesses.GatewayProcess;
 import petrelstand.testing.LoopbackPeers.Client;
 
-/** Started processes, as operators meet them: calls, drains, other settings, a change of the process, large bodies. */
+/** Tests started processes: the operators' API, drains, reloads, hot restarts and large bodies. */
 @Timeout(120)
 class OperationProcessTest {
     @TempDir
@@ -100,7 +100,7 @@
             assertTrue(run.callOperator("POST", "/api/evacuate").startsWith("200"));
             assertEquals("503", readyStatus());
             assertEquals("200 ready\n", run.callOperator("GET", "/api/ready"));
-            // In use until they are noted: none of these may be lost, and the connection ends between two of them.
+            // The connection stays usable until the drain closes it between two requests; none may be lost.
             String last = "200";
             int served = 0;
             while (last.startsWith("200")) {
@@ -113,7 +113,7 @@
                 }
             }
             assertEquals("closed", last);
-            // How many fit in is the machine's speed; how long it goes on is the program's.
+            // The number of requests depends on the machine, so the duration is checked.
             long inUseMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - asked);
             assertTrue(inUseMs >= 400 && served >= 1, served + " served in " + inUseMs + " ms");
             assertEquals("closed", idle.readAnswer());
@@ -197,7 +197,7 @@
         assertEquals(2, run.telemetry("passed.sounding-read"));
     }
 
-    /** Clients that keep a connection, and open another where it ended before they sent; what went wrong is told. */
+    /** Clients that keep their connections and replace those closed between requests; other failures are recorded. */
     private final class Load {
         private final AtomicBoolean stopped = new AtomicBoolean();
         private final AtomicInteger served = new AtomicInteger();
@@ -277,7 +277,7 @@
         awaitServed(load, 200);
         load.stop();
         assertEquals(List.of(), load.failures);
-        // A connection closed between requests can be crossed by the next one: a few of eight at most.
+        // A request may be sent while its idle connection is being closed; this happens to each client about once.
         assertTrue(load.closedWhileIdle.get() <= 8 + 2, "crossed " + load.closedWhileIdle.get());
         assertTrue(fresh.telemetry("passed.tile-read") >= 200);
         try (Stream<Path> marks = Files.list(folder)) {
@@ -319,7 +319,7 @@
         assertTrue(third.process().waitFor(20, TimeUnit.SECONDS));
     }
 
-    /** Brings a replacement to a step, told as "old: LINE" or "new: LINE". */
+    /** Waits for a step of a hot restart, given as "old: LINE" or "new: LINE". */
     private static void awaitStep(GatewayProcess old, GatewayProcess fresh, String step) throws Exception {
         if (step.contains("draining")) {
             fresh.await("ready: ");
@@ -337,9 +337,7 @@
         }
     }
 
-    /**
-     * Either process killed at each step of a replacement that shows in a line: the other one serves on, and has all.
-     */
+    /** Kills either process at each logged step of a hot restart; the other one must serve. */
     @ParameterizedTest
     @CsvSource({
         "old, 'old: another process of this gateway starts'", "new, 'old: another process of this gateway starts'",
@@ -362,10 +360,7 @@
         assertEquals("200 ready\n", left.callOperator("GET", "/api/ready"));
     }
 
-    /**
-     * Either process stopped at a step for longer than a look of the other takes, and continued: the replacement goes
-     * on.
-     */
+    /** Stops either process at a step for longer than a scan interval and resumes it; the restart must complete. */
     @ParameterizedTest
     @CsvSource({
         "old, 'old: another process of this gateway starts'",
@@ -394,7 +389,7 @@
     private static final int TRANSFERS = 24;
     private static final int TRANSFER_BYTES = 8 << 20;
 
-    /** 192 MB on their way at once, through a heap of 64: each arrives whole, whichever side is slow. */
+    /** Transfers 192 MB at once through a heap of 64 MB; each body must arrive whole, whichever side is slow. */
     @Test
     void streamsLargeBodiesThroughSmallHeap() throws Exception {
         GatewayProcess run = startServing();
@@ -428,7 +423,7 @@
             thread.join(60_000);
         }
         assertEquals(List.of(), failures);
-        // The admission is the module's, and a machine of few cores is slow: most must pass all the same.
+        // The decision module may refuse some on a slow machine, but at most half.
         assertTrue(refused.get() <= TRANSFERS / 2, "refused " + refused.get());
         for (int i = 0; i < 100 && run.telemetry("in_progress") > 0; i++) {
             Thread.sleep(20);
--- a/src/test/java/petrelstand/ServeProcessTest.java
+++ b/src/test/java/petrelstand/ServeProcessTest.java
@@ -24,9 +24,9 @@
 import petrelstand.testing.LoopbackPeers;
 import petrelstand.testing.LoopbackPeers.Client;
 
-/** The program as it is started: what it loads, and what it remembers after SIGTERM and after SIGKILL. */
+/** Tests started processes: loaded classes, restored state, accounts, and log lines. */
 class ServeProcessTest {
-    private static final Pattern OPTIONAL_CLASSES = Pattern.compile(
+    static final Pattern OPTIONAL_CLASSES = Pattern.compile(
             "petrelstand\\.(state|store|cli|lab|logging|accounts|report|members|fleet|agreement|consensus|cbor|operation)\\.|"
                     + "petrelstand\\.(FleetPart|RulesPart|OperationPart|HotRestartPart)|io\\.microraft|picocli|"
                     + "org\\.apache\\.commons|com\\.fasterxml|ch\\.qos\\.logback|org\\.HdrHistogram|io\\.prometheus|"
@@ -49,7 +49,7 @@
         platform.close();
     }
 
-    /** A started gateway, its port, and what it said up to there. */
+    /** A started gateway, its port, and its lines up to the one that says that it is ready. */
     private record Run(Process process, BufferedReader out, List<String> startLines, int port) {
         List<String> awaitExitLines() throws IOException, InterruptedException {
             List<String> lines = new ArrayList<>(out.lines().toList());
@@ -113,7 +113,7 @@
                 Files.readAllLines(classes).stream()
                         .filter(line -> OPTIONAL_CLASSES.matcher(line).find())
                         .toList());
-        // The scan finds what it is for.
+        // With the sections, the pattern does match.
         Path ini = Files.writeString(folder.resolve("p.ini"), "[state]\nfolder = state\n[log]\nform = json\n");
         Run with = start(Map.of("PETRELSTAND_INI", ini.toString()), "-Xlog:class+load:file=" + classes);
         with.process.toHandle().destroy();
@@ -142,8 +142,8 @@
                 second.startLines.stream()
                         .anyMatch(line -> remembered.matcher(line).matches() && line.endsWith("end")),
                 second.startLines.toString());
-        Run beside = start(env);
-        assertTrue(beside.startLines.contains(
+        Run secondGateway = start(env);
+        assertTrue(secondGateway.startLines.contains(
                 "petrelstand: state: another gateway has the folder; this one keeps nothing"));
         sendReads(second, 2);
         second.process.destroyForcibly().waitFor(20, TimeUnit.SECONDS);
@@ -169,13 +169,11 @@
     }
 
     /**
-     * On real sockets: reads that come behind a team's exports at a node. The report read back from the record, with
-     * the program stopped, names the team; waits are some hundred ms, so that a machine that stands still for some does
-     * not decide it.
+     * Reads wait behind the exports of one volume; the report, read after the process has ended, must name that volume.
      */
     @Test
     void accountsReportNamesVolumeThatCausedWaits() throws Exception {
-        // A play in which the machine itself stood still says nothing; the first other one decides.
+        // An attempt during which the machine stalled is inconclusive; the first conclusive one decides.
         boolean conclusive = false;
         for (int attempt = 1; attempt <= 3 && !conclusive; attempt++) {
             conclusive = playSurge(attempt);
@@ -184,13 +182,13 @@
                 conclusive, "inconclusive: the machine was too slow in all three plays");
     }
 
-    /** Plays a surge; false where sleeps overran so far that the waits are the machine's. */
+    /** Plays a surge; returns false if the machine was so slow that the waits are not caused by requests. */
     private boolean playSurge(int attempt) throws Exception {
         String accounts = "accounts-" + attempt;
         Path ini = Files.writeString(
                 folder.resolve("p.ini"), "[accounts]\nnode_cores = 2\nmetrics = on\nfolder = " + accounts + "\n");
         Run run = start(Map.of("PETRELSTAND_INI", ini.toString()));
-        // What usual is: each alone.
+        // Records the usual latencies, without waits.
         try (Client client = new Client(run.port)) {
             for (int i = 0; i < 10; i++) {
                 send(client, 0, "00000000000000a1", "r" + i, 1);
@@ -199,7 +197,7 @@
                 assertTrue(client.readAnswer().startsWith("200"));
             }
         }
-        // The record is by seconds: the surge begins with one, so that the first requests' slowness is not in it.
+        // Records are per second: starting with a new one leaves out the slow first requests.
         Thread.sleep(1_005 - System.currentTimeMillis() % 1_000);
         long from = System.currentTimeMillis() / 1_000;
         java.util.concurrent.atomic.AtomicLong overrunNs = new java.util.concurrent.atomic.AtomicLong();
@@ -211,7 +209,7 @@
                     overrunNs.accumulateAndGet(System.nanoTime() - before - 2_000_000, Math::max);
                 }
             } catch (InterruptedException e) {
-                // The surge is over.
+                // Interrupted when the surge is over.
             }
         });
         watch.setDaemon(true);
@@ -270,12 +268,12 @@
             return false;
         }
         assertTrue(totalMs > 100, out.toString());
-        // Nine tenths is the laboratory's measure; here sleeps overrun, which is nobody's work.
+        // Less than all, since part of the waits comes from sleeps that overrun.
         assertTrue(volumeMs > 0.7 * totalMs, out.toString());
         return true;
     }
 
-    /** A tile read takes some 30 ms at its node: a machine later than that lays waits on nobody. */
+    /** Half of a tile read's time at its node: a machine that is later distorts the waits. */
     private static final long MAX_SLEEP_OVERRUN_NS = 15_000_000;
 
     @Test
--- a/src/test/java/petrelstand/discovery/NodeListWatcherTest.java
+++ b/src/test/java/petrelstand/discovery/NodeListWatcherTest.java
@@ -108,11 +108,11 @@
         MemoryEndPoint failCall(NodeListWatcherTest test, MemoryEndPoint kept) {
             BrokerFixture harness = test.harness;
             if (kept == null && this == CONNECTION_REFUSED) {
-                harness.pendingConnections.remove(0).connector().connectFailed(new IOException("refused"));
+                harness.dials.remove(0).connector().connectFailed(new IOException("refused"));
                 return null;
             }
             if (kept == null && this == CONNECT_HANGS) {
-                harness.pendingConnections.remove(0);
+                harness.dials.remove(0);
                 return null;
             }
             if (kept == null && this == CONNECTED_LATE_WITHOUT_ANSWER) {
@@ -184,9 +184,7 @@
     }
 
     private boolean hasNextCall(MemoryEndPoint kept) {
-        return kept == null
-                ? !harness.pendingConnections.isEmpty()
-                : kept.takeReceived().contains("GET ");
+        return kept == null ? !harness.dials.isEmpty() : kept.takeReceived().contains("GET ");
     }
 
     /**
@@ -216,7 +214,7 @@
         }
         harness.advance(startedUs + atUs - harness.nowUs);
         long silentFromUs = harness.nowUs;
-        for (int i = 0; i < 400 && harness.pendingConnections.isEmpty(); i++) {
+        for (int i = 0; i < 400 && harness.dials.isEmpty(); i++) {
             harness.advance(10_000);
         }
         MemoryEndPoint kept = second.failCall(this, null);
@@ -297,9 +295,9 @@
     @Test
     void refusedConnectionIsRetriedWithin200Ms() {
         startWatcher(41);
-        harness.pendingConnections.remove(0).connector().connectFailed(new IOException("refused"));
+        harness.dials.remove(0).connector().connectFailed(new IOException("refused"));
         harness.advance(199_999);
-        assertEquals(1, harness.pendingConnections.size());
+        assertEquals(1, harness.dials.size());
     }
 
     @Test
@@ -319,13 +317,10 @@
     private void assertOneCallAtNewAddress() {
         assertEquals(
                 "/" + NEW_ADDRESS,
-                harness.pendingConnections
-                        .get(harness.pendingConnections.size() - 1)
-                        .address()
-                        .toString());
+                harness.dials.get(harness.dials.size() - 1).address().toString());
         assertTrue(harness.connectLast().takeReceived().startsWith("GET /v1/endpoints?index=41&wait=200"));
         harness.advance(700_000);
-        assertEquals(0, harness.pendingConnections.size(), "one call at a time");
+        assertEquals(0, harness.dials.size(), "one call at a time");
     }
 
     @Test
@@ -340,7 +335,7 @@
     @Test
     void addressChangeCancelsAPendingRetry() {
         NodeListWatcher watcher = startWatcher(41);
-        harness.pendingConnections.remove(0).connector().connectFailed(new IOException("refused"));
+        harness.dials.remove(0).connector().connectFailed(new IOException("refused"));
         watcher.changeAddress(NEW_ADDRESS);
         assertOneCallAtNewAddress();
     }
@@ -348,7 +343,7 @@
     @Test
     void addressChangeAbandonsAConnectionAttempt() {
         NodeListWatcher watcher = startWatcher(41);
-        BrokerFixture.PendingConnection old = harness.pendingConnections.remove(0);
+        BrokerFixture.PendingConnection old = harness.dials.remove(0);
         watcher.changeAddress(NEW_ADDRESS);
         assertFalse(MemoryEndPoint.open(old.connector()::connected).isOpen());
         assertOneCallAtNewAddress();
@@ -365,7 +360,7 @@
         assertEquals(List.of(42L), received.stream().map(NodeList::version).toList());
         assertFalse(old.isOpen());
         assertEquals("", old.takeReceived());
-        assertEquals(1, harness.pendingConnections.size());
+        assertEquals(1, harness.dials.size());
         harness.advance(50_000);
         MemoryEndPoint agent = harness.connectLast();
         assertTrue(agent.takeReceived().startsWith("GET /v1/endpoints?index=42&wait=150 "));
@@ -399,7 +394,7 @@
             CallFailure.RESET.failCall(this, i == 0 ? kept : null);
             harness.advance(NodeListWatcher.RETRY_DELAY_US);
         }
-        harness.pendingConnections.clear();
+        harness.dials.clear();
         watcher.changeAddress(NEW_ADDRESS);
         assertTrue(harness.connectLast().takeReceived().contains("&wait=200 "));
     }
@@ -410,7 +405,7 @@
         MemoryEndPoint agent = harness.connectLast();
         watcher.changeAddress(BrokerFixture.ADDRESS);
         assertTrue(agent.isOpen());
-        assertEquals(0, harness.pendingConnections.size());
+        assertEquals(0, harness.dials.size());
     }
 
     @Test
@@ -418,9 +413,9 @@
         NodeListWatcher watcher = startWatcher(41);
         watcher.changeAddress("127.0.0.4:8600");
         watcher.changeAddress(NEW_ADDRESS);
-        assertEquals(3, harness.pendingConnections.size());
-        MemoryEndPoint.open(harness.pendingConnections.remove(0).connector()::connected);
-        MemoryEndPoint.open(harness.pendingConnections.remove(0).connector()::connected);
+        assertEquals(3, harness.dials.size());
+        MemoryEndPoint.open(harness.dials.remove(0).connector()::connected);
+        MemoryEndPoint.open(harness.dials.remove(0).connector()::connected);
         assertOneCallAtNewAddress();
     }
 }
--- a/src/test/java/petrelstand/http/FrontSearchTest.java
+++ b/src/test/java/petrelstand/http/FrontSearchTest.java
@@ -240,18 +240,15 @@
                     }
                 }
                 case UP -> {
-                    if (!world.pendingConnections.isEmpty()) {
+                    if (!world.dials.isEmpty()) {
                         HeldInputEndPoint end = world.connectLast();
                         nodes.put(end, "");
                         order.add(end);
                     }
                 }
                 case REFUSE_DIAL -> {
-                    if (!world.pendingConnections.isEmpty()) {
-                        world.pendingConnections
-                                .remove(0)
-                                .connector()
-                                .connectFailed(new java.io.IOException("refused"));
+                    if (!world.dials.isEmpty()) {
+                        world.dials.remove(0).connector().connectFailed(new java.io.IOException("refused"));
                     }
                 }
                 case SERVE -> answer(pick, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx", true);
--- a/src/test/java/petrelstand/http/FrontTest.java
+++ b/src/test/java/petrelstand/http/FrontTest.java
@@ -132,7 +132,7 @@
         node.send(ok("two"));
         String answers = client.takeReceived();
         assertTrue(answers.indexOf("one") > 0 && answers.indexOf("two") > answers.indexOf("one"));
-        assertEquals(0, world.pendingConnections.size());
+        assertEquals(0, world.dials.size());
     }
 
     /**
@@ -190,7 +190,7 @@
                 world.advance(1_000_000);
                 assertEquals("", node == null ? "" : node.takeReceived(), "cut at " + cut);
                 client.send(request.substring(cut));
-                node = world.pendingConnections.isEmpty() ? node : world.connectLast();
+                node = world.dials.isEmpty() ? node : world.connectLast();
                 String sent = node.takeReceived();
                 assertTrue(
                         sent.contains("X-Remaining-Ms: 2000\r\n") && sent.endsWith("\r\n\r\ndepth=17"),
@@ -214,7 +214,7 @@
         assertTrue(first.takeReceived().contains("X-Remaining-Ms: 1400\r\n"));
         world.advance(100_000);
         first.send("HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
-        for (int i = 0; i < 600 && world.pendingConnections.isEmpty(); i++) {
+        for (int i = 0; i < 600 && world.dials.isEmpty(); i++) {
             world.advance(1_000);
         }
         world.advance(200_000);
@@ -237,7 +237,7 @@
             other.setNodes(BrokerFixture.node("s-00000001", 3, NodeState.READY, 0));
             HeldInputEndPoint end = HeldInputEndPoint.open(front::accept);
             end.send(read(1, ""));
-            BrokerFixture.PendingConnection before = other.pendingConnections.remove(0);
+            BrokerFixture.PendingConnection before = other.dials.remove(0);
             List<Node> drains = List.of(BrokerFixture.node("s-00000001", 3, NodeState.DRAINING, 0));
             if (drainFirst) {
                 other.broker.updateNodes(NodeListKind.CHANGES, drains);
@@ -252,7 +252,7 @@
                     "", HeldInputEndPoint.open(before.connector()::connected).takeReceived());
             end.send(read(2, ""));
             other.advance(2_000_000);
-            assertEquals(0, other.pendingConnections.size());
+            assertEquals(0, other.dials.size());
             assertEquals(0, other.broker.requestCounts().attempts());
             assertEquals(2, statuses(end.takeReceived()).size());
         }
@@ -328,7 +328,7 @@
             long gone = world.counters.get("client_gone");
             MemoryEndPoint end = MemoryEndPoint.open(front::accept);
             end.send(read(bytes, ""));
-            world.pendingConnections.clear();
+            world.dials.clear();
             for (int sent = 0; sent < bytes; sent += 5_000) {
                 end.send("x".repeat(5_000));
             }
@@ -600,7 +600,7 @@
             assertEquals(1, fresh.world.counters.get("outcome.error"), answer);
             assertFalse(node.isOpen(), answer);
             assertEquals(List.of(), statuses(fresh.client.takeReceived()), answer);
-            assertEquals(fresh.world.pendingConnections.size(), fresh.pool.connectionCount(), answer);
+            assertEquals(fresh.world.dials.size(), fresh.pool.connectionCount(), answer);
         }
     }
 
@@ -732,7 +732,7 @@
         world.connectLast().send(ok(large));
         assertTrue(client.takeReceived().endsWith("\r\n\r\n" + large));
         client.send(read(2, ""));
-        MemoryEndPoint node = world.pendingConnections.isEmpty() ? null : world.connectLast();
+        MemoryEndPoint node = world.dials.isEmpty() ? null : world.connectLast();
         assertEquals(null, node, "the connection is kept");
     }
 
@@ -761,7 +761,7 @@
         for (int i = 0; i < 16; i++) {
             client.send("1000\r\n" + "z".repeat(4096) + "\r\n");
         }
-        assertEquals(0, world.pendingConnections.size());
+        assertEquals(0, world.dials.size());
         client.send("1000\r\n" + "z".repeat(4096) + "\r\n");
         MemoryEndPoint node = world.connectLast();
         assertTrue(node.takeReceived().contains("Transfer-Encoding: chunked\r\n"));
@@ -889,14 +889,14 @@
         assertEquals(0, world.counters.get("outcome.not_connected"));
         world.advance(1);
         assertEquals(1, world.counters.get("outcome.not_connected"));
-        assertEquals(world.pendingConnections.size() - 1, pool.connectionCount());
+        assertEquals(world.dials.size() - 1, pool.connectionCount());
     }
 
     @Test
     void aConnectionThatComesUpTooLateIsClosed() {
         listOne();
         client.send(read(1, ""));
-        BrokerFixture.PendingConnection first = world.pendingConnections.remove(0);
+        BrokerFixture.PendingConnection first = world.dials.remove(0);
         world.advance(2_000_000);
         assertFalse(MemoryEndPoint.open(first.connector()::connected).isOpen());
         assertEquals(0, pool.connectionCount());
@@ -921,12 +921,12 @@
         node.send(ok("x"));
         world.advance(11_000_000);
         client.send(read(2, ""));
-        assertEquals(0, world.pendingConnections.size());
+        assertEquals(0, world.dials.size());
         node.send(ok("x"));
         world.advance(13_000_001);
         assertFalse(node.isOpen());
         client.send(read(3, ""));
-        assertEquals(1, world.pendingConnections.size());
+        assertEquals(1, world.dials.size());
     }
 
     @Test
@@ -961,8 +961,7 @@
         world.setNodes(new Node(listed.name(), "127.0.0.2:9002", listed.entry()));
         assertFalse(old.isOpen());
         client.send(read(2, ""));
-        assertEquals(
-                "/127.0.0.2:9002", world.pendingConnections.get(0).address().toString());
+        assertEquals("/127.0.0.2:9002", world.dials.get(0).address().toString());
     }
 
     @Test
@@ -973,7 +972,7 @@
         listOne();
         world.setNodes(BrokerFixture.node("s-00000002", 4, NodeState.READY, 0));
         client.send(read(2, ""));
-        assertEquals(List.of(), world.pendingConnections);
+        assertEquals(List.of(), world.dials);
         assertEquals(List.of("503", "503"), statuses(client.takeReceived()));
     }
 
@@ -982,7 +981,7 @@
         world.broker.updateNodes(NodeListKind.CACHED, List.of(BrokerFixture.node("s-00000009", 3, NodeState.READY, 0)));
         listOne();
         client.send(read(1, ""));
-        assertEquals(1, world.pendingConnections.size());
+        assertEquals(1, world.dials.size());
         world.connectLast().send(ok("x"));
         assertEquals(List.of("200"), statuses(client.takeReceived()));
     }
@@ -1101,7 +1100,7 @@
                     unsent.delete(0, length);
                 }
                 case 5, 6, 7, 9, 10, 11, 12 -> {
-                    while (!test.world.pendingConnections.isEmpty()) {
+                    while (!test.world.dials.isEmpty()) {
                         nodes.add(test.world.connectLast());
                     }
                     nodes.forEach(node -> answer(node, step));
--- a/src/test/java/petrelstand/rsync/SessionModelTest.java
+++ b/src/test/java/petrelstand/rsync/SessionModelTest.java
@@ -53,7 +53,7 @@
     }
 
     private void nodeSends(int size) {
-        if (node == null && !world.pendingConnections.isEmpty()) {
+        if (node == null && !world.dials.isEmpty()) {
             node = world.connectLast();
             dials++;
         }
--- a/src/test/java/petrelstand/testing/BrokerFixture.java
+++ b/src/test/java/petrelstand/testing/BrokerFixture.java
@@ -16,7 +16,7 @@
 import petrelstand.decision.Scheduling.Settings;
 import petrelstand.net.EventLoop;
 
-/** What the tests share: a clock moved by hand, a broker on it, and connections that live in memory. */
+/** A broker with a clock that the test moves and connections in memory. */
 public final class BrokerFixture {
     public static final String SETTINGS = """
             balancers=1
@@ -69,7 +69,7 @@
     public final Timers timers = new Timers();
     public final Counters counters = new Counters();
     public final List<String> log = new ArrayList<>();
-    public final List<PendingConnection> pendingConnections = new ArrayList<>();
+    public final List<PendingConnection> dials = new ArrayList<>();
     public long nowUs = 1_000_000_000L;
     public Broker broker;
 
@@ -77,15 +77,15 @@
         this(SETTINGS);
     }
 
-    /** Under other settings. */
+    /** Creates a fixture with settings in the text form of {@link #SETTINGS}. */
     public BrokerFixture(String text) {
         settings = SettingsReader.ofText(text);
     }
 
-    /** A connection out that the test lets come up or fail. */
+    /** An outgoing connection that the test completes or fails. */
     public record PendingConnection(InetSocketAddress address, EventLoop.Connector connector) {}
 
-    /** Moves the clock and runs the timers on the way, each at its time. */
+    /** Advances the clock and runs each due timer at its time. */
     public void advance(long durationUs) {
         long until = nowUs + durationUs;
         while (timers.nextDueUs() <= until) {
@@ -95,7 +95,7 @@
         nowUs = until;
     }
 
-    /** A turn of the loop that comes late: the clock jumps, and all that is due runs at once. */
+    /** Simulates a late loop iteration: the clock jumps, then all due timers run at once. */
     public void jumpAndRunDue(long jumpUs) {
         nowUs += jumpUs;
         timers.runDue(nowUs);
@@ -107,7 +107,7 @@
     }
 
     public SocketChannel dial(InetSocketAddress address, EventLoop.Connector connector) {
-        pendingConnections.add(new PendingConnection(address, connector));
+        dials.add(new PendingConnection(address, connector));
         return null;
     }
 
@@ -119,9 +119,8 @@
         broker.updateNodes(NodeListKind.FULL, List.of(nodes));
     }
 
-    /** Brings the last dialed connection up and gives its end in memory. */
+    /** Completes the connection dialed last and returns its end point. */
     public HeldInputEndPoint connectLast() {
-        return HeldInputEndPoint.open(
-                pendingConnections.remove(pendingConnections.size() - 1).connector()::connected);
+        return HeldInputEndPoint.open(dials.remove(dials.size() - 1).connector()::connected);
     }
 }
--- a/src/test/java/petrelstand/testing/Configs.java
+++ b/src/test/java/petrelstand/testing/Configs.java
@@ -9,11 +9,11 @@
 import petrelstand.config.OperatorConfig;
 import petrelstand.decision.Scheduling.Settings;
 
-/** The gateway's and the operator's files, as tests write them. */
+/** Texts of gateway and operator configurations for tests. */
 public final class Configs {
     private Configs() {}
 
-    /** A gateway's file with the shared settings as JSON, one node known at a port, discovery at another. */
+    /** Returns a gateway's configuration with {@link BrokerFixture#SETTINGS} and one known node. */
     public static String gateway(int nodePort, int discoveryPort) {
         return "{\"name\":\"n1\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:" + discoveryPort
                 + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":1024},"
@@ -22,7 +22,7 @@
                 + "\"started_ms\":0}]},\"settings\":" + json(settingsTree()) + "}";
     }
 
-    /** The operator's file with one module, "charts", of the cluster in xds.json. */
+    /** Returns an operator's file with the module "charts", served by the cluster in xds.json. */
     public static String operator(int idleMs) {
         return """
                 [rsync]
@@ -41,7 +41,11 @@
                 """.formatted(idleMs);
     }
 
-    /** The cluster's daemons on ports, each with a health, in xDS JSON. */
+    /**
+     * Returns the cluster in xDS JSON.
+     *
+     * @param daemons health status by port
+     */
     public static String xds(Map<Integer, String> daemons) {
         StringBuilder endpoints = new StringBuilder();
         daemons.forEach((port, health) -> endpoints
@@ -53,7 +57,7 @@
                 + "\"lbEndpoints\":[" + endpoints + "]}]}]}";
     }
 
-    /** What the operator's file and the one that it names say, without a disk. */
+    /** Loads an operator's file and the xDS file that it names from texts. */
     public static OperatorConfig load(String ini, String xds, Settings settings) {
         return OperatorConfig.load(new IniFile(Path.of("petrelstand.ini"), ini), settings, file -> xds);
     }
--- a/src/test/java/petrelstand/testing/GatewayProcesses.java
+++ b/src/test/java/petrelstand/testing/GatewayProcesses.java
@@ -26,7 +26,8 @@
 import petrelstand.testing.LoopbackPeers.Client;
 
 /**
- * Real processes of one gateway, before one storage node that this process plays; they share a folder and an address.
+ * Starts processes of one gateway, which share a folder and an address, with a storage node that runs in the test's own
+ * process.
  */
 public final class GatewayProcesses implements Closeable {
     private final Path folder;
@@ -36,10 +37,10 @@
     private final List<Process> processes = new ArrayList<>();
     private JsonObject config;
 
-    /** A process as it was started: its operators' port, and its lines as they come. */
+    /** A started process, the port of its operators' API and the lines that it prints. */
     public record GatewayProcess(
             Process process, int operatorPort, BlockingQueue<String> lines, List<String> linesRead) {
-        /** Waits for a line that holds a text; all that came up to it stays in {@code seen}. */
+        /** Waits for a line that contains a text and returns it; lines up to it are moved to {@code linesRead}. */
         public String await(String part) throws InterruptedException {
             for (String old : linesRead) {
                 if (old.contains(part)) {
@@ -59,7 +60,7 @@
             }
         }
 
-        /** An operator's call: status and text. */
+        /** Calls the operators' API and returns status and body. */
         public String callOperator(String method, String path) throws IOException {
             try (Client client = new Client(operatorPort)) {
                 client.send(method + " " + path + " HTTP/1.1\r\nHost: o\r\n\r\n");
@@ -67,7 +68,7 @@
             }
         }
 
-        /** A figure's value; -1 where there is none. */
+        /** Returns a value of the telemetry, or -1 if there is none of that name. */
         public long telemetry(String name) throws IOException {
             for (String line : callOperator("GET", "/api/telemetry").split("\n")) {
                 int at = line.indexOf("relay." + name + ":");
@@ -117,7 +118,7 @@
         }
     }
 
-    /** Answers a write with the length and checksum of what came, a read with so many bytes as its query asks. */
+    /** Answers a write with its length and checksum, and a read with as many bytes as its query asks for. */
     private static void serve(HttpExchange exchange, long serviceMs) throws IOException {
         try (exchange) {
             CRC32 crc = new CRC32();
@@ -142,16 +143,16 @@
                 }
                 out.close();
             } else {
-                byte[] told = (length + " " + Long.toHexString(crc.getValue())).getBytes(StandardCharsets.UTF_8);
-                exchange.sendResponseHeaders(200, told.length);
-                exchange.getResponseBody().write(told);
+                byte[] summary = (length + " " + Long.toHexString(crc.getValue())).getBytes(StandardCharsets.UTF_8);
+                exchange.sendResponseHeaders(200, summary.length);
+                exchange.getResponseBody().write(summary);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** The port that clients use. */
+    /** Returns the port of the HTTP front. */
     public int port() {
         return port;
     }
@@ -160,7 +161,7 @@
         return config.deepCopy();
     }
 
-    /** Writes another file; text that is no JSON goes as it is. */
+    /** Replaces the configuration file. */
     public void config(JsonObject changed) throws IOException {
         config = changed;
         writeConfigText(changed.toString());
@@ -170,12 +171,12 @@
         Files.writeString(folder.resolve("config.json"), text);
     }
 
-    /** Starts a process of the gateway, which shares folder and address with those before. */
+    /** Starts another process of the gateway. */
     public GatewayProcess start(String... options) throws IOException {
         return start(List.of("petrelstand.Main", "serve"), options);
     }
 
-    /** Starts a process with another main class, and its arguments. */
+    /** Starts another process with a different main class and its arguments. */
     public GatewayProcess start(List<String> main, String... options) throws IOException {
         int operator = freePort();
         List<String> command = new ArrayList<>(List.of(
@@ -204,7 +205,7 @@
                             new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
                         out.lines().forEach(lines::add);
                     } catch (IOException | java.io.UncheckedIOException e) {
-                        // It was killed.
+                        // The process was killed.
                     }
                     lines.add(END_OF_OUTPUT);
                 },
@@ -214,7 +215,7 @@
         return new GatewayProcess(process, operator, lines, new ArrayList<>());
     }
 
-    /** A request's head, up to its length. */
+    /** Returns a request's head without its length and the empty line that ends it. */
     public static String request(String method, String kind, String query, String txn) {
         return method + " /" + kind + "/00000000000000a1/7f3a9c21e0b4d655" + query + " HTTP/1.1\r\nHost: b\r\nX-Txn: "
                 + txn
@@ -222,7 +223,7 @@
                 + (method.equals("PUT") ? "Idempotency-Key: k" + txn + "\r\n" : "");
     }
 
-    /** A read on a connection: status and body. */
+    /** Sends a read on a connection and returns status and body. */
     public static String read(Client client, String kind, String txn) throws IOException {
         client.send(request("GET", kind, "", txn) + "\r\n");
         return client.readAnswer();
--- a/src/test/java/petrelstand/testing/HeldInputEndPoint.java
+++ b/src/test/java/petrelstand/testing/HeldInputEndPoint.java
@@ -7,10 +7,7 @@
 import org.eclipse.jetty.io.EndPoint;
 import petrelstand.net.MemoryEndPoint;
 
-/**
- * An end in memory on which bytes can lie that its connection has not been told of: the order of two events is the
- * test's.
- */
+/** An end point in memory that can hold input of which its connection is not notified, to fix the order of events. */
 public final class HeldInputEndPoint extends MemoryEndPoint {
     private boolean holdsCallbacks;
 
@@ -20,7 +17,7 @@
         return MemoryEndPoint.open(new HeldInputEndPoint(), maker);
     }
 
-    /** The other side sends, and this one is not told before it looks. */
+    /** Adds input without notifying the connection. */
     public void addInputSilently(String text) {
         holdsCallbacks = true;
         addInputAndExecute(ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)));
--- a/src/test/java/petrelstand/testing/LoopbackPeers.java
+++ b/src/test/java/petrelstand/testing/LoopbackPeers.java
@@ -15,11 +15,11 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Stand-ins on loopback: storage nodes, an rsync daemon and clients, with blocking sockets and a thread each. */
+/** Fake storage nodes, rsync daemons and clients on loopback, with blocking sockets and a thread each. */
 public final class LoopbackPeers {
     private LoopbackPeers() {}
 
-    /** Plays one connection of a server. */
+    /** Handles one connection of a server, on a thread of its own. */
     public interface ConnectionHandler {
         void handle(Socket socket, InputStream in, OutputStream out) throws IOException, InterruptedException;
     }
@@ -30,7 +30,7 @@
         private final ServerSocket listener;
         private final List<Socket> open = new CopyOnWriteArrayList<>();
 
-        public Server(ConnectionHandler play) throws IOException {
+        public Server(ConnectionHandler handler) throws IOException {
             listener = new ServerSocket(0, 200, InetAddress.getByName("127.0.0.1"));
             startThread(() -> {
                 while (true) {
@@ -39,7 +39,7 @@
                     connections.incrementAndGet();
                     startThread(() -> {
                         try (socket) {
-                            play.handle(socket, socket.getInputStream(), socket.getOutputStream());
+                            handler.handle(socket, socket.getInputStream(), socket.getOutputStream());
                         }
                     });
                 }
@@ -68,14 +68,14 @@
             try {
                 task.run();
             } catch (IOException | InterruptedException e) {
-                // The test has closed the socket, or its peer has.
+                // The socket was closed by the test or its peer.
             }
         });
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** A storage node that takes a while for each request and answers with the request's id. */
+    /** Starts a storage node that answers each request with its id after a time. */
     public static Server storageNode(long serviceMs) throws IOException {
         return new Server((socket, in, out) -> {
             for (String head = readHead(in); !head.isEmpty(); head = readHead(in)) {
@@ -88,17 +88,17 @@
         });
     }
 
-    /** A server that accepts and says nothing. */
+    /** Starts a server that accepts connections and sends nothing. */
     public static Server silentServer() throws IOException {
         return new Server((socket, in, out) -> in.readAllBytes());
     }
 
-    /** What an rsync daemon does once it has the arguments. */
+    /** Continues an rsync daemon's connection after the arguments. */
     public interface TransferHandler {
         void handle(String arguments, InputStream in, OutputStream out) throws IOException, InterruptedException;
     }
 
-    /** An rsync daemon: greeting, module, OK, arguments, then the transfer. */
+    /** Starts an rsync daemon that handles greeting, module and arguments and then calls the handler. */
     public static Server rsyncDaemon(TransferHandler transfer) throws IOException {
         return new Server((socket, in, out) -> {
             write(out, "@RSYNCD: 31.0 sha512 md5 md4\n");
@@ -119,7 +119,7 @@
         });
     }
 
-    /** A daemon that sends without an end, and counts what the other side has taken. */
+    /** Starts an rsync daemon that sends without end and counts the bytes sent. */
     public static Server endlessDaemon(byte[] start, AtomicLong sentBytes) throws IOException {
         return rsyncDaemon((arguments, in, out) -> {
             out.write(start);
@@ -147,7 +147,7 @@
             out = socket.getOutputStream();
         }
 
-        /** A client whose receive buffer is small, so that it stalls its server soon. */
+        /** Connects with a small receive buffer, so that the server's writes soon block. */
         public static Client withSmallReceiveBuffer(int port) throws IOException {
             Client client = new Client(port);
             client.socket.setReceiveBufferSize(4096);
@@ -163,7 +163,7 @@
             }
         }
 
-        /** Greets as a current client does and names a module; the lines that came back, until one decides. */
+        /** Sends an rsync greeting and a module's name; returns the lines up to OK, EXIT or an error. */
         public String requestModule(String module) throws IOException {
             send("@RSYNCD: 31.0 sha512 md5 md4\n" + module + "\n");
             StringBuilder lines = new StringBuilder();
@@ -176,7 +176,7 @@
             return lines.toString();
         }
 
-        /** Sends a request of the platform's protocol and gives its status and body. */
+        /** Sends a read and returns status and body. */
         public String get(String requestClass, String txn) throws IOException {
             send("GET /" + requestClass + "/00000000000000a1/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: b\r\nX-Txn: " + txn
                     + "\r\nX-Qos-Policy: basic\r\nX-Remaining-Ms: 30000\r\n"
@@ -202,7 +202,7 @@
         out.write(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** A line without its end; empty at the end of the input too. */
+    /** Reads a line and returns it without its end; empty at the end of the input. */
     public static String readLine(InputStream in) throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream();
         for (int b = in.read(); b >= 0 && b != '\n'; b = in.read()) {
@@ -211,7 +211,7 @@
         return line.toString(StandardCharsets.UTF_8);
     }
 
-    /** A message's head; empty where the input ends. */
+    /** Reads a message's head; empty if the input ends first. */
     private static String readHead(InputStream in) throws IOException {
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
@@ -229,6 +229,7 @@
         return length.isEmpty() ? 0 : Integer.parseInt(length);
     }
 
+    /** Returns the value of a header field; empty if the head has none of that name. */
     public static String headerField(String head, String name) {
         for (String line : head.split("\r\n")) {
             if (line.regionMatches(true, 0, name + ":", 0, name.length() + 1)) {
--- a/src/test/java/petrelstand/testing/ScriptedPeers.java
+++ b/src/test/java/petrelstand/testing/ScriptedPeers.java
@@ -10,15 +10,15 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * The other sides of a gateway, on loopback sockets that the test itself reads and writes: each byte, each end and each
- * reset goes when the test says so, so that an order is forced and never waited for by a sleep.
+ * Clients and nodes of a gateway on loopback sockets that the test itself reads and writes, so that it decides the
+ * order of every byte, end and reset.
  */
 public final class ScriptedPeers {
     private static final int TIMEOUT_MS = 20_000;
 
     private ScriptedPeers() {}
 
-    /** A listener whose connections the test takes one by one. */
+    /** A listener whose connections the test accepts one by one. */
     public static final class Listener implements Closeable {
         private final ServerSocket socket;
 
@@ -26,7 +26,7 @@
             this(200);
         }
 
-        /** With room for so many connections that nobody has taken. */
+        /** Opens a listener with a backlog of this size. */
         public Listener(int backlog) throws IOException {
             socket = new ServerSocket(0, backlog, InetAddress.getByName("127.0.0.1"));
             socket.setSoTimeout(TIMEOUT_MS);
@@ -40,7 +40,7 @@
             return new Peer(socket.accept());
         }
 
-        /** Whether a connection comes within a time: for what must not come, and only after what must has come. */
+        /** Returns whether a connection arrives within a time. */
         public boolean acceptsWithin(int withinMs) throws IOException {
             socket.setSoTimeout(withinMs);
             try {
@@ -59,7 +59,7 @@
         }
     }
 
-    /** One connection, from either side. */
+    /** One connection, as client or as server. */
     public static final class Peer implements Closeable {
         private final Socket socket;
 
@@ -69,7 +69,7 @@
             socket.setSoTimeout(TIMEOUT_MS);
         }
 
-        /** A client of the gateway at a port. */
+        /** Connects to a gateway. */
         public static Peer connect(int port) throws IOException {
             return new Peer(new Socket(InetAddress.getByName("127.0.0.1"), port));
         }
@@ -79,7 +79,7 @@
             return this;
         }
 
-        /** Reads a message's head and, by its length, its body; what came where the connection ended first. */
+        /** Reads a message with its body; incomplete if the connection ends first. */
         public String readMessage() throws IOException {
             String head = readUntil("\r\n\r\n");
             String length = LoopbackPeers.headerField(head, "Content-Length");
@@ -89,7 +89,7 @@
                             StandardCharsets.ISO_8859_1);
         }
 
-        /** Reads to the end of a text; what came where the connection ended first. */
+        /** Reads up to and with a text, or up to the end of the connection. */
         public String readUntil(String terminator) throws IOException {
             ByteArrayOutputStream read = new ByteArrayOutputStream();
             while (!read.toString(StandardCharsets.ISO_8859_1).endsWith(terminator)) {
@@ -102,12 +102,12 @@
             return read.toString(StandardCharsets.ISO_8859_1);
         }
 
-        /** All that comes up to the end that the other side sends; a reset is an exception. */
+        /** Reads up to the end of the connection; throws if it is reset. */
         public String readAll() throws IOException {
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
         }
 
-        /** Waits for the other side's end: true for an end, false for a reset. */
+        /** Waits until the other side ends the connection; returns false if it is reset. */
         public boolean endsWithoutReset() {
             try {
                 readAll();
@@ -117,13 +117,12 @@
             }
         }
 
-        /** Ends its sending; it may still read. */
+        /** Ends the sending direction. */
         public Peer shutdownOutput() throws IOException {
             socket.shutdownOutput();
             return this;
         }
 
-        /** Resets the connection. */
         public void reset() throws IOException {
             socket.setSoLinger(true, 0);
             socket.close();
@@ -135,7 +134,7 @@
         }
     }
 
-    /** The head of a request that a client sends, without the empty line that ends it. */
+    /** Returns a request's head without the empty line that ends it. */
     public static String requestHead(String method, String requestClass, String txn, int remainingMs) {
         return method + " /" + requestClass + "/00000000000000a1/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: b\r\nX-Txn: " + txn
                 + "\r\nX-Qos-Policy: basic\r\nX-Remaining-Ms: " + remainingMs + "\r\n"
@@ -143,12 +142,12 @@
                 + (method.equals("PUT") ? "Idempotency-Key: key" + txn + "\r\n" : "");
     }
 
-    /** A read as a client sends it. */
+    /** Returns a whole read request. */
     public static String readRequest(String requestClass, String txn, int remainingMs) {
         return requestHead("GET", requestClass, txn, remainingMs) + "\r\n";
     }
 
-    /** An answer with a length. */
+    /** Returns a response with status 200. */
     public static String okResponse(String body) {
         return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
--- a/src/test/java/petrelstand/testing/StubClientHandler.java
+++ b/src/test/java/petrelstand/testing/StubClientHandler.java
@@ -3,7 +3,7 @@
 import petrelstand.core.Attempt;
 import petrelstand.core.ClientHandler;
 
-/** A client that takes every answer and does nothing with it. */
+/** A client handler that accepts every answer and ignores it. */
 public class StubClientHandler implements ClientHandler {
     @Override
     public boolean served(Object answer) {
--- a/src/test/java/petrelstand/testing/StubNodeTransport.java
+++ b/src/test/java/petrelstand/testing/StubNodeTransport.java
@@ -6,7 +6,7 @@
 import petrelstand.core.NodeTransport;
 import petrelstand.decision.Scheduling.Outcome;
 
-/** A server side that carries out nothing but probes; tests override what they play. */
+/** A node transport whose probes succeed at once and whose other methods do nothing; tests override what they need. */
 public abstract class StubNodeTransport implements NodeTransport {
     @Override
     public void abandon(Attempt attempt) {}
