--- a/src/test/java/petrelstand/KnownRedTest.java
+++ b/src/test/java/petrelstand/KnownRedTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What deploy/test makes of KNOWN-RED.txt, with a stand-in for Maven that fails the tests named in a file. */
+/** Runs deploy/test with lists of known failures and a fake Maven, in which the tests named in a file fail. */
 class KnownRedTest {
     private static final String MAVEN = """
             #!/bin/sh
@@ -41,8 +41,8 @@
     void createProject() throws IOException {
         Files.createDirectories(project.resolve("deploy"));
         Files.copy(Path.of("deploy/test"), project.resolve("deploy/test"));
-        Path maven =
-                Files.writeString(Files.createDirectories(project.resolve("bin")).resolve("mvn"), MAVEN);
+        Path maven = Files.writeString(
+                Files.createDirectories(project.resolve("bin")).resolve("mvn"), MAVEN);
         assertTrue(maven.toFile().setExecutable(true));
         Path sources = Files.createDirectories(project.resolve("src/test/java/p/q"));
         Files.writeString(sources.resolve("ATest.java"), "void one() {}\nvoid two() {}\n");
@@ -53,7 +53,7 @@
 
     private record Result(int status, String text) {}
 
-    /** Runs the script with these tests failing and these lines listed. */
+    /** Runs the script with failing tests and the lines of KNOWN-RED.txt. */
     private Result run(List<String> failing, List<String> lines) throws IOException, InterruptedException {
         Files.write(project.resolve("failing"), failing);
         if (!lines.isEmpty()) {
@@ -125,7 +125,8 @@
         for (int i = 0; i < invalidLists.size(); i++) {
             Result result = run(List.of(), invalidLists.get(i));
             assertEquals(1, result.status(), invalidLists.get(i).toString());
-            assertTrue(result.text().startsWith("KNOWN-RED: ") && result.text().contains(reasons.get(i)), result.text());
+            assertTrue(
+                    result.text().startsWith("KNOWN-RED: ") && result.text().contains(reasons.get(i)), result.text());
         }
         assertTrue(Files.notExists(project.resolve("calls")));
     }
--- a/src/test/java/petrelstand/testing/BrokerFixture.java
+++ b/src/test/java/petrelstand/testing/BrokerFixture.java
@@ -16,7 +16,7 @@
 import petrelstand.decision.Scheduling.Settings;
 import petrelstand.net.EventLoop;
 
-/** What the tests share: a clock moved by hand, a broker on it, and connections that live in memory. */
+/** A broker with a clock that the test moves and connections in memory. */
 public final class BrokerFixture {
     public static final String SETTINGS = """
             balancers=1
@@ -77,15 +77,15 @@
         this(SETTINGS);
     }
 
-    /** Under other settings. */
+    /** Creates a fixture with settings in the text form of {@link #SETTINGS}. */
     public BrokerFixture(String text) {
         settings = SettingsReader.parse(text);
     }
 
-    /** A connection out that the test lets come up or fail. */
+    /** An outgoing connection that the test completes or fails. */
     public record PendingConnection(InetSocketAddress address, EventLoop.Connector connector) {}
 
-    /** Moves the clock and runs the timers on the way, each at its time. */
+    /** Advances the clock and runs each due timer at its time. */
     public void advance(long durationUs) {
         long until = nowUs + durationUs;
         while (timers.nextDueUs() <= until) {
@@ -95,7 +95,7 @@
         nowUs = until;
     }
 
-    /** A turn of the loop that comes late: the clock jumps, and all that is due runs at once. */
+    /** Simulates a late loop iteration: the clock jumps, then all due timers run at once. */
     public void jumpAndRunDue(long jumpUs) {
         nowUs += jumpUs;
         timers.runDue(nowUs);
@@ -119,7 +119,7 @@
         broker.updateNodes(NodeListKind.FULL, List.of(nodes));
     }
 
-    /** Brings the last dialed connection up and gives its end in memory. */
+    /** Completes the connection dialed last and returns its end point. */
     public HeldInputEndPoint connectLast() {
         return HeldInputEndPoint.open(dials.remove(dials.size() - 1).connector()::connected);
     }
