--- a/src/test/java/petrelstand/DocsCheckTest.java
+++ b/src/test/java/petrelstand/DocsCheckTest.java
@@ -112,6 +112,16 @@
         assertReported("Lamp.extinguish", "Lamp#extinguish(int)", "Lamp.Wick.length", "Lamp.MIN_WATTS", "MIN_WATTS");
     }
 
+    @Test
+    void aConstantOutsideOfACodeSpanIsReported() throws Exception {
+        write("docs/design/guide.md", "Takes MAX_WATTS (`Lamp`), MAX_*, MIN_WATTS\nand MIN_*, 2.\n");
+        assertEquals(
+                List.of(
+                        "docs/design/guide.md:1: `MIN_WATTS`: there is no MIN_WATTS in the Java source",
+                        "docs/design/guide.md:2: `MIN_*`: there is no MIN_... in the Java source"),
+                check());
+    }
+
     @Test
     void aMemberNamedOnlyInACommentOrAStringIsReported() throws Exception {
         assertReported("Lamp.formerName", "Lamp.formerMember", "Lamp.spokenOnly", "formerName", "formerMember");
