--- a/src/main/java/petrelstand/OperationPart.java
+++ b/src/main/java/petrelstand/OperationPart.java
@@ -13,11 +13,11 @@
 import petrelstand.core.Timers;
 import petrelstand.decision.Scheduling.Learned;
 import petrelstand.decision.Scheduling.Settings;
-import petrelstand.http.Front;
-import petrelstand.http.NodePool;
+import petrelstand.http.HttpFront;
+import petrelstand.http.NodeConnectionPool;
 import petrelstand.lifecycle.Lifecycle;
-import petrelstand.net.Addresses;
 import petrelstand.net.EventLoop;
+import petrelstand.net.SocketAddresses;
 import petrelstand.operation.OperatorDoor;
 import petrelstand.operation.OperatorDoor.Answer;
 import petrelstand.operation.OperatorDoor.Call;
@@ -35,8 +35,8 @@
     private final HotRestartPart hotRestart;
     private final Lifecycle life;
     private final Broker broker;
-    private final Front front;
-    private final NodePool pool;
+    private final HttpFront front;
+    private final NodeConnectionPool pool;
     private final Timers timers;
     private final LongSupplier clock;
     private final Consumer<String> log;
@@ -51,8 +51,8 @@
             int transfers,
             Lifecycle life,
             Broker broker,
-            Front front,
-            NodePool pool,
+            HttpFront front,
+            NodeConnectionPool pool,
             Timers timers,
             LongSupplier clock,
             LongSupplier anyThreadsClock,
@@ -78,7 +78,7 @@
                 anyThreadsClock,
                 this::other,
                 log);
-        Telemetry telemetry = new Telemetry(broker, counters, () -> (int) front.answering());
+        Telemetry telemetry = new Telemetry(broker, counters, () -> (int) front.answeringCount());
         this.door = new OperatorDoor(
                 timers,
                 clock,
@@ -111,7 +111,7 @@
     /** Looks for a process whose place this one takes; before the loop starts. */
     void look() {
         other = hotRestart.open();
-        broker.share(hotRestart.share()::part);
+        broker.setShareFunction(hotRestart.share()::share);
     }
 
     /** Takes over what that process has learned, before the first list. */
@@ -121,7 +121,7 @@
             bound();
             Learned learned = hotRestart.handed();
             if (learned != null) {
-                broker.recall(learned);
+                broker.restoreLearnedState(learned);
             }
         }
     }
@@ -133,7 +133,7 @@
 
     /** Listens at the operators' address, to the end of the process, and looks for one that takes this one's place. */
     void open(EventLoop loop, String address) throws IOException {
-        loop.listen(Addresses.parse(address), door::accept);
+        loop.listen(SocketAddresses.parse(address), door::accept);
         hotRestart.listens(broker);
     }
 
@@ -155,10 +155,10 @@
      */
     private void bound() {
         boolean both = other == Other.LISTENING;
-        life.hotRestart(both);
+        life.setSuccessorListening(both);
         Descriptors parts = both ? Descriptors.half(sockets, transfers) : Descriptors.of(sockets, transfers);
-        front.bound(parts.clients());
-        pool.bound(parts.nodes());
+        front.setMaxConnections(parts.clients());
+        pool.setMaxConnections(parts.nodes());
     }
 
     void retune(Settings changed) {
--- a/src/main/java/petrelstand/RulesPart.java
+++ b/src/main/java/petrelstand/RulesPart.java
@@ -40,8 +40,8 @@
 import petrelstand.core.Counters;
 import petrelstand.core.Node;
 import petrelstand.core.Timers;
-import petrelstand.fleet.Fleet;
-import petrelstand.http.Front;
+import petrelstand.fleet.FleetService;
+import petrelstand.http.HttpFront;
 import petrelstand.store.DiskFolder;
 import petrelstand.store.KeptText;
 import petrelstand.store.StateFault;
@@ -75,7 +75,7 @@
     }
 
     private final RulesConfig config;
-    private final Fleet fleet;
+    private final FleetService fleet;
     private final Broker broker;
     private final Timers timers;
     private final LongSupplier nowUs;
@@ -123,7 +123,7 @@
     RulesPart(
             RulesConfig config,
             GatewayConfig gateway,
-            Fleet fleet,
+            FleetService fleet,
             Broker broker,
             Timers timers,
             LongSupplier nowUs,
@@ -182,7 +182,7 @@
     }
 
     /** Begins to ask for leases, on the loop; a voter begins to vote. */
-    void start(Front front) {
+    void start(HttpFront front) {
         long now = nowUs.getAsLong();
         long life = new java.security.SecureRandom().nextLong();
         holder = maker.holder(now, life, config, seed, this::load, this);
@@ -193,15 +193,15 @@
         if (kept != null && kept.text() != null) {
             holder.recall(now, kept.version(), kept.text());
         }
-        broker.gate(gate());
-        fleet.rules(this::arrived);
+        broker.setAdmissionControl(gate());
+        fleet.setRulesHandler(this::arrived);
         if (votes && files != null) {
             copyNonce = life;
             copy = new OldCopy(now, config.voters().size(), files.generation(), COPY_PATIENCE_US);
             recall();
         }
         if (config.page()) {
-            front.offer("/rules", () -> RulesPage.text(fleet.name(), nowUs.getAsLong(), holder, shown));
+            front.addPage("/rules", () -> RulesPage.text(fleet.name(), nowUs.getAsLong(), holder, shown));
         }
         tick();
     }
@@ -233,14 +233,14 @@
                         post(name, heardEpoch(), null, new Talk.Recall(copyNonce));
                     }
                 }
-                timers.at(nowUs.getAsLong() + 2 * TICK_US, this::recall);
+                timers.schedule(nowUs.getAsLong() + 2 * TICK_US, this::recall);
             }
         }
     }
 
-    private petrelstand.core.Gate gate() {
+    private petrelstand.core.AdmissionControl gate() {
         LimitGate limits = new LimitGate(holder, plans, broker.settings().mostUnits());
-        return (demand, now) -> limits.take(now, demand.plan(), demand.units());
+        return (demand, now) -> limits.take(now, demand.planIndex(), demand.units());
     }
 
     private void vote() {
@@ -281,7 +281,7 @@
             if (proposer != null) {
                 proposer.tick(nowUs.getAsLong());
             }
-            timers.at(nowUs.getAsLong() + TICK_US, this::tick);
+            timers.schedule(nowUs.getAsLong() + TICK_US, this::tick);
         }
     }
 
@@ -332,17 +332,17 @@
             try {
                 take(Wire.decode(content));
             } catch (IOException | RuntimeException e) {
-                counters.add("rules.refused.malformed");
+                counters.increment("rules.refused.malformed");
             }
         });
     }
 
     private void take(Parcel parcel) {
         if (!parcel.fleet().equals(fleet.config().fleet())) {
-            counters.add("rules.refused.fleet");
+            counters.increment("rules.refused.fleet");
             return;
         }
-        counters.add("rules.taken");
+        counters.increment("rules.taken");
         Talk talk = parcel.talk();
         laterEpoch(parcel.epoch());
         if (parcel.generation() > 0 && (generations.size() < MOST_VOTERS || generations.containsKey(parcel.from()))) {
@@ -404,7 +404,7 @@
         if (leads) {
             toVoter(() -> voter.hear("@" + parcel.address(), parcel.talk()));
         } else if (parcel.from().equals(ASKER) && address != null && !leader.equals(fleet.name())) {
-            fleet.sendRules(
+            fleet.sendRulesMessage(
                     address,
                     Wire.encode(new Parcel(parcel.fleet(), PASSED_ON, parcel.address(), 0, 0, null, parcel.talk())));
         }
@@ -415,7 +415,7 @@
             return;
         }
         if (thread.getQueue().size() > MOST_WAITING) {
-            counters.add("rules.refused.full");
+            counters.increment("rules.refused.full");
             return;
         }
         execute(() -> {
@@ -435,7 +435,7 @@
             if (to.equals(fleet.name())) {
                 take(parcel);
             } else if (address != null) {
-                fleet.sendRules(address, Wire.encode(parcel));
+                fleet.sendRulesMessage(address, Wire.encode(parcel));
             }
         });
     }
@@ -516,7 +516,7 @@
                     case FALLBACK -> "FALLBACK: acts on the floors of version " + acting.version() + ": " + why;
                     case NONE -> "acts on no version: " + why;
                 });
-        counters.add("rules.acts." + acting.mode().name().toLowerCase(java.util.Locale.ROOT));
+        counters.increment("rules.acts." + acting.mode().name().toLowerCase(java.util.Locale.ROOT));
         JsonObject line = new JsonObject();
         line.addProperty("version", acting.version());
         line.addProperty("mode", acting.mode().name());
@@ -525,7 +525,7 @@
         acting.rules().limits().forEach((plan, limit) -> limits.addProperty(plan, limit.units()));
         line.add("limits", limits);
         line.addProperty("gateways", acting.rules().gateways());
-        fleet.note("rules", line);
+        fleet.recordEvent("rules", line);
         ruled.run();
     }
 
@@ -538,7 +538,7 @@
 
     @Override
     public void count(String what) {
-        counters.add(what);
+        counters.increment(what);
     }
 
     @Override
--- a/src/main/java/petrelstand/discovery/Watch.java
+++ b/src/main/java/petrelstand/discovery/NodeListWatcher.java
@@ -14,20 +14,20 @@
 import petrelstand.config.NodeList;
 import petrelstand.core.Counters;
 import petrelstand.core.Timers;
-import petrelstand.http.Budget;
-import petrelstand.http.Call;
-import petrelstand.http.NodePool;
+import petrelstand.http.ByteBudget;
+import petrelstand.http.HttpProtocol;
+import petrelstand.http.NodeConnectionPool;
+import petrelstand.http.UpstreamCall;
 import petrelstand.http.UpstreamConnection;
-import petrelstand.http.Wire;
-import petrelstand.net.Addresses;
 import petrelstand.net.EventLoop;
+import petrelstand.net.SocketAddresses;
 
 /**
  * Follows the node list: one call after another, each waiting at the agent for something newer. The next call goes out
  * at once after an answer, and a call that got none is given up for a new one. Whatever two calls in a row fail of, the
  * third goes out 5.4 s after the first at the latest: a change counts as told 6 s after discovery could be reached.
  */
-public final class Watch {
+public final class NodeListWatcher {
     /** How long a call waits at the agent where calls are answered. */
     static final long WAIT_MS = 2_000;
     /** How long it waits after a failure, a start or a move: what was missed is there, so an answer comes at once. */
@@ -43,7 +43,7 @@
 
     private static final int MOST_LIST = 1 << 20;
 
-    private final NodePool.Dialer dialer;
+    private final NodeConnectionPool.Dialer dialer;
     private final LongSupplier clock;
     private final Timers timers;
     private String address;
@@ -62,8 +62,8 @@
     /** The rest after a failed call. */
     private Timers.Timer rest;
 
-    public Watch(
-            NodePool.Dialer dialer,
+    public NodeListWatcher(
+            NodeConnectionPool.Dialer dialer,
             LongSupplier clock,
             Timers timers,
             String address,
@@ -95,7 +95,7 @@
      * loops side by side, where a failed call was resting, and against a connection to the old address that comes up
      * late.
      */
-    public void move(String newAddress) {
+    public void changeAddress(String newAddress) {
         if (newAddress.equals(address)) {
             return;
         }
@@ -114,7 +114,7 @@
         UpstreamConnection old = connection;
         connection = null;
         if (old != null) {
-            old.drop();
+            old.closeSilently();
         }
         next();
     }
@@ -132,14 +132,14 @@
         }
         round.limit(SLACK_US);
         try {
-            round.dialed = dialer.connect(Addresses.parse(address), round);
+            round.dialed = dialer.connect(SocketAddresses.parse(address), round);
         } catch (IOException | RuntimeException e) {
             round.failed("no connection, " + e);
         }
     }
 
     /** One call, and the connection it had to open. */
-    private final class Round implements Call, EventLoop.Connector {
+    private final class Round implements UpstreamCall, EventLoop.Connector {
         private final long begunUs = clock.getAsLong();
         private final long waitMs;
         private Timers.Timer timeout;
@@ -157,7 +157,7 @@
             if (timeout != null) {
                 timeout.cancel();
             }
-            timeout = timers.at(begunUs + us, this::late);
+            timeout = timers.schedule(begunUs + us, this::late);
         }
 
         private void on(UpstreamConnection open) {
@@ -192,7 +192,7 @@
 
         @Override
         public Connection connected(EndPoint endPoint) {
-            return new UpstreamConnection(endPoint, MOST_LIST, new Budget(MOST_LIST), (c, free) -> {
+            return new UpstreamConnection(endPoint, MOST_LIST, new ByteBudget(MOST_LIST), (c, free) -> {
                 if (!free && connection == c) {
                     connection = null;
                 }
@@ -201,7 +201,7 @@
                 public void onOpen() {
                     super.onOpen();
                     if (over) {
-                        drop();
+                        closeSilently();
                     } else {
                         connection = this;
                         on(this);
@@ -216,17 +216,17 @@
         }
 
         @Override
-        public ByteBuffer[] bytes() {
+        public ByteBuffer[] requestBytes() {
             // The wait, too, is counted from the beginning: a connection that came up late has taken its part of it.
             long leftMs = Math.max(0, waitMs - (clock.getAsLong() - begunUs) / 1000);
             String target = "/v1/endpoints" + (version >= 0 ? "?index=" + version + "&wait=" + leftMs : "");
             return new ByteBuffer[] {
-                Wire.request("GET", target, HttpFields.build().put(HttpHeader.HOST, host), 0)
+                HttpProtocol.requestHead("GET", target, HttpFields.build().put(HttpHeader.HOST, host), 0)
             };
         }
 
         @Override
-        public void answered(int status, HttpFields fields, ByteBuffer body) {
+        public void onAnswer(int status, HttpFields fields, ByteBuffer body) {
             if (status != 200) {
                 failed("answer " + status);
                 return;
@@ -237,7 +237,7 @@
             try {
                 NodeList list =
                         NodeList.parse(StandardCharsets.UTF_8.decode(body).toString(), zones);
-                counters.add("discovery.answers");
+                counters.increment("discovery.answers");
                 if (failures > 0) {
                     log.accept("discovery: answers again");
                 }
@@ -254,8 +254,8 @@
         }
 
         @Override
-        public void broke(Break how) {
-            failed(how == Break.SPOILT ? "an answer that can't be read" : "the connection broke");
+        public void onFailure(Failure how) {
+            failed(how == Failure.SPOILT ? "an answer that can't be read" : "the connection broke");
         }
 
         private void late() {
@@ -266,19 +266,19 @@
                 if (over) {
                     return;
                 }
-                silent.drop();
+                silent.closeSilently();
             }
             failed("no answer");
         }
 
         private void failed(String why) {
             if (finish()) {
-                counters.add("discovery.failures");
+                counters.increment("discovery.failures");
                 if (failures++ == 0) {
                     soon = SOON_CALLS;
                     log.accept("discovery: " + why + "; asking again");
                 }
-                rest = last ? null : timers.at(clock.getAsLong() + REST_US, Watch.this::next);
+                rest = last ? null : timers.schedule(clock.getAsLong() + REST_US, NodeListWatcher.this::next);
             }
         }
     }
--- a/src/main/java/petrelstand/http/ClientConnection.java
+++ b/src/main/java/petrelstand/http/ClientConnection.java
@@ -12,14 +12,14 @@
 import org.eclipse.jetty.io.EndPoint;
 import org.eclipse.jetty.util.BufferUtil;
 import petrelstand.core.Attempt;
-import petrelstand.core.ClientSide;
+import petrelstand.core.ClientHandler;
 import petrelstand.core.Demand;
 import petrelstand.core.Exchange;
-import petrelstand.core.Figures.End;
+import petrelstand.core.RequestCounts.RequestResult;
 import petrelstand.core.Timers;
 import petrelstand.decision.Scheduling.Outcome;
+import petrelstand.net.HttpMessageParser;
 import petrelstand.net.LoopConnection;
-import petrelstand.net.MessageParser;
 
 /**
  * A client's connection. It reads one request at a time; bytes of the next wait in the buffer until the answer is
@@ -28,7 +28,7 @@
  * as it comes, and a large answer too: of each, one piece is here at a time.
  */
 final class ClientConnection extends LoopConnection
-        implements HttpParser.RequestHandler, ClientSide, Flow.Taker, Upload.Source {
+        implements HttpParser.RequestHandler, ClientHandler, Flow.Taker, Upload.Source {
     enum State {
         READING,
         TAKEN,
@@ -40,7 +40,7 @@
     /** Ranks of those that may make room, the first to go first. */
     static final int RANKS = 4;
 
-    private final Front front;
+    private final HttpFront front;
     private final boolean full;
     private final boolean unwanted;
     private final long openedUs;
@@ -109,10 +109,10 @@
     private boolean persistent;
 
     /** One that is unwanted closes as it opens. */
-    ClientConnection(EndPoint endPoint, Front front, boolean full, boolean unwanted) {
+    ClientConnection(EndPoint endPoint, HttpFront front, boolean full, boolean unwanted) {
         super(endPoint);
         this.front = front;
-        this.body = new Body(Wire.MOST_BODY + INPUT_LARGE, front.requests());
+        this.body = new Body(HttpProtocol.MAX_BUFFERED_BODY_BYTES + INPUT_LARGE, front.requests());
         this.full = full;
         this.unwanted = unwanted;
         this.openedUs = front.broker().nowUs();
@@ -135,9 +135,9 @@
     /** Place among those that may make room: silent newcomers, kept ones, half requests, new ones; -1: none. */
     int rank(long nowUs) {
         if (idle()) {
-            return used ? 1 : nowUs >= openedUs + Front.SILENT_US ? 0 : 3;
+            return used ? 1 : nowUs >= openedUs + HttpFront.SILENT_US ? 0 : 3;
         }
-        return state == State.READING && begun && nowUs >= begunUs + Front.HALF_US ? 2 : -1;
+        return state == State.READING && begun && nowUs >= begunUs + HttpFront.HALF_US ? 2 : -1;
     }
 
     /** Closes to make room, but for what has just sent a whole request; half of one is told so first. */
@@ -187,18 +187,18 @@
     public void onOpen() {
         super.onOpen();
         if (unwanted) {
-            front.broker().counters().add("connections.closed_at_once");
+            front.broker().counters().increment("connections.closed_at_once");
             close();
             return;
         }
-        limit = front.timers().at(openedUs + (full ? Front.FULL_US : Front.REQUEST_US), this::late);
+        limit = front.timers().schedule(openedUs + (full ? HttpFront.FULL_US : HttpFront.REQUEST_US), this::late);
         fillInterested();
     }
 
     /** Guards against clients that say nothing, or half a request: the one is closed, the other told. */
     private void late() {
         limit = null;
-        front.broker().counters().add("connections.late");
+        front.broker().counters().increment("connections.late");
         if (idle()) {
             endIfIdle(Long.MAX_VALUE, false);
             return;
@@ -223,7 +223,7 @@
     public void onFillable() {
         try {
             for (int read = 0; state != State.CLOSED; ) {
-                if (read >= Front.MOST_READ) {
+                if (read >= HttpFront.MOST_READ) {
                     readOn();
                     return;
                 }
@@ -321,8 +321,8 @@
 
     private HttpParser parser() {
         if (parser == null) {
-            parser = new MessageParser(this, Wire.MOST_HEADER);
-            parser.setHeaderCacheSize(Wire.NO_FIELD_CACHE);
+            parser = new HttpMessageParser(this, HttpProtocol.MAX_HEAD_BYTES);
+            parser.setHeaderCacheSize(HttpProtocol.HEADER_CACHE_BYTES);
         }
         return parser;
     }
@@ -404,7 +404,7 @@
     public void startRequest(String newMethod, String uri, HttpVersion newVersion) {
         version = newVersion;
         method = newMethod;
-        target = Wire.pathOf(uri);
+        target = HttpProtocol.pathAndQuery(uri);
         bodyBytes = 0;
         fields = HttpFields.build();
         body.take();
@@ -421,23 +421,23 @@
 
     @Override
     public boolean headerComplete() {
-        if (!Wire.speaks(version)) {
+        if (!HttpProtocol.supportsVersion(version)) {
             malformed(505, "the version is neither 1.0 nor 1.1");
             return true;
         }
-        String wrong = Wire.wrongFraming(fields);
+        String wrong = HttpProtocol.framingError(fields);
         if (wrong != null) {
             malformed(400, wrong);
             return true;
         }
-        if (fields.getLongField(HttpHeader.CONTENT_LENGTH) > Wire.MOST_PASSED) {
-            malformed(413, "the body is over " + Wire.MOST_PASSED + " bytes");
+        if (fields.getLongField(HttpHeader.CONTENT_LENGTH) > HttpProtocol.MAX_STREAMED_BODY_BYTES) {
+            malformed(413, "the body is over " + HttpProtocol.MAX_STREAMED_BODY_BYTES + " bytes");
             return true;
         }
         if (fields.contains(HttpHeader.EXPECT, "100-continue")) {
             getEndPoint()
                     .write(
-                            nonBlocking(() -> {}, cause -> close()),
+                            nonBlockingCallback(() -> {}, cause -> close()),
                             BufferUtil.toBuffer("HTTP/1.1 100 Continue\r\n\r\n"));
         }
         if (fields.getLongField(HttpHeader.CONTENT_LENGTH) > 0 || fields.contains(HttpHeader.TRANSFER_ENCODING)) {
@@ -449,7 +449,7 @@
     /** What is to come next has its time from now on. */
     private void allowMore() {
         stopLimit();
-        limit = front.timers().at(front.broker().nowUs() + Front.REQUEST_US, this::late);
+        limit = front.timers().schedule(front.broker().nowUs() + HttpFront.REQUEST_US, this::late);
     }
 
     @Override
@@ -468,7 +468,8 @@
             return true;
         }
         long length = fields.getLongField(HttpHeader.CONTENT_LENGTH);
-        boolean large = length > Wire.MOST_BODY && body.size() >= BEGINNING || body.size() > Wire.MOST_BODY;
+        boolean large = length > HttpProtocol.MAX_BUFFERED_BODY_BYTES && body.size() >= BEGINNING
+                || body.size() > HttpProtocol.MAX_BUFFERED_BODY_BYTES;
         return large && stream(length);
     }
 
@@ -480,7 +481,7 @@
         long now = front.broker().nowUs();
         bodyUs = bodyBytes == 0 ? now : bodyUs;
         bodyBytes += bytes;
-        if (bodyBytes < (now - bodyUs - Front.REQUEST_US) / 1_000_000.0 * Front.LEAST_RATE) {
+        if (bodyBytes < (now - bodyUs - HttpFront.REQUEST_US) / 1_000_000.0 * HttpFront.LEAST_RATE) {
             stopLimit();
             late();
             return false;
@@ -536,7 +537,7 @@
             stopLimit();
             Upload whole = upload;
             upload = null;
-            front.broker().bodyComplete(exchange, arrivals.lastUsed(input.remaining()));
+            front.broker().requestBodyComplete(exchange, arrivals.lastUsed(input.remaining()));
             whole.whole();
             return true;
         }
@@ -550,9 +551,9 @@
             if (full) {
                 refuseFull();
             } else if (target.equals("/ready")) {
-                local(front.life().saysYes() ? 200 : 503, front.life().saysYes() ? "ready\n" : "not ready\n");
+                local(front.life().isReady() ? 200 : 503, front.life().isReady() ? "ready\n" : "not ready\n");
             } else if (target.equals("/counters")) {
-                local(200, front.broker().counters().text());
+                local(200, front.broker().counters().toLines());
             } else if (front.page(target) != null) {
                 local(200, front.page(target).get());
             } else {
@@ -565,20 +566,20 @@
     }
 
     private void refuseFull() {
-        front.broker().counters().add("connections.full");
+        front.broker().counters().increment("connections.full");
         front.rejected(target);
-        answer(503, null, Front.FULL_US, BufferUtil.EMPTY_BUFFER, true);
+        answer(503, null, HttpFront.FULL_US, BufferUtil.EMPTY_BUFFER, true);
     }
 
     /** All connections together keep as much of bodies as they may. */
     private void refuseNoRoom() {
-        front.broker().counters().add("requests_no_room");
+        front.broker().counters().increment("requests_no_room");
         front.rejected(target);
-        answer(503, null, Front.FULL_US, BufferUtil.EMPTY_BUFFER, true);
+        answer(503, null, HttpFront.FULL_US, BufferUtil.EMPTY_BUFFER, true);
     }
 
     private void malformed(DemandReader.Malformed e) {
-        front.broker().counters().add("malformed." + e.status());
+        front.broker().counters().increment("malformed." + e.status());
         answer(e.status(), "text/plain", 0, BufferUtil.toBuffer(e.getMessage() + "\n"), true);
     }
 
@@ -586,24 +587,24 @@
         Demand demand = front.reader().read(method, target, fields, bytes.length);
         long now = front.broker().nowUs();
         long waitedUs = upload != null ? 0 : now - arrivals.lastUsed(input.remaining());
-        if (waitedUs > 0 && waitedUs >= demand.leftUs()) {
-            front.broker().counters().add("refused.waited");
+        if (waitedUs > 0 && waitedUs >= demand.timeLeftUs()) {
+            front.broker().counters().increment("refused.waited");
             front.rejected(target);
             refused(0);
             return;
         }
-        long wantedUs = demand.leftUs() - waitedUs;
-        long leftUs = front.life().grantsUs(now, wantedUs);
+        long wantedUs = demand.timeLeftUs() - waitedUs;
+        long leftUs = front.life().allowedTimeUs(now, wantedUs);
         if (leftUs < wantedUs && leftUs == 0) {
-            front.broker().counters().add("refused.ending");
+            front.broker().counters().increment("refused.ending");
             front.rejected(target);
             refused(front.life().retryAfterUs(now));
             return;
         }
-        String txn = fields.get(Wire.TXN);
+        String txn = fields.get(HttpProtocol.TXN_HEADER);
         // Guards against a second copy of another client's request: nodes count attempts by this id.
         if (!front.claim(txn)) {
-            throw new DemandReader.Malformed(409, Wire.TXN + " is that of an open request");
+            throw new DemandReader.Malformed(409, HttpProtocol.TXN_HEADER + " is that of an open request");
         }
         if (!front.inWork().take(bytes.length)) {
             front.release(txn);
@@ -612,13 +613,13 @@
         }
         state = State.TAKEN;
         front.broker()
-                .take(
-                        demand.within(leftUs),
+                .submit(
+                        demand.withTimeLeft(leftUs),
                         new Message.Ask(
                                 method,
                                 target,
                                 txn,
-                                fields.get(Wire.EFFECT_KEY),
+                                fields.get(HttpProtocol.IDEMPOTENCY_KEY_HEADER),
                                 fields.get(HttpHeader.CONTENT_TYPE),
                                 bytes,
                                 upload),
@@ -627,12 +628,12 @@
     }
 
     @Override
-    public boolean incoming() {
+    public boolean isReceiving() {
         return upload != null;
     }
 
     @Override
-    public void forgotten(Exchange done) {
+    public void exchangeClosed(Exchange done) {
         Message.Ask ask = (Message.Ask) done.message();
         front.release(ask.txn());
         front.inWork().give(ask.body().length);
@@ -650,7 +651,7 @@
 
     private void malformed(int status, String why) {
         if (state == State.READING) {
-            front.broker().counters().add("malformed." + status);
+            front.broker().counters().increment("malformed." + status);
             answer(status, "text/plain", 0, BufferUtil.toBuffer(why + "\n", StandardCharsets.UTF_8), true);
         }
     }
@@ -676,8 +677,8 @@
             return true;
         }
         // Guards the memory against clients that do not take their answers.
-        front.broker().counters().add("answers_no_room");
-        front.broker().passed(exchange, End.FAILED);
+        front.broker().counters().increment("answers_no_room");
+        front.broker().streamedAnswerEnded(exchange, RequestResult.FAILED);
         answer(502, null, 0, BufferUtil.EMPTY_BUFFER, false);
         return false;
     }
@@ -693,14 +694,15 @@
         lastAnswer = endsHere() || version == HttpVersion.HTTP_1_0 && pieces.length() < 0;
         writer = PieceWriter.of(
                 getEndPoint(),
-                Wire.response(200, version, pieces.fields().get(HttpHeader.CONTENT_TYPE), lastAnswer, pieces.length()));
+                HttpProtocol.responseMetaData(
+                        200, version, pieces.fields().get(HttpHeader.CONTENT_TYPE), lastAnswer, pieces.length()));
         pieces.take(this);
     }
 
     @Override
     public void piece(ByteBuffer piece) {
         stopLimit();
-        limit = front.timers().at(front.broker().nowUs() + Front.PIECE_US, this::close);
+        limit = front.timers().schedule(front.broker().nowUs() + HttpFront.PIECE_US, this::close);
         writer.write(
                 piece,
                 false,
@@ -719,7 +721,7 @@
                 BufferUtil.EMPTY_BUFFER,
                 true,
                 () -> {
-                    passed(End.SERVED);
+                    passed(RequestResult.SERVED);
                     written(lastAnswer);
                 },
                 this::notWritten);
@@ -728,13 +730,13 @@
     @Override
     public void cut() {
         flow = null;
-        passed(End.FAILED);
+        passed(RequestResult.FAILED);
         close();
     }
 
-    private void passed(End how) {
+    private void passed(RequestResult how) {
         if (flowing != null) {
-            front.broker().passed(flowing, how);
+            front.broker().streamedAnswerEnded(flowing, how);
             flowing = null;
         }
     }
@@ -744,7 +746,7 @@
         return !persistent
                 || overrun
                 || upload != null
-                || front.life().endsWithAnswer(front.broker().nowUs());
+                || front.life().closesAfterAnswer(front.broker().nowUs());
     }
 
     @Override
@@ -767,9 +769,9 @@
         state = State.ANSWERING;
         exchange = null;
         boolean last = close || endsHere();
-        limit = front.timers().at(front.broker().nowUs() + Front.ANSWER_US, this::close);
-        ByteBuffer head = Wire.answer(status, type, retryAfterUs, last, content.remaining());
-        getEndPoint().write(nonBlocking(() -> written(last), this::notWritten), head, content);
+        limit = front.timers().schedule(front.broker().nowUs() + HttpFront.ANSWER_US, this::close);
+        ByteBuffer head = HttpProtocol.answerHead(status, type, retryAfterUs, last, content.remaining());
+        getEndPoint().write(nonBlockingCallback(() -> written(last), this::notWritten), head, content);
     }
 
     private void releaseAnswer() {
@@ -803,8 +805,8 @@
         giveBack();
         getEndPoint().shutdownOutput();
         lingerHeard = false;
-        lingerUntilUs = front.broker().nowUs() + (upload != null ? Front.LINGER_BODY_US : Front.LINGER_MOST_US);
-        limit = front.timers().at(front.broker().nowUs() + Front.LINGER_US, this::lingered);
+        lingerUntilUs = front.broker().nowUs() + (upload != null ? HttpFront.LINGER_BODY_US : HttpFront.LINGER_MOST_US);
+        limit = front.timers().schedule(front.broker().nowUs() + HttpFront.LINGER_US, this::lingered);
     }
 
     private void lingered() {
@@ -813,7 +815,7 @@
             close();
         } else {
             lingerHeard = false;
-            limit = front.timers().at(Math.min(now + Front.LINGER_US, lingerUntilUs), this::lingered);
+            limit = front.timers().schedule(Math.min(now + HttpFront.LINGER_US, lingerUntilUs), this::lingered);
         }
     }
 
@@ -832,7 +834,9 @@
         }
         if (sawEnd) {
             close();
-        } else if (last || overrun || front.life().closesIdle(front.broker().nowUs())) {
+        } else if (last
+                || overrun
+                || front.life().closesIdleConnections(front.broker().nowUs())) {
             linger();
         } else {
             next();
@@ -841,7 +845,7 @@
     }
 
     private void notWritten(Throwable cause) {
-        front.broker().counters().add("answers_not_written");
+        front.broker().counters().increment("answers_not_written");
         close();
     }
 
@@ -868,7 +872,7 @@
                 flow = null;
                 left.stop();
             }
-            passed(End.GONE);
+            passed(RequestResult.GONE);
             if (before == State.TAKEN && exchange != null) {
                 front.broker().clientGone(exchange);
             }
--- a/src/main/java/petrelstand/http/Rehearsal.java
+++ b/src/main/java/petrelstand/http/JvmWarmUp.java
@@ -16,13 +16,13 @@
 import petrelstand.decision.Scheduling.Settings;
 import petrelstand.lifecycle.Lifecycle;
 import petrelstand.net.EventLoop;
-import petrelstand.net.MemoryEnd;
+import petrelstand.net.MemoryEndPoint;
 
 /**
  * Plays requests through parts of their own, in memory, before the gateway says that it is ready: a virtual machine
  * that has not yet run this code takes ten times as long for the first requests.
  */
-public final class Rehearsal {
+public final class JvmWarmUp {
     private static final int NODES = 4;
     private static final int CLIENTS = 4;
     private static final long STEP_US = 7_000;
@@ -30,25 +30,26 @@
     private final Timers timers = new Timers();
     private final Settings settings;
     private final List<EventLoop.Connector> dialed = new ArrayList<>();
-    private final List<MemoryEnd> nodeEnds = new ArrayList<>();
+    private final List<MemoryEndPoint> nodeEnds = new ArrayList<>();
     private final Counters counters = new Counters();
     private final Broker broker;
-    private final Front front;
+    private final HttpFront front;
     private long nowUs = 1_000_000_000L;
 
-    private Rehearsal(Settings settings) {
+    private JvmWarmUp(Settings settings) {
         this.settings = settings;
-        NodePool pool = new NodePool(this::dial, () -> nowUs, timers, counters, settings, "backend.local", 64);
+        NodeConnectionPool pool =
+                new NodeConnectionPool(this::dial, () -> nowUs, timers, counters, settings, "backend.local", 64);
         this.broker = new Broker(settings, 1, () -> nowUs, timers, pool, counters, line -> {});
-        Lifecycle life = new Lifecycle(Lifecycle.Times.of(0));
-        life.serving(nowUs);
-        this.front = new Front(broker, timers, 64, life);
+        Lifecycle life = new Lifecycle(Lifecycle.Delays.of(0));
+        life.startServing(nowUs);
+        this.front = new HttpFront(broker, timers, 64, life);
     }
 
     /** Plays so many requests and returns how many of them were served. */
-    public static long play(Settings settings, int requests) {
-        Rehearsal rehearsal = new Rehearsal(settings);
-        rehearsal.play(requests);
+    public static long run(Settings settings, int requests) {
+        JvmWarmUp rehearsal = new JvmWarmUp(settings);
+        rehearsal.run(requests);
         return rehearsal.counters.get("answered.served");
     }
 
@@ -57,26 +58,26 @@
         return null;
     }
 
-    private void play(int requests) {
+    private void run(int requests) {
         List<Node> nodes = new ArrayList<>();
         for (int i = 0; i < NODES; i++) {
             nodes.add(new Node(
                     "s-0000000" + i, "127.0.0.1:" + (9000 + i), new NodeEntry(i, 0, i, NodeState.READY, 1, 0)));
         }
-        broker.nodes(ListKind.WHOLE, nodes);
-        List<MemoryEnd> clients = new ArrayList<>();
+        broker.updateNodes(ListKind.WHOLE, nodes);
+        List<MemoryEndPoint> clients = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
-            clients.add(MemoryEnd.open(front::accept));
+            clients.add(MemoryEndPoint.open(front::accept));
         }
         for (int i = 0; i < requests; i++) {
-            MemoryEnd client = clients.get(i % CLIENTS);
-            client.put(request(i));
+            MemoryEndPoint client = clients.get(i % CLIENTS);
+            client.send(request(i));
             if (i % CLIENTS == CLIENTS - 1) {
                 answer();
-                clients.forEach(MemoryEnd::taken);
+                clients.forEach(MemoryEndPoint::takeReceived);
             }
             nowUs += STEP_US;
-            timers.run(nowUs);
+            timers.runDue(nowUs);
         }
     }
 
@@ -84,12 +85,12 @@
     private void answer() {
         List<EventLoop.Connector> coming = List.copyOf(dialed);
         dialed.clear();
-        coming.forEach(connector -> nodeEnds.add(MemoryEnd.open(connector::connected)));
-        for (MemoryEnd node : List.copyOf(nodeEnds)) {
+        coming.forEach(connector -> nodeEnds.add(MemoryEndPoint.open(connector::connected)));
+        for (MemoryEndPoint node : List.copyOf(nodeEnds)) {
             if (!node.isOpen()) {
                 nodeEnds.remove(node);
-            } else if (!node.taken().isEmpty()) {
-                node.put("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Type: text/plain\r\n\r\ndone");
+            } else if (!node.takeReceived().isEmpty()) {
+                node.send("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Type: text/plain\r\n\r\ndone");
             }
         }
     }
@@ -101,9 +102,9 @@
                 + String.format(
                         " /%s/%016x/%016x HTTP/1.1\r\nHost: b\r\nX-Txn: %x\r\n",
                         kind.name(), number % 9, number, number)
-                + Wire.PLAN + ": "
+                + HttpProtocol.PLAN_HEADER + ": "
                 + settings.plans().get(number % settings.plans().size()).name() + "\r\n"
-                + (kind.effect() == Effect.KEYED ? Wire.EFFECT_KEY + ": k" + number + "\r\n" : "")
+                + (kind.effect() == Effect.KEYED ? HttpProtocol.IDEMPOTENCY_KEY_HEADER + ": k" + number + "\r\n" : "")
                 + "X-Remaining-Ms: 400\r\nX-Placement: units=1,shard=" + number % NODES + ",hosts=1\r\n"
                 + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
--- a/src/main/java/petrelstand/operation/OperatorConnection.java
+++ b/src/main/java/petrelstand/operation/OperatorConnection.java
@@ -13,9 +13,9 @@
 import org.eclipse.jetty.io.EndPoint;
 import org.eclipse.jetty.util.BufferUtil;
 import petrelstand.core.Timers;
-import petrelstand.http.Wire;
+import petrelstand.http.HttpProtocol;
+import petrelstand.net.HttpMessageParser;
 import petrelstand.net.LoopConnection;
-import petrelstand.net.MessageParser;
 
 /** An operator's connection: one call, one answer, and the end. */
 final class OperatorConnection extends LoopConnection implements HttpParser.RequestHandler {
@@ -30,7 +30,7 @@
     private static final int MOST_BODY = 4096;
 
     private final OperatorDoor door;
-    private final HttpParser parser = new MessageParser(this, MOST_HEAD);
+    private final HttpParser parser = new HttpMessageParser(this, MOST_HEAD);
     private final ByteBuffer input = BufferUtil.allocate(1024);
     private State state = State.READING;
     private Timers.Timer limit;
@@ -43,13 +43,14 @@
     OperatorConnection(EndPoint endPoint, OperatorDoor door) {
         super(endPoint);
         this.door = door;
-        parser.setHeaderCacheSize(Wire.NO_FIELD_CACHE);
+        parser.setHeaderCacheSize(HttpProtocol.HEADER_CACHE_BYTES);
     }
 
     @Override
     public void onOpen() {
         super.onOpen();
-        limit = door.timers().at(door.nowUs() + OperatorDoor.CALL_US, () -> answer(408, "the call did not come whole"));
+        limit = door.timers()
+                .schedule(door.nowUs() + OperatorDoor.CALL_US, () -> answer(408, "the call did not come whole"));
         fillInterested();
     }
 
@@ -95,15 +96,15 @@
 
     @Override
     public boolean headerComplete() {
-        String wrong = Wire.wrongFraming(fields);
-        if (!Wire.speaks(version)) {
+        String wrong = HttpProtocol.framingError(fields);
+        if (!HttpProtocol.supportsVersion(version)) {
             answer(505, "the version is neither 1.0 nor 1.1");
         } else if (wrong != null) {
             answer(400, wrong);
         } else if (fields.contains(HttpHeader.EXPECT, "100-continue")) {
             getEndPoint()
                     .write(
-                            nonBlocking(() -> {}, cause -> close()),
+                            nonBlockingCallback(() -> {}, cause -> close()),
                             BufferUtil.toBuffer("HTTP/1.1 100 Continue\r\n\r\n"));
         }
         return state != State.READING;
@@ -152,11 +153,11 @@
         state = State.ANSWERING;
         ByteBuffer content = BufferUtil.toBuffer(text.endsWith("\n") ? text : text + "\n", StandardCharsets.UTF_8);
         limit.cancel();
-        limit = door.timers().at(door.nowUs() + OperatorDoor.CALL_US, this::close);
+        limit = door.timers().schedule(door.nowUs() + OperatorDoor.CALL_US, this::close);
         getEndPoint()
                 .write(
-                        nonBlocking(this::linger, cause -> close()),
-                        Wire.answer(status, "text/plain", 0, true, content.remaining()),
+                        nonBlockingCallback(this::linger, cause -> close()),
+                        HttpProtocol.answerHead(status, "text/plain", 0, true, content.remaining()),
                         content);
     }
 
@@ -166,7 +167,7 @@
             state = State.LINGERING;
             getEndPoint().shutdownOutput();
             limit.cancel();
-            limit = door.timers().at(door.nowUs() + OperatorDoor.LINGER_US, this::close);
+            limit = door.timers().schedule(door.nowUs() + OperatorDoor.LINGER_US, this::close);
         }
     }
 
--- a/src/test/java/petrelstand/http/FrontSearchTest.java
+++ b/src/test/java/petrelstand/http/FrontSearchTest.java
@@ -80,7 +80,7 @@
 
             void put(String text) {
                 if (!over) {
-                    end.put(text);
+                    end.send(text);
                 }
             }
 
@@ -94,7 +94,7 @@
             }
 
             void look() {
-                Matcher status = Pattern.compile("HTTP/1.1 (\\d+) ").matcher(end.taken());
+                Matcher status = Pattern.compile("HTTP/1.1 (\\d+) ").matcher(end.takeReceived());
                 while (status.find()) {
                     answers++;
                 }
@@ -102,9 +102,9 @@
         }
 
         private final Harness world;
-        private final NodePool pool;
-        private final Lifecycle life = new Lifecycle(Lifecycle.Times.of(5_000_000));
-        private final Front front;
+        private final NodeConnectionPool pool;
+        private final Lifecycle life = new Lifecycle(Lifecycle.Delays.of(5_000_000));
+        private final HttpFront front;
         private final List<Client> clients = new ArrayList<>();
         private final Map<String, Client> clientOf = new HashMap<>();
         /** Ends at the node, with the id that each has out, if any. */
@@ -116,10 +116,10 @@
 
         World(boolean cancels) {
             world = new Harness(Harness.SETTINGS.replace("caps.cancel=true", "caps.cancel=" + cancels));
-            pool = new NodePool(
+            pool = new NodeConnectionPool(
                     world::dial, () -> world.nowUs, world.timers, world.counters, world.settings, "backend.local", 6);
-            front = new Front(world.broker(pool), world.timers, 5, life);
-            life.serving(world.nowUs);
+            front = new HttpFront(world.broker(pool), world.timers, 5, life);
+            life.startServing(world.nowUs);
             world.list(Harness.node("s-00000001", 3, NodeState.READY, 0));
             clients.add(new Client());
         }
@@ -132,19 +132,19 @@
             for (Client client : clients) {
                 if (!client.over) {
                     client.over = true;
-                    client.end.putEnd();
+                    client.end.sendEof();
                 }
             }
             look();
             world.run(80_000_000);
             look();
-            assertEquals(0, world.broker.open(), "open requests");
+            assertEquals(0, world.broker.openRequests(), "open requests");
             assertEquals(0, front.openIds(), "ids");
-            assertEquals(0, front.connections(), "connections");
+            assertEquals(0, front.connectionCount(), "connections");
             assertEquals(8L * 1024 * 1024, front.requests().left(), "room for requests");
             assertEquals(16L * 1024 * 1024, front.answers().left(), "room for answers");
             assertEquals(36L * 1024 * 1024, front.inWork().left(), "room for requests in work");
-            assertEquals(0, pool.open(), "connections to the node");
+            assertEquals(0, pool.connectionCount(), "connections to the node");
             for (Client client : clients) {
                 client.look();
                 assertTrue(
@@ -156,7 +156,7 @@
         /** What the node's ends got since the last look, and whether it was right to send it. */
         private void look() {
             for (HeldEnd end : order) {
-                Matcher id = ID.matcher(end.taken());
+                Matcher id = ID.matcher(end.takeReceived());
                 if (!end.isOpen()) {
                     nodes.put(end, "");
                 }
@@ -180,7 +180,7 @@
 
         private void list(NodeState state, double upSinceMs) {
             listed = state == NodeState.READY;
-            world.broker.nodes(ListKind.CHANGES, List.of(Harness.node("s-00000001", 3, state, upSinceMs)));
+            world.broker.updateNodes(ListKind.CHANGES, List.of(Harness.node("s-00000001", 3, state, upSinceMs)));
         }
 
         private void act(Act act, int pick) {
@@ -235,7 +235,7 @@
                 case END, RESET -> {
                     if (!client.over) {
                         client.over = true;
-                        client.end.putEnd();
+                        client.end.sendEof();
                     }
                 }
                 case UP -> {
@@ -260,14 +260,14 @@
                     if (!order.isEmpty()) {
                         HeldEnd end = order.get(pick % order.size());
                         if (end.isOpen()) {
-                            end.putEnd();
+                            end.sendEof();
                             nodes.put(end, "");
                         }
                     }
                 }
                 case CHATTER -> {
                     if (!order.isEmpty() && order.get(pick % order.size()).isOpen()) {
-                        order.get(pick % order.size()).put("HTTP/1.1 ");
+                        order.get(pick % order.size()).send("HTTP/1.1 ");
                     }
                 }
                 case DRAIN -> list(NodeState.DRAINING, 0);
@@ -293,7 +293,7 @@
                 if (whole) {
                     nodes.put(end, "");
                 }
-                end.put(text);
+                end.send(text);
             }
         }
     }
--- a/src/test/java/petrelstand/http/IdleConnectionMemoryTest.java
+++ b/src/test/java/petrelstand/http/IdleConnectionMemoryTest.java
@@ -11,7 +11,7 @@
 import org.eclipse.jetty.util.BufferUtil;
 import org.junit.jupiter.api.Test;
 import petrelstand.lifecycle.Lifecycle;
-import petrelstand.net.MemoryEnd;
+import petrelstand.net.MemoryEndPoint;
 import petrelstand.testing.Harness;
 import petrelstand.testing.HeldEnd;
 
@@ -26,13 +26,13 @@
     private static final String LONG_FIELD = "X-Long: " + "x".repeat(7000) + "\r\n";
 
     private final Harness world = new Harness();
-    private final NodePool pool = new NodePool(
+    private final NodeConnectionPool pool = new NodeConnectionPool(
             world::dial, () -> world.nowUs, world.timers, world.counters, world.settings, "backend.local", CONNECTIONS);
-    private final Lifecycle life = new Lifecycle(Lifecycle.Times.of(5_000_000));
-    private final Front front = new Front(world.broker(pool), world.timers, 2 * CONNECTIONS, life);
+    private final Lifecycle life = new Lifecycle(Lifecycle.Delays.of(5_000_000));
+    private final HttpFront front = new HttpFront(world.broker(pool), world.timers, 2 * CONNECTIONS, life);
 
     {
-        life.serving(world.nowUs);
+        life.startServing(world.nowUs);
     }
 
     /** Bytes in use once what nobody holds has been collected. */
@@ -46,52 +46,52 @@
         return least;
     }
 
-    private MemoryEnd asked(String more) {
-        MemoryEnd client = MemoryEnd.open(front::accept);
+    private MemoryEndPoint asked(String more) {
+        MemoryEndPoint client = MemoryEndPoint.open(front::accept);
         for (int i = 0; i < REQUESTS; i++) {
-            client.put("GET /ready HTTP/1.1\r\nHost: b\r\nAccept: text/plain\r\n" + more + "\r\n");
-            assertTrue(client.taken().startsWith("HTTP/1.1 200"));
+            client.send("GET /ready HTTP/1.1\r\nHost: b\r\nAccept: text/plain\r\n" + more + "\r\n");
+            assertTrue(client.takeReceived().startsWith("HTTP/1.1 200"));
         }
         return client;
     }
 
-    private static void assertWithinBound(long before, List<MemoryEnd> ends, String side) {
+    private static void assertWithinBound(long before, List<MemoryEndPoint> ends, String side) {
         long each = (used() - before) / CONNECTIONS;
-        assertTrue(ends.stream().allMatch(MemoryEnd::isOpen));
+        assertTrue(ends.stream().allMatch(MemoryEndPoint::isOpen));
         assertTrue(each <= MOST_BYTES, each + " bytes for each resting connection of a " + side);
     }
 
     @Test
     void aClientsRestingConnectionKeepsNeitherParserNorBuffer() {
-        List<MemoryEnd> clients = new ArrayList<>(CONNECTIONS);
+        List<MemoryEndPoint> clients = new ArrayList<>(CONNECTIONS);
         asked(LONG_FIELD);
         long before = used();
         for (int i = 0; i < CONNECTIONS; i++) {
             clients.add(asked(i % 2 == 0 ? "" : LONG_FIELD));
         }
-        assertEquals(CONNECTIONS + 1, front.connections());
+        assertEquals(CONNECTIONS + 1, front.connectionCount());
         assertWithinBound(before, clients, "client");
     }
 
     @Test
     void aNodesRestingConnectionKeepsNeitherParserNorBuffer() {
-        List<MemoryEnd> nodes = new ArrayList<>(CONNECTIONS);
+        List<MemoryEndPoint> nodes = new ArrayList<>(CONNECTIONS);
         List<UpstreamConnection> connections = new ArrayList<>(CONNECTIONS);
-        Budget budget = new Budget(1 << 20);
+        ByteBudget budget = new ByteBudget(1 << 20);
         long before = used();
         for (int i = 0; i < CONNECTIONS; i++) {
-            nodes.add(MemoryEnd.open(end -> {
+            nodes.add(MemoryEndPoint.open(end -> {
                 UpstreamConnection connection =
-                        new UpstreamConnection(end, NodePool.MOST_ANSWER, budget, (c, free) -> {});
+                        new UpstreamConnection(end, NodeConnectionPool.MOST_ANSWER, budget, (c, free) -> {});
                 connections.add(connection);
                 return connection;
             }));
             for (int j = 0; j < REQUESTS; j++) {
                 String[] answered = new String[1];
                 connections.get(i).send(new OneCall(answered));
-                nodes.get(i).taken();
+                nodes.get(i).takeReceived();
                 nodes.get(i)
-                        .put("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 4\r\n"
+                        .send("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 4\r\n"
                                 + (i % 2 == 0 ? "" : LONG_FIELD) + "\r\ndone");
                 assertEquals("done", answered[0]);
             }
@@ -101,19 +101,19 @@
     }
 
     /** A call that keeps the body that it was answered. */
-    private record OneCall(String[] answered) implements Call {
+    private record OneCall(String[] answered) implements UpstreamCall {
         @Override
-        public ByteBuffer[] bytes() {
+        public ByteBuffer[] requestBytes() {
             return new ByteBuffer[] {BufferUtil.toBuffer("GET / HTTP/1.1\r\nHost: b\r\n\r\n")};
         }
 
         @Override
-        public void answered(int status, HttpFields fields, ByteBuffer body) {
+        public void onAnswer(int status, HttpFields fields, ByteBuffer body) {
             answered[0] = BufferUtil.toString(body);
         }
 
         @Override
-        public void broke(Break how) {
+        public void onFailure(Failure how) {
             answered[0] = how.name();
         }
     }
@@ -123,12 +123,13 @@
     void aNodesRestingConnectionThatWasSentBytesIsNotUsedAgain() {
         List<UpstreamConnection> connections = new ArrayList<>();
         HeldEnd node = HeldEnd.open(end -> {
-            connections.add(new UpstreamConnection(end, NodePool.MOST_ANSWER, new Budget(1 << 20), (c, free) -> {}));
+            connections.add(new UpstreamConnection(
+                    end, NodeConnectionPool.MOST_ANSWER, new ByteBudget(1 << 20), (c, free) -> {}));
             return connections.get(0);
         });
         String[] answered = new String[1];
         connections.get(0).send(new OneCall(answered));
-        node.put("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
+        node.send("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
         assertEquals("done", answered[0]);
         assertTrue(connections.get(0).quiet());
         node.putUnread("H");
