--- a/src/test/java/petrelstand/DocsCheckTest.java
+++ b/src/test/java/petrelstand/DocsCheckTest.java
@@ -93,7 +93,7 @@
     void namesThatExistPass() throws Exception {
         write("docs/design/guide.md", """
                 `Lamp`, `Lamp.java`, `light.Lamp`, `petrelstand.light.Lamp#ignite`, `Lamp.ignite(int, ...)`,
-                `Lamp.Wick.remaining`, `Wick`, `MAX_WATTS`, `Lamp.MAX_WATTS`, `ignite`, `spokenOnly`,
+                `Lamp.Wick.remaining`, `Wick`, `MAX_WATTS`, `Lamp.MAX_WATTS`, `Lamp.MAX_*`, `ignite`, `spokenOnly`,
                 `LampTest.theLampIsLit...`, `theLampIsLitWithinASecond`, `theLampIsLit...`,
                 `lab/evening.ini`, `lab/*.ini`, `petrelstand lab lab/evening.ini --wait`, `deploy/petrelstand.ini`,
                 `Content-Length`, `DRAINING`, `java.util.List`, `GET /counters`, `/ready`, `other/file`,
@@ -109,7 +109,13 @@
 
     @Test
     void aMemberThatIsGoneIsReported() throws Exception {
-        assertReported("Lamp.extinguish", "Lamp#extinguish(int)", "Lamp.Wick.length", "Lamp.MIN_WATTS", "MIN_WATTS");
+        assertReported(
+                "Lamp.extinguish",
+                "Lamp#extinguish(int)",
+                "Lamp.Wick.length",
+                "Lamp.MIN_WATTS",
+                "MIN_WATTS",
+                "Lamp.MIN_*");
     }
 
     @Test
