--- a/src/main/java/petrelstand/core/Broker.java
+++ b/src/main/java/petrelstand/core/Broker.java
@@ -14,13 +14,13 @@
 import java.util.stream.Collectors;
 import petrelstand.core.RequestCounts.RequestResult;
 import petrelstand.decision.Policy;
-import petrelstand.decision.Scheduling.Actions;
 import petrelstand.decision.Scheduling.AttemptEnd;
-import petrelstand.decision.Scheduling.Events;
-import petrelstand.decision.Scheduling.Learned;
+import petrelstand.decision.Scheduling.HostActions;
+import petrelstand.decision.Scheduling.HostEvents;
 import petrelstand.decision.Scheduling.LearnedNode;
-import petrelstand.decision.Scheduling.ListKind;
+import petrelstand.decision.Scheduling.LearnedState;
 import petrelstand.decision.Scheduling.NodeEntry;
+import petrelstand.decision.Scheduling.NodeListKind;
 import petrelstand.decision.Scheduling.NodeState;
 import petrelstand.decision.Scheduling.Outcome;
 import petrelstand.decision.Scheduling.Request;
@@ -44,7 +44,7 @@
     private final Counters counters;
     private final RequestCounts requestCounts = new RequestCounts();
     private final Consumer<String> log;
-    private final Events module;
+    private final HostEvents module;
     private final Map<Long, Exchange> exchanges = new HashMap<>();
     private final Map<Long, Node> updateNodes = new HashMap<>();
     /** Events that came while the module was at work: it is never entered twice. */
@@ -63,7 +63,7 @@
 
     /** Makes the decision module for a host: settings and actions. */
     public interface ModuleFactory {
-        Events create(double nowMs, Settings settings, Actions actions);
+        HostEvents create(double nowMs, Settings settings, HostActions actions);
     }
 
     public Broker(
@@ -117,7 +117,7 @@
     public void updateSettings(Settings changed) {
         settings = changed;
         changed.classes().forEach(kind -> requestCounts.addClass(kind.name()));
-        event(() -> module.retune(toMs(clock.getAsLong()), changed), null);
+        event(() -> module.applySettings(toMs(clock.getAsLong()), changed), null);
     }
 
     /** The time of this turn of the loop. */
@@ -190,7 +190,7 @@
         requestCounts.recordAttempt();
         long now = clock.getAsLong();
         watcher.attemptWritten(attempt.exchange().id(), attempt.number(), now);
-        event(() -> module.written(toMs(now), attempt.exchange().id()), attempt.exchange());
+        event(() -> module.requestWritten(toMs(now), attempt.exchange().id()), attempt.exchange());
     }
 
     /** Requests without their final answer. */
@@ -246,7 +246,7 @@
                 demand.gatewaySetSize(),
                 demand.clientRepeat(),
                 demand.write());
-        event(() -> module.request(toMs(now), request), exchange);
+        event(() -> module.requestReceived(toMs(now), request), exchange);
         return exchange;
     }
 
@@ -298,7 +298,7 @@
     }
 
     /** The node list, or changes to it. */
-    public void updateNodes(ListKind kind, Collection<Node> listed) {
+    public void updateNodes(NodeListKind kind, Collection<Node> listed) {
         List<NodeEntry> entries = new ArrayList<>();
         for (Node node : listed) {
             // What is gone is not kept: attempts still out hold their node themselves, and nodes come and go all day.
@@ -319,10 +319,10 @@
             }
             entries.add(node.entry());
         }
-        if (kind != ListKind.CHANGES && kind != ListKind.FAILED) {
+        if (kind != NodeListKind.CHANGES && kind != NodeListKind.FAILED) {
             dropUnlisted(entries);
         }
-        event(() -> module.nodes(toMs(clock.getAsLong()), kind, entries), null);
+        event(() -> module.nodesListed(toMs(clock.getAsLong()), kind, entries), null);
     }
 
     private void dropUnlisted(List<NodeEntry> entries) {
@@ -337,8 +337,8 @@
     }
 
     /** What the decision module has learned, at this turn's time; never while the module is at work. */
-    public Learned learnedState() {
-        return module.learned(toMs(clock.getAsLong()));
+    public LearnedState learnedState() {
+        return module.learnedState(toMs(clock.getAsLong()));
     }
 
     /**
@@ -357,13 +357,13 @@
         double part = shares.applyAsDouble(clock.getAsLong());
         if (part != setShareFunction) {
             setShareFunction = part;
-            module.share(toMs(clock.getAsLong()), part);
+            module.setBudgetShare(toMs(clock.getAsLong()), part);
         }
     }
 
     /** Gives the module what an earlier run learned, weighed and bounded; only before the first node list. */
-    public void restoreLearnedState(Learned learned) {
-        event(() -> module.recall(toMs(clock.getAsLong()), learned), null);
+    public void restoreLearnedState(LearnedState learned) {
+        event(() -> module.restore(toMs(clock.getAsLong()), learned), null);
     }
 
     // ---- Attempts ----
@@ -501,7 +501,7 @@
     }
 
     /** Carries out what the module asks. */
-    private final class ModuleActions implements Actions {
+    private final class ModuleActions implements HostActions {
         @Override
         public void send(long request, long node, double timeoutMs) {
             Exchange exchange = exchanges.get(request);
@@ -574,25 +574,26 @@
                         (outcome, load) -> event(
                                 () -> {
                                     long now = clock.getAsLong();
-                                    module.probed(toMs(now), node, toMs(now - sent), outcome, ordered(load));
+                                    module.probeEnded(toMs(now), node, toMs(now - sent), outcome, ordered(load));
                                 },
                                 null));
             }
         }
 
         @Override
-        public void timer(double atMs, long token) {
+        public void setTimer(double atMs, long token) {
             timers.schedule(
-                    toUs(atMs), () -> event(() -> module.timer(toMs(clock.getAsLong()), token), exchanges.get(token)));
+                    toUs(atMs),
+                    () -> event(() -> module.timerFired(toMs(clock.getAsLong()), token), exchanges.get(token)));
         }
 
         @Override
-        public void follow() {
+        public void subscribeToNodes() {
             // The watch loop follows the list from the start.
         }
 
         @Override
-        public void tell(int recipient, byte[] message) {
+        public void sendPeerMessage(int recipient, byte[] message) {
             counters.increment("tell_dropped");
         }
     }
--- a/src/main/java/petrelstand/lab/Day.java
+++ b/src/main/java/petrelstand/lab/Day.java
@@ -14,7 +14,7 @@
 import petrelstand.core.Node;
 import petrelstand.core.NodeTransport;
 import petrelstand.core.Timers;
-import petrelstand.decision.Scheduling.ListKind;
+import petrelstand.decision.Scheduling.NodeListKind;
 import petrelstand.decision.Scheduling.NodeState;
 import petrelstand.decision.Scheduling.RequestClass;
 import petrelstand.decision.Scheduling.Settings;
@@ -256,7 +256,7 @@
             int index = i;
             timers.schedule(nowUs + scenario.listDelayUs() + i * scenario.listSpreadUs(), () -> {
                 if (!hosts[index].dead) {
-                    hosts[index].broker.updateNodes(ListKind.CHANGES, changes);
+                    hosts[index].broker.updateNodes(NodeListKind.CHANGES, changes);
                 }
             });
         }
@@ -286,10 +286,10 @@
                 outcome.remembered += verdict.learned().nodes().size();
                 broker.restoreLearnedState(verdict.learned());
             }
-            broker.updateNodes(ListKind.CACHED, List.copyOf(listed));
+            broker.updateNodes(NodeListKind.CACHED, List.copyOf(listed));
             timers.schedule(nowUs + LIST_AT_START_US, () -> {
                 if (!dead) {
-                    broker.updateNodes(ListKind.WHOLE, List.copyOf(listed));
+                    broker.updateNodes(NodeListKind.FULL, List.copyOf(listed));
                 }
             });
         }
--- a/src/test/java/petrelstand/http/FrontTest.java
+++ b/src/test/java/petrelstand/http/FrontTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import petrelstand.core.Node;
 import petrelstand.core.RequestCounts.RequestResult;
-import petrelstand.decision.Scheduling.ListKind;
+import petrelstand.decision.Scheduling.NodeListKind;
 import petrelstand.decision.Scheduling.NodeState;
 import petrelstand.lifecycle.Lifecycle;
 import petrelstand.net.MemoryEndPoint;
@@ -106,7 +106,7 @@
     }
 
     private static double partOfUse(Harness world) {
-        return world.broker.learnedState().volumes().get(0).ownPart();
+        return world.broker.learnedState().volumes().get(0).localFraction();
     }
 
     @Test
@@ -239,12 +239,12 @@
             Harness.Dialed before = other.dialed.remove(0);
             List<Node> drains = List.of(Harness.node("s-00000001", 3, NodeState.DRAINING, 0));
             if (drainFirst) {
-                other.broker.updateNodes(ListKind.CHANGES, drains);
+                other.broker.updateNodes(NodeListKind.CHANGES, drains);
             }
             other.broker.updateSettings(
                     new Harness(Harness.SETTINGS.replace("caps.most_tries=3", "caps.most_tries=2")).settings);
             if (!drainFirst) {
-                other.broker.updateNodes(ListKind.CHANGES, drains);
+                other.broker.updateNodes(NodeListKind.CHANGES, drains);
             }
             assertEquals("", HeldEnd.open(before.connector()::connected).takeReceived());
             end.send(read(2, ""));
@@ -421,7 +421,7 @@
             other.list(listed);
             MemoryEndPoint end = MemoryEndPoint.open(front::accept);
             end.send(read(1, ""));
-            other.broker.updateNodes(ListKind.CHANGES, List.of(change));
+            other.broker.updateNodes(NodeListKind.CHANGES, List.of(change));
             assertEquals("", other.up().takeReceived(), change.toString());
             assertEquals(1, other.counters.get("outcome.not_connected"));
         }
@@ -963,7 +963,7 @@
     @Test
     void aRemovedNodeAndOneThatAWholeListLeavesOutGetNothing() {
         listOne();
-        world.broker.updateNodes(ListKind.CHANGES, List.of(Harness.node("s-00000001", 3, NodeState.GONE, 0)));
+        world.broker.updateNodes(NodeListKind.CHANGES, List.of(Harness.node("s-00000001", 3, NodeState.GONE, 0)));
         client.send(read(1, ""));
         listOne();
         world.list(Harness.node("s-00000002", 4, NodeState.READY, 0));
@@ -974,7 +974,7 @@
 
     @Test
     void aKnownListThatWasStaleGivesWayToTheWholeOne() {
-        world.broker.updateNodes(ListKind.CACHED, List.of(Harness.node("s-00000009", 3, NodeState.READY, 0)));
+        world.broker.updateNodes(NodeListKind.CACHED, List.of(Harness.node("s-00000009", 3, NodeState.READY, 0)));
         listOne();
         client.send(read(1, ""));
         assertEquals(1, world.dialed.size());
