--- a/src/main/java/petrelstand/discovery/NodeListWatcher.java
+++ b/src/main/java/petrelstand/discovery/NodeListWatcher.java
@@ -15,10 +15,10 @@
 import petrelstand.core.Counters;
 import petrelstand.core.Timers;
 import petrelstand.http.ByteBudget;
-import petrelstand.http.UpstreamCall;
+import petrelstand.http.HttpProtocol;
 import petrelstand.http.NodeConnectionPool;
+import petrelstand.http.UpstreamCall;
 import petrelstand.http.UpstreamConnection;
-import petrelstand.http.HttpProtocol;
 import petrelstand.net.EventLoop;
 import petrelstand.net.SocketAddresses;
 
@@ -297,8 +297,9 @@
                     shortWaitCallsLeft = SHORT_WAIT_CALLS;
                     log.accept("discovery: " + reason + "; retrying");
                 }
-                retryTimer =
-                        last ? null : timers.schedule(clockUs.getAsLong() + RETRY_DELAY_US, NodeListWatcher.this::startPoll);
+                retryTimer = last
+                        ? null
+                        : timers.schedule(clockUs.getAsLong() + RETRY_DELAY_US, NodeListWatcher.this::startPoll);
             }
         }
     }
