--- a/src/main/java/petrelstand/cbor/CborReader.java
+++ b/src/main/java/petrelstand/cbor/CborReader.java
@@ -10,116 +10,124 @@
 import java.util.List;
 
 /**
- * Reads one array of CBOR (RFC 8949) token by token through Jackson, so that nothing is built that the form does not
- * have. Whatever else comes is one IOException that says where.
+ * Reads a CBOR (RFC 8949) document token by token, in the order that the caller expects. No object tree is built, and
+ * the caller bounds texts, byte strings and lists. Every read method throws an {@link IOException} if the next token
+ * has another type or exceeds its bound.
  */
 public final class CborReader implements Closeable {
-    private static final CBORFactory CBOR = new CBORFactory();
+    private static final CBORFactory FACTORY = new CBORFactory();
 
-    /** Reads one entry of a list. */
+    /** Reads the fields of one list entry. */
     public interface EntryReader<T> {
         T read() throws IOException;
     }
 
-    private final CBORParser from;
+    private final CBORParser parser;
 
     public CborReader(byte[] content) throws IOException {
-        from = CBOR.createParser(content);
+        parser = FACTORY.createParser(content);
     }
 
-    public void expect(JsonToken wanted) throws IOException {
-        JsonToken token = from.nextToken();
-        if (token != wanted) {
-            throw new IOException(token + " where " + wanted + " is wanted, byte "
-                    + from.currentTokenLocation().getByteOffset());
+    /** Consumes the next token, which must be of the given type. */
+    public void expect(JsonToken expected) throws IOException {
+        JsonToken token = parser.nextToken();
+        if (token != expected) {
+            throw new IOException(token + " found where " + expected + " was expected, at byte "
+                    + parser.currentTokenLocation().getByteOffset());
         }
     }
 
-    /** A number of 64 bits. */
+    /** Reads an integer of at most 64 bits. */
     public long readLong() throws IOException {
         expect(JsonToken.VALUE_NUMBER_INT);
-        if (from.getNumberType() == JsonParser.NumberType.BIG_INTEGER) {
-            throw new IOException("a number of more than 64 bits");
+        if (parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER) {
+            throw new IOException("integer does not fit in 64 bits");
         }
-        return from.getLongValue();
+        return parser.getLongValue();
     }
 
-    /** A number of 32 bits that is not negative. */
+    /** Reads an integer from 0 to {@link Integer#MAX_VALUE}. */
     public int readNonNegativeInt() throws IOException {
         long value = readLong();
         if (value < 0 || value > Integer.MAX_VALUE) {
-            throw new IOException("a count of " + value);
+            throw new IOException("integer is not in the range from 0 to 2^31 - 1: " + value);
         }
         return (int) value;
     }
 
-    public String readText(int most) throws IOException {
+    /** Reads a text string of at most the given number of characters. */
+    public String readText(int maxLength) throws IOException {
         expect(JsonToken.VALUE_STRING);
-        if (from.getTextLength() > most) {
-            throw new IOException("a text of more than " + most + " characters");
+        if (parser.getTextLength() > maxLength) {
+            throw new IOException("text is longer than " + maxLength + " characters");
         }
-        return from.getText();
+        return parser.getText();
     }
 
     public boolean readBoolean() throws IOException {
-        JsonToken token = from.nextToken();
+        JsonToken token = parser.nextToken();
         if (token != JsonToken.VALUE_TRUE && token != JsonToken.VALUE_FALSE) {
-            throw new IOException(token + " where true or false is wanted");
+            throw new IOException(token + " found where a boolean was expected");
         }
         return token == JsonToken.VALUE_TRUE;
     }
 
-    public byte[] readBytes(int most) throws IOException {
+    /** Reads a byte string of at most the given length. */
+    public byte[] readBytes(int maxLength) throws IOException {
         expect(JsonToken.VALUE_EMBEDDED_OBJECT);
-        byte[] bytes = from.getBinaryValue();
-        if (bytes.length > most) {
-            throw new IOException("more than " + most + " bytes");
+        byte[] bytes = parser.getBinaryValue();
+        if (bytes.length > maxLength) {
+            throw new IOException("byte string is longer than " + maxLength + " bytes");
         }
         return bytes;
     }
 
-    /** An array of arrays; each entry is read between its brackets. */
-    public <T> List<T> readList(int most, EntryReader<T> entry) throws IOException {
+    /**
+     * Reads an array of arrays.
+     *
+     * @param entryReader reads the fields of one inner array; the array's start and end are read here
+     */
+    public <T> List<T> readList(int maxEntries, EntryReader<T> entryReader) throws IOException {
         List<T> list = new ArrayList<>();
         expect(JsonToken.START_ARRAY);
-        while (from.nextToken() == JsonToken.START_ARRAY) {
-            if (list.size() == most) {
-                throw new IOException("more than " + most + " entries");
+        while (parser.nextToken() == JsonToken.START_ARRAY) {
+            if (list.size() == maxEntries) {
+                throw new IOException("list has more than " + maxEntries + " entries");
             }
-            list.add(entry.read());
+            list.add(entryReader.read());
             expect(JsonToken.END_ARRAY);
         }
-        if (from.currentToken() != JsonToken.END_ARRAY) {
-            throw new IOException("an entry is a list");
+        if (parser.currentToken() != JsonToken.END_ARRAY) {
+            throw new IOException("list entry is not an array");
         }
         return list;
     }
 
-    /** An array of texts. */
-    public List<String> readTexts(int most, int mostLength) throws IOException {
+    /** Reads an array of text strings, each of at most {@code maxLength} characters. */
+    public List<String> readTexts(int maxEntries, int maxLength) throws IOException {
         List<String> list = new ArrayList<>();
         expect(JsonToken.START_ARRAY);
-        while (from.nextToken() == JsonToken.VALUE_STRING) {
-            if (list.size() == most || from.getTextLength() > mostLength) {
-                throw new IOException("more texts than " + most + ", or one longer than " + mostLength);
+        while (parser.nextToken() == JsonToken.VALUE_STRING) {
+            if (list.size() == maxEntries || parser.getTextLength() > maxLength) {
+                throw new IOException("list has more texts than " + maxEntries + " or a text longer than " + maxLength);
             }
-            list.add(from.getText());
+            list.add(parser.getText());
         }
-        if (from.currentToken() != JsonToken.END_ARRAY) {
-            throw new IOException("an entry is a text");
+        if (parser.currentToken() != JsonToken.END_ARRAY) {
+            throw new IOException("list entry is not a text string");
         }
         return list;
     }
 
-    /** Nothing may follow. */
+    /** Checks that the input ends here. */
     public void expectEnd() throws IOException {
-        if (from.nextToken() != null) {
-            throw new IOException("more than a message");
+        if (parser.nextToken() != null) {
+            throw new IOException("unexpected data after the end of the CBOR document");
         }
     }
 
     @Override
     public void close() throws IOException {
-        from.close();
+        parser.close();
     }
 }
--- a/src/main/java/petrelstand/fleet/RulesClient.java
+++ b/src/main/java/petrelstand/fleet/RulesClient.java
@@ -13,96 +13,113 @@
 import petrelstand.agreement.RegistryCommand;
 import petrelstand.agreement.RulesMessage;
 import petrelstand.consensus.Envelope;
-import petrelstand.consensus.Wire;
+import petrelstand.consensus.WireCodec;
 import petrelstand.net.SocketAddresses;
 
 /**
- * Proposes and orders from outside, with the fleet's key: asks the gateways at the addresses that it knows, one of
- * which leads or passes it on. Asks again until an answer comes; the same proposal twice is one version. For one
- * thread.
+ * Sends rule proposals and orders to a fleet from outside, authenticated by the fleet's key. Each request goes to all
+ * known gateways; the leader answers it, and others forward it to the leader. Requests are repeated until an answer
+ * comes or the time is over; a repeated proposal results in one version. Not thread-safe.
  */
 public final class RulesClient implements Closeable {
-    private static final String NAME = "asker";
-    private static final int AGAIN_MS = 200;
+    private static final String SENDER_NAME = "asker";
+    private static final int RETRY_INTERVAL_MS = 200;
 
     private final String fleet;
     private final List<InetSocketAddress> gateways;
-    private final Seal seal;
+    private final DatagramAuthenticator authenticator;
     private final DatagramSocket socket;
-    private final String own;
+    private final String ownAddress;
 
-    /** Speaks from a free port of an address by which the gateways reach this machine. */
-    public RulesClient(String fleet, List<byte[]> keys, List<String> gateways, String own) throws IOException {
+    /**
+     * Opens a socket on a free port.
+     *
+     * @param fleet name of the fleet
+     * @param keys the fleet's keys; the first one signs the requests
+     * @param gateways addresses of the gateways to ask, ip:port
+     * @param ownHost IP address by which the gateways reach this machine
+     */
+    public RulesClient(String fleet, List<byte[]> keys, List<String> gateways, String ownHost) throws IOException {
         this.fleet = fleet;
         this.gateways = gateways.stream().map(SocketAddresses::parse).toList();
-        this.seal = new Seal(keys);
-        this.socket = new DatagramSocket(0, InetAddress.getByName(own));
-        this.own = own + ":" + socket.getLocalPort();
+        this.authenticator = new DatagramAuthenticator(keys);
+        this.socket = new DatagramSocket(0, InetAddress.getByName(ownHost));
+        this.ownAddress = ownHost + ":" + socket.getLocalPort();
     }
 
     /**
-     * Proposes a text on a base; waits so long for the answer.
+     * Proposes a text of rules that replaces the version {@code base}.
      *
-     * @return the version, or the fault; null where nobody who leads answered in time: it may have been taken
+     * @return the new version or the fault; null if no leader answered in time, though the proposal may have been taken
      */
-    public RulesMessage.RequestAnswer propose(long base, String who, String why, String text, long patienceMs)
+    public RulesMessage.RequestAnswer propose(long base, String who, String why, String text, long timeoutMs)
             throws IOException {
         List<String> pieces = RegistryCommand.splitIntoPieces(text);
-        long id = new SecureRandom().nextLong();
+        long requestId = new SecureRandom().nextLong();
         long wallMs = System.currentTimeMillis();
-        long untilNs = System.nanoTime() + patienceMs * 1_000_000;
-        int next = 0;
-        while (System.nanoTime() < untilNs) {
-            RulesMessage.RequestAnswer taken = ask(
-                    new RulesMessage.ProposalPiece(id, base, who, why, wallMs, next, pieces.size(), pieces.get(next)),
-                    id);
-            if (taken != null && taken.nextPiece() < 0) {
-                return taken;
+        long deadlineNs = System.nanoTime() + timeoutMs * 1_000_000;
+        int nextPiece = 0;
+        while (System.nanoTime() < deadlineNs) {
+            RulesMessage.RequestAnswer reply = sendAndAwaitReply(
+                    new RulesMessage.ProposalPiece(
+                            requestId, base, who, why, wallMs, nextPiece, pieces.size(), pieces.get(nextPiece)),
+                    requestId);
+            if (reply != null && reply.nextPiece() < 0) {
+                return reply;
             }
-            next = taken == null || taken.nextPiece() >= pieces.size() ? 0 : taken.nextPiece();
+            nextPiece = reply == null || reply.nextPiece() >= pieces.size() ? 0 : reply.nextPiece();
         }
         return null;
     }
 
-    /** Orders; the answer, or null where nobody who leads answered in time. */
+    /**
+     * Sends an order to the leader.
+     *
+     * @return the answer, or null if no leader answered in time
+     */
     public RulesMessage.RequestAnswer order(
-            String verb, long version, String name, String who, String why, long patienceMs) throws IOException {
-        long id = new SecureRandom().nextLong();
-        long untilNs = System.nanoTime() + patienceMs * 1_000_000;
-        while (System.nanoTime() < untilNs) {
-            RulesMessage.RequestAnswer taken =
-                    ask(new RulesMessage.AdminRequest(id, verb, version, name, who, why), id);
-            if (taken != null) {
-                return taken;
+            String verb, long version, String name, String who, String why, long timeoutMs) throws IOException {
+        long requestId = new SecureRandom().nextLong();
+        long deadlineNs = System.nanoTime() + timeoutMs * 1_000_000;
+        while (System.nanoTime() < deadlineNs) {
+            RulesMessage.RequestAnswer reply = sendAndAwaitReply(
+                    new RulesMessage.AdminRequest(requestId, verb, version, name, who, why), requestId);
+            if (reply != null) {
+                return reply;
             }
         }
         return null;
     }
 
-    private RulesMessage.RequestAnswer ask(RulesMessage talk, long id) throws IOException {
-        byte[] datagram = seal.close(Seal.RULES, Wire.encode(new Envelope(fleet, NAME, own, 0, 0, null, talk)));
+    private RulesMessage.RequestAnswer sendAndAwaitReply(RulesMessage request, long requestId) throws IOException {
+        byte[] datagram = authenticator.sign(
+                DatagramAuthenticator.RULES_MAGIC,
+                WireCodec.encode(new Envelope(fleet, SENDER_NAME, ownAddress, 0, 0, null, request)));
         for (InetSocketAddress gateway : gateways) {
             try {
                 socket.send(new DatagramPacket(datagram, datagram.length, gateway));
             } catch (IOException e) {
-                // One that is not there refuses; the others are asked all the same.
+                // This gateway is down; the others are still asked.
             }
         }
-        byte[] buffer = new byte[Seal.MOST + 1];
-        long untilNs = System.nanoTime() + AGAIN_MS * 1_000_000L;
-        for (long leftMs = AGAIN_MS; leftMs > 0; leftMs = (untilNs - System.nanoTime()) / 1_000_000) {
-            socket.setSoTimeout((int) leftMs);
-            DatagramPacket answer = new DatagramPacket(buffer, buffer.length);
+        byte[] buffer = new byte[DatagramAuthenticator.MAX_DATAGRAM_BYTES + 1];
+        long deadlineNs = System.nanoTime() + RETRY_INTERVAL_MS * 1_000_000L;
+        for (long remainingMs = RETRY_INTERVAL_MS;
+                remainingMs > 0;
+                remainingMs = (deadlineNs - System.nanoTime()) / 1_000_000) {
+            socket.setSoTimeout((int) remainingMs);
+            DatagramPacket packet = new DatagramPacket(buffer, buffer.length);
             try {
-                socket.receive(answer);
-                Envelope parcel = Wire.decode(seal.open(ByteBuffer.wrap(buffer, 0, answer.getLength())));
-                if (parcel.rulesMessage() instanceof RulesMessage.RequestAnswer taken && taken.id() == id) {
-                    return taken;
+                socket.receive(packet);
+                Envelope parcel =
+                        WireCodec.decode(authenticator.verify(ByteBuffer.wrap(buffer, 0, packet.getLength())));
+                if (parcel.rulesMessage() instanceof RulesMessage.RequestAnswer reply && reply.id() == requestId) {
+                    return reply;
                 }
             } catch (SocketTimeoutException e) {
                 return null;
-            } catch (IOException | Seal.Refused e) {
-                // Not an answer; the next one may be.
+            } catch (IOException | DatagramAuthenticator.RefusedDatagramException e) {
+                // Not a valid answer; waits for the next datagram.
             }
         }
         return null;
--- a/src/main/java/petrelstand/members/Membership.java
+++ b/src/main/java/petrelstand/members/Membership.java
@@ -8,47 +8,57 @@
 import petrelstand.members.Message.Envelope;
 
 /**
- * Who is there and who has failed, as one gateway sees it. A member is watched by its predecessors on several rings
- * ({@link WatchRings}), on which all members stand in an order of their own; who falls silent to a watcher, directly
- * and through others ({@link FailureDetector}), is suspected, and fails where two agree and it does not refute in time
- * ({@link Suspicion}). What changes is told on as news ({@link Dissemination}, {@link AntiEntropy}).
+ * One gateway's view of which gateways are up and which have failed, kept by a SWIM-like protocol. Each member is
+ * watched by its predecessors on several rings ({@link WatchRings}). A member that is silent to a watcher, directly and
+ * through relays ({@link FailureDetector}), becomes suspect; it fails if it does not refute the suspicion in time
+ * ({@link Suspicion}). Changes spread by gossip ({@link Dissemination}) and comparison of digests
+ * ({@link AntiEntropy}).
  *
- * <p>Deterministic: messages and time in, messages and changes out. One thread at a time; times are microseconds of a
- * clock that never goes back. {@link #tick} is to be called every {@link MembershipTiming#TICK_INTERVAL_US}; one that
- * comes late says that this process stood still. The design and the ways weighed are in docs/design/members.md.
+ * <p>The class does no I/O and is deterministic: messages and time go in, messages and changes come out. It is not
+ * thread-safe. Times are microseconds of a monotonic clock. {@link #tick} must be called every
+ * {@link MembershipTiming#TICK_INTERVAL_US}; a late call means that this process was stalled. The design is described
+ * in docs/design/members.md.
  */
 public class Membership {
-    /** Members known, those that are gone among them. */
-    public static final int MAX_MEMBERS = MembershipView.MOST_MEMBERS;
-    /** Lives whose messages are taken: those that answered a nonce of this process. */
-    static final int MOST_PROVEN = ProvenLives.MOST;
-    /** Questions out at a time. */
-    static final int MOST_ASKED = PendingQuestions.MOST;
-    /** Messages a second that this process sends at most, over a second and in the long run. */
-    static final double MOST_SENT = Outbox.MOST_SENT;
-
-    /** What the process does for this module. */
+    /** Maximum number of known members, including tombstones. */
+    public static final int MAX_MEMBERS = MembershipView.MAX_MEMBERS;
+    /** Maximum number of processes remembered as verified. */
+    static final int MAX_VERIFIED_PROCESSES = VerifiedProcesses.MAX_ENTRIES;
+    /** Maximum number of requests awaiting an answer. */
+    static final int MAX_PENDING_REQUESTS = PendingRequests.MAX_ENTRIES;
+    /** Maximum message rate, both as a burst and in the long run. */
+    static final double MAX_MESSAGES_PER_SECOND = Outbox.MAX_MESSAGES_PER_SECOND;
+
+    /** What the surrounding process does for this class. */
     public interface Callbacks {
-        /** Sends a message; it may get lost, and nothing is told of that. */
+        /** Sends a message, which may get lost without notice. */
         void send(String address, Envelope message);
 
-        /** The view has changed. */
+        /** Called when the view has changed. */
         void onViewChanged(ViewChange change);
 
-        /** What this gateway sees of the fleet has changed. */
-        void onVisibilityChanged(FleetVisibility standing);
+        /** Called when the visible part of the fleet has changed. */
+        void onVisibilityChanged(FleetVisibility visibility);
 
-        /** This process did not run for so long, without having been asked to. */
-        void onStall(long us);
+        /** Called after this process did not run for the given time, in microseconds. */
+        void onStall(long durationUs);
 
-        /** Something happened that is counted; names are few and fixed. */
-        void incrementCounter(String what);
+        /** Adds 1 to a counter; the set of names is small and fixed. */
+        void incrementCounter(String name);
 
-        /** Something that an operator should read. */
+        /** Logs a line for the operator. */
         void logMessage(String line);
     }
 
-    /** One line of the view. */
+    /**
+     * A member as this gateway sees it.
+     *
+     * @param stateSinceUs when it entered its state
+     * @param cause why it entered its state, for people to read
+     * @param lastHeardUs when it was last heard
+     * @param heardThroughRelay whether it was last heard through a relay only
+     * @param watched whether this process probes it
+     */
     public record MemberStatus(
             Member member,
             long stateSinceUs,
@@ -58,238 +68,248 @@
             boolean watched) {}
 
     private final MembershipTiming timing;
-    private final Callbacks actions;
-    private final MembershipView members;
-    private final ProvenLives proven = new ProvenLives();
-    private final PendingQuestions pending;
+    private final Callbacks callbacks;
+    private final MembershipView view;
+    private final VerifiedProcesses verified = new VerifiedProcesses();
+    private final PendingRequests pending;
     private final Outbox outbox;
     private final Dissemination dissemination;
     private final Suspicion suspicion;
     private final FailureDetector detector;
     private final LocalHealth health;
-    private final Departure departure;
-    private final JoinProtocol join;
-    private final Receiver receiver;
-    private long tickedUs;
+    private final LeaveProtocol leaveProtocol;
+    private final JoinProtocol joinProtocol;
+    private final MessageReceiver receiver;
+    private long lastTickUs;
 
     /**
-     * A process that wants to be a member.
+     * Creates a process that starts joining at its first tick.
      *
-     * @param self as it is to be known; its state is taken as {@link MemberState#JOINING}
+     * @param nowUs current time
+     * @param fleet name of the fleet; messages of other fleets are refused
+     * @param self this process as others shall know it; its state is set to {@link MemberState#JOINING}
      * @param seeds addresses to join by; may be down, wrong, or this process's own
-     * @param size the agreed number of members, or 0: the most that were seen, less those that left in order
-     * @param seed of all chance in here
+     * @param fleetSize agreed number of members, or 0 to use the most seen so far, less those that left gracefully
+     * @param seed seed of all random decisions
      */
     public Membership(
             long nowUs,
             String fleet,
             Member self,
             Collection<String> seeds,
-            int size,
+            int fleetSize,
             MembershipTiming timing,
             long seed,
-            Callbacks actions) {
+            Callbacks callbacks) {
         Objects.requireNonNull(fleet);
         this.timing = timing;
-        this.actions = actions;
-        this.tickedUs = nowUs;
+        this.callbacks = callbacks;
+        this.lastTickUs = nowUs;
         SplittableRandom random = new SplittableRandom(seed);
         WatchRings rings = new WatchRings(fleet, self.name());
-        members = new MembershipView(nowUs, self.as(MemberState.JOINING, ""), size, rings, proven, actions);
-        outbox = new Outbox(fleet, members, actions);
-        pending = new PendingQuestions(random);
-        dissemination = new Dissemination(members, proven, outbox, random);
-        Prober prober = new Prober(members, pending, dissemination, outbox);
-        suspicion = new Suspicion(timing, members, dissemination, actions);
-        detector = new FailureDetector(timing, members, prober, suspicion, random);
-        health = new LocalHealth(nowUs, timing, members);
-        departure = new Departure(members, dissemination, outbox);
-        AntiEntropy antiEntropy = new AntiEntropy(nowUs, members, outbox, actions);
-        NameClaim nameClaim = new NameClaim(members, dissemination, outbox, actions);
-        ClaimIntake claims = new ClaimIntake(
-                members,
+        view = new MembershipView(
+                nowUs, self.withState(MemberState.JOINING, ""), fleetSize, rings, verified, callbacks);
+        outbox = new Outbox(fleet, view, callbacks);
+        pending = new PendingRequests(random);
+        dissemination = new Dissemination(view, verified, outbox, random);
+        Prober prober = new Prober(view, pending, dissemination, outbox);
+        suspicion = new Suspicion(timing, view, dissemination, callbacks);
+        detector = new FailureDetector(timing, view, prober, suspicion, random);
+        health = new LocalHealth(nowUs, timing, view);
+        leaveProtocol = new LeaveProtocol(view, dissemination, outbox);
+        AntiEntropy antiEntropy = new AntiEntropy(nowUs, view, outbox, callbacks);
+        NameOwnership nameOwnership = new NameOwnership(view, dissemination, outbox, callbacks);
+        UpdateProcessor updateProcessor = new UpdateProcessor(
+                view,
                 dissemination,
                 suspicion,
                 detector,
-                nameClaim,
-                (claim, known) -> supersedes(claim, known),
-                above -> raise(above),
-                actions);
-        Parts parts = new Parts(
-                members,
-                proven,
+                nameOwnership,
+                (update, known) -> supersedes(update, known),
+                above -> raiseIncarnation(above),
+                callbacks);
+        MembershipComponents components = new MembershipComponents(
+                view,
+                verified,
                 pending,
                 prober,
                 outbox,
                 dissemination,
                 detector,
                 health,
-                departure,
+                leaveProtocol,
                 antiEntropy,
-                nameClaim,
-                claims);
-        join = new JoinProtocol(seeds, timing, random, parts, above -> raise(above), actions);
-        receiver = new Receiver(fleet, parts, join, actions);
+                nameOwnership,
+                updateProcessor);
+        joinProtocol = new JoinProtocol(seeds, timing, random, components, above -> raiseIncarnation(above), callbacks);
+        receiver = new MessageReceiver(fleet, components, joinProtocol, callbacks);
     }
 
-    // ---- What others ask of this module ----
+    // ---- Queries and messages ----
 
-    /** This process as it is known. */
+    /** This process as others know it. */
     public Member self() {
-        return members.self();
+        return view.self();
     }
 
-    /** Grows with each change of the view; of this process alone. */
+    /** Version of the view, raised with each change; comparable within this process only. */
     public long viewVersion() {
-        return members.version();
+        return view.version();
     }
 
-    /** The same wherever the same members are held to be there, in the same state and incarnation. */
+    /** Digest of the present members with their states and incarnations; equal views have equal digests. */
     public long digest() {
-        return members.digest().value();
+        return view.digest().value();
     }
 
-    /** The digest's parts: where two gateways' differ, their views differ in members of that part. */
+    /** The buckets of the digest; two views differ in members of those buckets that differ. */
     public List<Long> digestBuckets() {
-        return members.digest().parts();
+        return view.digest().bucketValues();
     }
 
-    /** How much of the fleet is seen. */
+    /** How much of the fleet this gateway sees. */
     public FleetVisibility visibility() {
-        return members.standing();
+        return view.visibility();
     }
 
-    /** The view, this process first, then by name; members that nobody was heard of while cut off show as failed. */
+    /**
+     * All known members, this process first, the others by name; members unreachable during isolation show as failed.
+     */
     public List<MemberStatus> members() {
-        return members.lines(tickedUs);
+        return view.memberStatuses(lastTickUs);
     }
 
-    /** Addresses of the members that are there and reached, by name; this process is not among them. */
+    /** Addresses of the other present and reachable members, by name. */
     public Map<String, String> reachableAddresses() {
-        return members.reached();
+        return view.reachableAddresses();
     }
 
-    /** Where a member is or was reached; null where it is not known. This process's own is its own. */
+    /** Address at which a member is or was reachable, or null if the name is unknown. */
     public String addressOf(String name) {
-        if (name.equals(members.self().name())) {
-            return members.self().address();
+        if (name.equals(view.self().name())) {
+            return view.self().address();
         }
-        Peer peer = members.peer(name);
+        Peer peer = view.peer(name);
         return peer == null ? null : peer.address();
     }
 
-    /** Tells that this process will end; {@link #hasLeft} says when all is told. */
+    /** Starts a graceful leave; {@link #hasLeft} tells when it is complete. */
     public void leave(long nowUs) {
-        departure.begin(nowUs);
+        leaveProtocol.begin(nowUs);
     }
 
-    /** Whether this process has left, as it was asked to. */
+    /** Whether the leave that {@link #leave} started is complete. */
     public boolean hasLeft() {
-        return departure.ended();
+        return leaveProtocol.isFinished();
     }
 
-    /** A message that came; who sent it has shown that it has the fleet's key. */
-    public void receive(long nowUs, Envelope from) {
-        if (!departure.ended()) {
-            receiver.receive(nowUs, from);
+    /** Handles a received message whose sender was authenticated as having the fleet's key. */
+    public void receive(long nowUs, Envelope envelope) {
+        if (!leaveProtocol.isFinished()) {
+            receiver.receive(nowUs, envelope);
         }
     }
 
     // ---- Time ----
 
-    /** To be called every {@link MembershipTiming#TICK_INTERVAL_US}. */
+    /** Advances the protocol; must be called every {@link MembershipTiming#TICK_INTERVAL_US}. */
     public void tick(long nowUs) {
-        long elapsedUs = nowUs - tickedUs;
+        long elapsedUs = nowUs - lastTickUs;
         outbox.refill(elapsedUs);
-        tickedUs = nowUs;
-        if (departure.ended()) {
+        lastTickUs = nowUs;
+        if (leaveProtocol.isFinished()) {
             return;
         }
-        noteStall(nowUs, elapsedUs - MembershipTiming.TICK_INTERVAL_US);
-        if (departure.due(nowUs)) {
-            departure.end(nowUs);
+        handleStall(nowUs, elapsedUs - MembershipTiming.TICK_INTERVAL_US);
+        if (leaveProtocol.isDue(nowUs)) {
+            leaveProtocol.finish(nowUs);
             return;
         }
-        join.tick(nowUs);
-        if (!members.joining()) {
+        joinProtocol.tick(nowUs);
+        if (!view.isJoining()) {
             detectFailures(nowUs);
         }
         dissemination.tick(nowUs);
     }
 
     private void detectFailures(long nowUs) {
-        boolean isolated = health.isolated(nowUs);
+        boolean isolated = health.isIsolated(nowUs);
         detector.tick(nowUs, isolated);
-        suspicion.decide(nowUs, isolated);
-        if (isolated && health.isolatedForGood(nowUs)) {
-            members.peers().stream()
-                    .filter(peer -> peer.present() && !peer.unreached)
-                    .forEach(peer -> members.markUnreached(nowUs, peer));
-            members.updateStanding(nowUs);
+        suspicion.failExpiredSuspects(nowUs, isolated);
+        if (isolated && health.isIsolatedPastFailTimeout(nowUs)) {
+            view.peers().stream()
+                    .filter(peer -> peer.isPresent() && !peer.unreachable)
+                    .forEach(peer -> view.markUnreachable(nowUs, peer));
+            view.updateVisibility(nowUs);
         }
     }
 
-    private void noteStall(long nowUs, long stoodUs) {
-        if (wasAway(stoodUs)) {
-            rejoin(nowUs, stoodUs);
-        } else if (stoodUs >= timing.stallUs()) {
-            actions.incrementCounter("fleet.stalls");
-            actions.onStall(stoodUs);
-            excuse(nowUs, stoodUs);
+    private void handleStall(long nowUs, long stallUs) {
+        if (requiresRejoin(stallUs)) {
+            rejoin(nowUs, stallUs);
+        } else if (stallUs >= timing.stallThresholdUs()) {
+            callbacks.incrementCounter("fleet.stalls");
+            callbacks.onStall(stallUs);
+            discountStall(nowUs, stallUs);
         }
     }
 
-    /** Whether this process stood still for so long that others may have given it up. */
-    boolean wasAway(long stoodUs) {
-        return stoodUs >= timing.awayUs();
+    /** Whether a stall was so long that other members may hold this process to be failed. */
+    boolean requiresRejoin(long stallUs) {
+        return stallUs >= timing.rejoinThresholdUs();
     }
 
-    /** This process stood still: nobody was silent meanwhile. Harm: who fell silent then is found so later. */
-    private void excuse(long nowUs, long stoodUs) {
-        for (Peer peer : members.peers()) {
-            peer.heardUs = Math.min(nowUs, peer.heardUs + stoodUs);
+    /** Excludes a stall of this process from the measured silence of others, which delays detection by as much. */
+    private void discountStall(long nowUs, long stallUs) {
+        for (Peer peer : view.peers()) {
+            peer.lastHeardUs = Math.min(nowUs, peer.lastHeardUs + stallUs);
             if (peer.member.state() == MemberState.SUSPECT) {
-                peer.sinceUs = Math.min(nowUs, peer.sinceUs + stoodUs);
+                peer.stateSinceUs = Math.min(nowUs, peer.stateSinceUs + stallUs);
             }
         }
-        health.excuse(nowUs, stoodUs);
+        health.discountStall(nowUs, stallUs);
     }
 
-    /** Others may have given this process up, and all that it knows is old: nobody is there until it has joined. */
-    private void rejoin(long nowUs, long stoodUs) {
-        long stoodMs = stoodUs / 1000;
-        actions.incrementCounter("fleet.away");
-        actions.onStall(stoodUs);
-        actions.logMessage("away: this process stood still for " + stoodMs + " ms; joining anew");
-        join.rememberFormer(members.forgetPresent());
+    /** Discards the view, which is outdated after a long stall, and joins again. */
+    private void rejoin(long nowUs, long stallUs) {
+        long stallMs = stallUs / 1000;
+        callbacks.incrementCounter("fleet.away");
+        callbacks.onStall(stallUs);
+        callbacks.logMessage("this process was paused for " + stallMs + " ms; rejoining the fleet");
+        joinProtocol.rememberFormerAddresses(view.removePresentPeers());
         detector.clear();
         dissemination.clear();
         pending.clear();
-        if (!departure.begun()) {
-            members.becomes(nowUs, MemberState.JOINING, "stood still for " + stoodMs + " ms");
-            join.restart(nowUs);
+        if (!leaveProtocol.hasBegun()) {
+            view.changeOwnState(nowUs, MemberState.JOINING, "stood still for " + stallMs + " ms");
+            joinProtocol.restart(nowUs);
         }
-        health.heardAny(nowUs);
-        members.updateStanding(nowUs);
+        health.recordHeard(nowUs);
+        view.updateVisibility(nowUs);
     }
 
-    // ---- Rules that the tests replace to plant a defect ----
+    // ---- Rules that tests override to plant a defect ----
 
-    /** Raises this process's incarnation above one that was claimed. */
-    void raise(long above) {
-        members.raiseIncarnation(above);
+    /** Raises this process's incarnation above the given one. */
+    void raiseIncarnation(long above) {
+        view.raiseIncarnation(above);
     }
 
-    /** Whether a claim replaces another on the same name: a later incarnation, or of one life the later state. */
-    boolean supersedes(Member claim, Member known) {
-        if (claim.incarnation() != known.incarnation()) {
-            return claim.incarnation() > known.incarnation();
+    /**
+     * Whether an update replaces the known state of the same name: the higher incarnation wins, then the later state of
+     * the same process, or the higher boot ID of different processes.
+     */
+    boolean supersedes(Member update, Member known) {
+        if (update.incarnation() != known.incarnation()) {
+            return update.incarnation() > known.incarnation();
         }
-        return claim.sameLife(known) ? claim.state().compareTo(known.state()) > 0 : claim.bootId() > known.bootId();
+        return update.isSameProcess(known)
+                ? update.state().compareTo(known.state()) > 0
+                : update.bootId() > known.bootId();
     }
 
-    /** Lives, questions, members and rumours kept, for the test that each is bounded. */
-    List<Integer> kept() {
-        return List.of(proven.size(), pending.size(), members.peers().size(), dissemination.size());
+    /** Numbers of verified processes, pending requests, known members and queued updates, for tests of their bounds. */
+    List<Integer> tableSizes() {
+        return List.of(verified.size(), pending.size(), view.peers().size(), dissemination.queueSize());
     }
 }
