--- a/src/main/java/petrelstand/consensus/RaftFiles.java
+++ b/src/main/java/petrelstand/consensus/RaftFiles.java
@@ -49,7 +49,7 @@
 
     private final Folder folder;
     private final Consumer<String> log;
-    private final List<Wire.Body> pending = new ArrayList<>();
+    private final List<WireCodec.Body> pending = new ArrayList<>();
     private long generation;
     private int files;
     // What the files say, so that they can be put together.
@@ -161,21 +161,21 @@
     private void record(CborReader from, int kind) throws IOException {
         switch (kind) {
             case ENDPOINT -> {
-                endpoint = from.readText(Wire.MOST_NAME);
+                endpoint = from.readText(WireCodec.MOST_NAME);
                 voting = from.readBoolean();
             }
-            case MEMBERS -> members = Wire.view(from);
+            case MEMBERS -> members = WireCodec.view(from);
             case TERM -> {
                 term = from.readNonNegativeInt();
-                String voted = from.readText(Wire.MOST_NAME);
+                String voted = from.readText(WireCodec.MOST_NAME);
                 votedFor = voted.isEmpty() ? null : voted;
             }
             case ENTRY -> {
-                LogEntry entry = Wire.entry(from);
+                LogEntry entry = WireCodec.entry(from);
                 entries.put(entry.getIndex(), entry);
             }
             case CHUNK -> {
-                SnapshotChunk chunk = Wire.chunk(from);
+                SnapshotChunk chunk = WireCodec.chunk(from);
                 chunks.computeIfAbsent(chunk.getIndex(), i -> new TreeMap<>())
                         .put(chunk.getSnapshotChunkIndex(), chunk);
             }
@@ -200,12 +200,12 @@
         if (endpoint == null || members == null) {
             return null;
         }
-        RaftEndpointPersistentState self = Wire.MODEL
+        RaftEndpointPersistentState self = WireCodec.MODEL
                 .createRaftEndpointPersistentStateBuilder()
                 .setLocalEndpoint(new VoterEndpoint(endpoint))
                 .setVoting(voting)
                 .build();
-        RaftTermPersistentState voted = Wire.MODEL
+        RaftTermPersistentState voted = WireCodec.MODEL
                 .createRaftTermPersistentStateBuilder()
                 .setTerm(term)
                 .setVotedFor(votedFor == null ? null : new VoterEndpoint(votedFor))
@@ -214,7 +214,7 @@
         for (TreeMap<Integer, SnapshotChunk> of : chunks.values()) {
             SnapshotChunk first = of.firstEntry().getValue();
             if (of.size() == first.getSnapshotChunkCount()) {
-                snapshot = Wire.MODEL
+                snapshot = WireCodec.MODEL
                         .createSnapshotEntryBuilder()
                         .setIndex(first.getIndex())
                         .setTerm(first.getTerm())
@@ -232,7 +232,7 @@
                 new ArrayList<>(entries.tailMap(from, false).values()));
     }
 
-    private void add(int kind, Wire.Body body) {
+    private void add(int kind, WireCodec.Body body) {
         pending.add(to -> {
             to.writeStartArray();
             to.writeNumber(kind);
@@ -249,7 +249,7 @@
         flush();
     }
 
-    private Wire.Body endpointBody() {
+    private WireCodec.Body endpointBody() {
         String name = endpoint;
         boolean votes = voting;
         return to -> {
@@ -261,7 +261,7 @@
     @Override
     public void persistAndFlushInitialGroupMembers(RaftGroupMembersView view) throws IOException {
         members = view;
-        add(MEMBERS, to -> Wire.write(to, view));
+        add(MEMBERS, to -> WireCodec.write(to, view));
         flush();
     }
 
@@ -274,7 +274,7 @@
         flush();
     }
 
-    private Wire.Body termBody() {
+    private WireCodec.Body termBody() {
         int number = term;
         String voted = votedFor == null ? "" : votedFor;
         return to -> {
@@ -287,14 +287,14 @@
     public void persistLogEntries(List<LogEntry> more) {
         for (LogEntry entry : more) {
             entries.put(entry.getIndex(), entry);
-            add(ENTRY, to -> Wire.write(to, entry));
+            add(ENTRY, to -> WireCodec.write(to, entry));
         }
     }
 
     @Override
     public void persistSnapshotChunk(SnapshotChunk chunk) {
         chunks.computeIfAbsent(chunk.getIndex(), i -> new TreeMap<>()).put(chunk.getSnapshotChunkIndex(), chunk);
-        add(CHUNK, to -> Wire.write(to, chunk));
+        add(CHUNK, to -> WireCodec.write(to, chunk));
     }
 
     @Override
@@ -344,7 +344,7 @@
             chunks.computeIfAbsent(index, n -> new TreeMap<>())
                     .put(
                             i,
-                            Wire.MODEL
+                            WireCodec.MODEL
                                     .createSnapshotChunkBuilder()
                                     .setIndex(index)
                                     .setTerm(newTerm)
@@ -358,10 +358,10 @@
         folder.syncNames();
     }
 
-    private void write(List<Wire.Body> records) throws IOException {
-        byte[] payload = Wire.array(to -> {
+    private void write(List<WireCodec.Body> records) throws IOException {
+        byte[] payload = WireCodec.array(to -> {
             to.writeStartArray();
-            for (Wire.Body record : records) {
+            for (WireCodec.Body record : records) {
                 record.write(to);
             }
             to.writeEndArray();
@@ -379,18 +379,18 @@
 
     private void putTogether() throws IOException {
         long former = generation;
-        List<Wire.Body> all = new ArrayList<>(List.of(to -> {
+        List<WireCodec.Body> all = new ArrayList<>(List.of(to -> {
             to.writeStartArray();
             to.writeNumber(WHOLE);
             to.writeEndArray();
         }));
-        List<Wire.Body> kept = new ArrayList<>(pending);
+        List<WireCodec.Body> kept = new ArrayList<>(pending);
         pending.clear();
         add(ENDPOINT, endpointBody());
-        add(MEMBERS, to -> Wire.write(to, members));
+        add(MEMBERS, to -> WireCodec.write(to, members));
         add(TERM, termBody());
-        entries.values().forEach(entry -> add(ENTRY, to -> Wire.write(to, entry)));
-        chunks.values().forEach(of -> of.values().forEach(chunk -> add(CHUNK, to -> Wire.write(to, chunk))));
+        entries.values().forEach(entry -> add(ENTRY, to -> WireCodec.write(to, entry)));
+        chunks.values().forEach(of -> of.values().forEach(chunk -> add(CHUNK, to -> WireCodec.write(to, chunk))));
         all.addAll(pending);
         pending.clear();
         pending.addAll(kept);
--- a/src/test/java/petrelstand/consensus/RulesMessagesCompatibilityTest.java
+++ b/src/test/java/petrelstand/consensus/RulesMessagesCompatibilityTest.java
@@ -235,11 +235,11 @@
         List<RaftMessage> expected = voterMessages();
         assertEquals(expected.size(), stored.size());
         for (int i = 0; i < expected.size(); i++) {
-            Envelope read = Wire.decode(stored.get(i));
+            Envelope read = WireCodec.decode(stored.get(i));
             assertEquals(fields(expected.get(i)), fields(read.raftMessage()));
             assertEquals(parcel(read.raftMessage(), null), read);
-            assertArrayEquals(stored.get(i), Wire.encode(read));
-            assertArrayEquals(stored.get(i), Wire.encode(parcel(expected.get(i), null)));
+            assertArrayEquals(stored.get(i), WireCodec.encode(read));
+            assertArrayEquals(stored.get(i), WireCodec.encode(parcel(expected.get(i), null)));
         }
     }
 
@@ -248,9 +248,9 @@
         List<byte[]> stored = StoredFiles.messages(TALK_FILE);
         assertEquals(TALK.size(), stored.size());
         for (int i = 0; i < TALK.size(); i++) {
-            Envelope read = Wire.decode(stored.get(i));
+            Envelope read = WireCodec.decode(stored.get(i));
             assertEquals(parcel(null, TALK.get(i)), read);
-            assertArrayEquals(stored.get(i), Wire.encode(read));
+            assertArrayEquals(stored.get(i), WireCodec.encode(read));
         }
     }
 }
