--- a/src/main/java/petrelstand/cli/AccountsCommand.java
+++ b/src/main/java/petrelstand/cli/AccountsCommand.java
@@ -12,12 +12,12 @@
 import java.util.List;
 import java.util.concurrent.Callable;
 import java.util.stream.Stream;
-import petrelstand.accounts.Book;
+import petrelstand.accounts.LatencyHistory;
 import petrelstand.report.HtmlReport;
-import petrelstand.report.Report;
+import petrelstand.report.WaitReport;
 import petrelstand.report.TextReport;
 import petrelstand.store.AccountsRecord;
-import petrelstand.store.StateFault;
+import petrelstand.store.FileFormatException;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
@@ -82,9 +82,9 @@
         public Integer call() throws IOException {
             PrintWriter out = spec.commandLine().getOut();
             PrintWriter err = spec.commandLine().getErr();
-            AccountsRecord.Names names = null;
-            List<Book.Second> seconds = new ArrayList<>();
-            List<AccountsRecord.Minute> minutes = new ArrayList<>();
+            AccountsRecord.NameTable names = null;
+            List<LatencyHistory.SecondStats> seconds = new ArrayList<>();
+            List<AccountsRecord.MinuteRecord> minutes = new ArrayList<>();
             for (Path file : files()) {
                 try {
                     if (Files.size(file) > MOST_FILE) {
@@ -97,7 +97,7 @@
                     if (content.fault() != null) {
                         err.println(file + ": " + content.fault() + "; what stands before it counts");
                     }
-                } catch (IOException | StateFault e) {
+                } catch (IOException | FileFormatException e) {
                     err.println(file + ": " + e.getMessage());
                 }
             }
@@ -113,19 +113,19 @@
             }
             long first = second("--from", from, 0);
             long last = second("--to", to, Long.MAX_VALUE);
-            Report report = Report.of(
+            WaitReport report = WaitReport.summarize(
                     seconds,
-                    new Report.Query(
+                    new WaitReport.Query(
                             first,
                             last,
                             hex("--node", node == null ? null : node.replaceFirst("^s-", "")),
                             hex("--volume", volume),
                             place));
-            List<AccountsRecord.Minute> within = minutes.stream()
+            List<AccountsRecord.MinuteRecord> within = minutes.stream()
                     .filter(minute -> minute.fromSecond() + 59 >= first && minute.fromSecond() <= last)
                     .toList();
             if (html != null) {
-                Files.writeString(html, HtmlReport.page(report, names, within));
+                Files.writeString(html, HtmlReport.render(report, names, within));
             }
             if (json) {
                 out.println(
--- a/src/main/java/petrelstand/cli/RulesCommand.java
+++ b/src/main/java/petrelstand/cli/RulesCommand.java
@@ -30,7 +30,7 @@
 import petrelstand.consensus.RaftFiles;
 import petrelstand.fleet.RulesClient;
 import petrelstand.store.DiskFolder;
-import petrelstand.store.StateFault;
+import petrelstand.store.FileFormatException;
 import picocli.CommandLine;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
@@ -164,7 +164,7 @@
     private static String readText(Path file) throws Fault {
         try {
             String text = Files.readString(file, StandardCharsets.UTF_8);
-            RulesText.load(file.toString(), text, null);
+            RulesText.parse(file.toString(), text, null);
             return text;
         } catch (IOException e) {
             throw new Fault(REFUSED, file + " cannot be read: " + e.getClass().getSimpleName());
@@ -407,11 +407,11 @@
                 if (fleet == null) {
                     throw new Fault(REFUSED, operator + " has no section [fleet]");
                 }
-                List<String> gateways = new ArrayList<>(fleet.seeds());
-                if (!gateways.contains(fleet.advertise())) {
-                    gateways.add(fleet.advertise());
+                List<String> gateways = new ArrayList<>(fleet.seedAddresses());
+                if (!gateways.contains(fleet.advertisedAddress())) {
+                    gateways.add(fleet.advertisedAddress());
                 }
-                return new RulesClient(fleet.fleet(), fleet.keys(), gateways, from);
+                return new RulesClient(fleet.fleetName(), fleet.keys(), gateways, from);
             } catch (IOException | IllegalArgumentException e) {
                 throw new Fault(REFUSED, e.getMessage());
             }
@@ -674,7 +674,7 @@
                 out.println("version " + version + " is the first of a new epoch; start " + recovery.voterName()
                         + ", then add the other voters with empty folders");
                 return 0;
-            } catch (IOException | StateFault e) {
+            } catch (IOException | FileFormatException e) {
                 err.println(folder + ": " + e.getMessage());
                 return REFUSED;
             } finally {
--- a/src/main/java/petrelstand/consensus/RaftFiles.java
+++ b/src/main/java/petrelstand/consensus/RaftFiles.java
@@ -21,7 +21,7 @@
 import petrelstand.cbor.CborReader;
 import petrelstand.store.Folder;
 import petrelstand.store.SnapshotFormat;
-import petrelstand.store.StateFault;
+import petrelstand.store.FileFormatException;
 
 /**
  * A voter's files. Each flush writes a small numbered file and syncs it before the voter sends anything that depends on
@@ -68,12 +68,12 @@
      *
      * @param log takes a line for the operator
      * @throws IOException if the folder can't be read or another process has locked it
-     * @throws StateFault if a file is damaged or missing; the message names the file
+     * @throws FileFormatException if a file is damaged or missing; the message names the file
      */
-    public RaftFiles(Folder folder, Consumer<String> log) throws IOException, StateFault {
+    public RaftFiles(Folder folder, Consumer<String> log) throws IOException, FileFormatException {
         this.folder = folder;
         this.log = log;
-        if (!folder.lock()) {
+        if (!folder.tryLock()) {
             throw new IOException("the folder is locked by another process");
         }
         read();
@@ -83,7 +83,7 @@
         return String.format("vote-%012d", number);
     }
 
-    private void read() throws IOException, StateFault {
+    private void read() throws IOException, FileFormatException {
         List<Long> numbers = new ArrayList<>();
         for (String name : folder.list(MAX_FOLDER_ENTRIES)) {
             if (name.matches("vote-[0-9]{12}")) {
@@ -107,7 +107,7 @@
         for (int i = first; i < numbers.size(); i++) {
             long number = numbers.get(i);
             if (number != (i > first ? generation + 1 : isBaseFile(contents.get(i)) ? number : 1)) {
-                throw new StateFault(
+                throw new FileFormatException(
                         0,
                         "a file before " + fileName(number) + " is missing; this voter does not vote with a"
                                 + " damaged folder");
@@ -116,7 +116,7 @@
                 applyFile(contents.get(i));
             } catch (IOException e) {
                 if (i < numbers.size() - 1) {
-                    throw new StateFault(
+                    throw new FileFormatException(
                             0,
                             fileName(number) + ": " + e.getMessage()
                                     + "; this voter does not vote with a damaged folder");
@@ -363,7 +363,7 @@
                                     .build());
         }
         writeBaseFile();
-        folder.syncNames();
+        folder.syncDirectory();
     }
 
     private void writeFile(List<WireCodec.ArrayBody> records) throws IOException {
@@ -380,7 +380,7 @@
         String name = fileName(generation + 1);
         folder.create(name, file.array());
         folder.sync(name);
-        folder.syncNames();
+        folder.syncDirectory();
         generation++;
         unflushedRecords.clear();
     }
--- a/src/test/java/petrelstand/LimitProcessTest.java
+++ b/src/test/java/petrelstand/LimitProcessTest.java
@@ -17,9 +17,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import petrelstand.testing.ServedGateway;
-import petrelstand.testing.ServedGateway.Run;
-import petrelstand.testing.StandIns.Client;
+import petrelstand.testing.GatewayProcesses;
+import petrelstand.testing.GatewayProcesses.GatewayProcess;
+import petrelstand.testing.LoopbackPeers.Client;
 
 /**
  * A volume's limit over two started processes of one gateway: one takes the other's place, one is stopped, one is
@@ -44,17 +44,17 @@
     @TempDir
     Path folder;
 
-    private ServedGateway gateway;
-    private final AtomicBoolean over = new AtomicBoolean();
+    private GatewayProcesses gateway;
+    private final AtomicBoolean stopped = new AtomicBoolean();
     private final List<Thread> clients = new ArrayList<>();
     /** When each served request was answered, ns, and its units. */
     private final ConcurrentSkipListMap<Long, Integer> served = new ConcurrentSkipListMap<>();
 
-    private final AtomicLong asked = new AtomicLong();
+    private final AtomicLong requestNumber = new AtomicLong();
 
     @BeforeEach
     void open() throws IOException {
-        gateway = new ServedGateway(folder, 2);
+        gateway = new GatewayProcesses(folder, 2);
         JsonObject config = gateway.config();
         JsonObject plan = config.getAsJsonObject("settings")
                 .getAsJsonArray("plans")
@@ -68,32 +68,32 @@
 
     @AfterEach
     void close() throws IOException, InterruptedException {
-        over.set(true);
+        stopped.set(true);
         for (Thread client : clients) {
             client.join(20_000);
         }
         gateway.close();
     }
 
-    private Run serving() throws Exception {
-        Run run = gateway.start();
+    private GatewayProcess startServing() throws Exception {
+        GatewayProcess run = gateway.start();
         run.await("ready: ");
         return run;
     }
 
-    private void askForMuchMore() {
+    private void startOverload() {
         for (int i = 0; i < CLIENTS; i++) {
-            clients.add(new Thread(this::askAgainAndAgain, "client-" + i));
+            clients.add(new Thread(this::sendUntilStopped, "client-" + i));
             clients.get(i).start();
         }
     }
 
     /** A connection for each request, so that the system deals them out to the processes that listen. */
-    private void askAgainAndAgain() {
-        while (!over.get()) {
-            long number = asked.incrementAndGet();
+    private void sendUntilStopped() {
+        while (!stopped.get()) {
+            long number = requestNumber.incrementAndGet();
             try (Client client = new Client(gateway.port())) {
-                if (ServedGateway.read(client, "tile-read", Long.toHexString(number))
+                if (GatewayProcesses.read(client, "tile-read", Long.toHexString(number))
                         .startsWith("200")) {
                     served.put(System.nanoTime(), 1);
                 }
@@ -119,11 +119,11 @@
     }
 
     @Test
-    void twoProcessesOfAGatewayKeepOneLimit() throws Exception {
-        Run old = serving();
+    void twoProcessesOfOneGatewayShareLimit() throws Exception {
+        GatewayProcess old = startServing();
         TimeUnit.MILLISECONDS.sleep((long) (1000 * BURST / RATE));
-        askForMuchMore();
-        Run fresh = serving();
+        startOverload();
+        GatewayProcess fresh = startServing();
         old.await("another process of this gateway listens too");
         TimeUnit.MILLISECONDS.sleep(BOTH_SERVE_MS);
         old.signal("TERM");
@@ -131,19 +131,19 @@
         fresh.await("the other process is gone");
         TimeUnit.MILLISECONDS.sleep(1_500);
         assertLimitHeld();
-        assertTrue(fresh.figure("passed.tile-read") > RATE * BOTH_SERVE_MS / 1000 / 4, "the new process has its half");
-        assertEquals(0, fresh.figure("bad_gateway.tile-read"));
+        assertTrue(fresh.telemetry("passed.tile-read") > RATE * BOTH_SERVE_MS / 1000 / 4, "the new process has its half");
+        assertEquals(0, fresh.telemetry("bad_gateway.tile-read"));
     }
 
     /** The old process holds a full store, is stopped while the new one comes, and goes on; then it is killed. */
     @Test
-    void aStoppedProcessThatGoesOnHasGivenUpItsHalf() throws Exception {
-        Run old = serving();
+    void resumedProcessDoesNotExceedItsShare() throws Exception {
+        GatewayProcess old = startServing();
         TimeUnit.MILLISECONDS.sleep((long) (1000 * BURST / RATE));
         old.signal("STOP");
-        Run fresh = gateway.start();
+        GatewayProcess fresh = gateway.start();
         fresh.await("ready: ");
-        askForMuchMore();
+        startOverload();
         TimeUnit.MILLISECONDS.sleep(BOTH_SERVE_MS);
         old.signal("CONT");
         TimeUnit.MILLISECONDS.sleep(BOTH_SERVE_MS);
@@ -154,29 +154,29 @@
 
     /** Bodies that began over time end in one moment, with all that the limit allows right behind them. */
     @Test
-    void slowBodiesThatEndTogetherAreNoBurstBesideTheFullStore() throws Exception {
-        Run run = serving();
+    void slowBodiesEndingTogetherStayWithinLimit() throws Exception {
+        GatewayProcess run = startServing();
         TimeUnit.MILLISECONDS.sleep((long) (1000 * BURST / RATE));
         List<Client> slow = new ArrayList<>();
         for (int i = 0; i < SLOW_BODIES; i++) {
             Client client = new Client(gateway.port());
             client.send(
-                    ServedGateway.request("PUT", "survey-write", "", "s" + i).replace("units=1", "units=" + SLOW_UNITS)
+                    GatewayProcesses.request("PUT", "survey-write", "", "s" + i).replace("units=1", "units=" + SLOW_UNITS)
                             + "Content-Length: " + SLOW_BYTES + "\r\n\r\n" + "z".repeat(SLOW_BYTES - 1));
             slow.add(client);
         }
         TimeUnit.MILLISECONDS.sleep(1_500);
-        askForMuchMore();
+        startOverload();
         for (Client client : slow) {
             client.send("z");
         }
         for (Client client : slow) {
-            assertTrue(client.answer().startsWith("200"));
+            assertTrue(client.readAnswer().startsWith("200"));
             served.put(System.nanoTime(), SLOW_UNITS);
             client.close();
         }
         TimeUnit.MILLISECONDS.sleep(1_000);
-        assertEquals(SLOW_BODIES, run.figure("passed.survey-write"));
+        assertEquals(SLOW_BODIES, run.telemetry("passed.survey-write"));
         assertLimitHeld();
     }
 }
--- a/src/test/java/petrelstand/LoopbackTest.java
+++ b/src/test/java/petrelstand/LoopbackTest.java
@@ -22,15 +22,15 @@
 import org.junit.jupiter.api.io.TempDir;
 import petrelstand.config.GatewayConfig;
 import petrelstand.config.OperatorConfig;
-import petrelstand.rsync.Golden;
+import petrelstand.rsync.GoldenTransfers;
 import petrelstand.testing.Configs;
-import petrelstand.testing.StandIns;
-import petrelstand.testing.StandIns.Client;
-import petrelstand.testing.StandIns.Server;
+import petrelstand.testing.LoopbackPeers;
+import petrelstand.testing.LoopbackPeers.Client;
+import petrelstand.testing.LoopbackPeers.Server;
 
 /** Whole gateways on loopback, between clients, storage nodes and rsync daemons that the tests play. */
 @Timeout(60)
-class LoopbackTest extends GatewayTests {
+class LoopbackTest extends GatewayTestBase {
     @TempDir
     Path folder;
 
@@ -41,7 +41,7 @@
     private GatewayConfig config(Server node) throws IOException {
         Path file = Files.writeString(
                 folder.resolve("config.json"),
-                Configs.gateway(node.port(), opened(StandIns.silent()).port())
+                Configs.gateway(node.port(), closeAfterTest(LoopbackPeers.silentServer()).port())
                         .replace(":250.0", ":20000.0")
                         .replace(":1500.0", ":30000.0")
                         .replace(":5000.0", ":60000.0"));
@@ -60,66 +60,66 @@
         rsyncPort = ports.get(1);
     }
 
-    private void startWith(Server daemon) throws Exception {
-        start(opened(StandIns.storageNode(1)), 10_000, Map.of(daemon.port(), "HEALTHY"));
+    private void startWithDaemon(Server daemon) throws Exception {
+        start(closeAfterTest(LoopbackPeers.storageNode(1)), 10_000, Map.of(daemon.port(), "HEALTHY"));
     }
 
     private static Server goldenDaemon() throws IOException {
-        return StandIns.rsyncDaemon((arguments, in, out) -> {
+        return LoopbackPeers.rsyncDaemon((arguments, in, out) -> {
             boolean pull = arguments.contains("--sender");
-            out.write(pull ? Golden.pullDown() : Golden.SEED);
+            out.write(pull ? GoldenTransfers.pullFromNode() : GoldenTransfers.CHECKSUM_SEED);
             assertArrayEquals(
-                    pull ? Golden.pullUp() : Golden.pushUp(),
-                    in.readNBytes((pull ? Golden.pullUp() : Golden.pushUp()).length));
+                    pull ? GoldenTransfers.pullFromClient() : GoldenTransfers.pushFromClient(),
+                    in.readNBytes((pull ? GoldenTransfers.pullFromClient() : GoldenTransfers.pushFromClient()).length));
             if (!pull) {
-                out.write(Golden.pushDown(), 4, Golden.pushDown().length - 4);
+                out.write(GoldenTransfers.pushFromNode(), 4, GoldenTransfers.pushFromNode().length - 4);
             }
         });
     }
 
-    private Client asked(String module, String expected) throws IOException {
-        Client client = opened(new Client(rsyncPort));
-        assertEquals("@RSYNCD: 29.0\n" + expected, client.ask(module));
+    private Client openModule(String module, String expected) throws IOException {
+        Client client = closeAfterTest(new Client(rsyncPort));
+        assertEquals("@RSYNCD: 29.0\n" + expected, client.requestModule(module));
         return client;
     }
 
     // ---- rsync ----
 
     @Test
-    void aPullPassesUnchangedAndEndsWhole() throws Exception {
-        startWith(opened(goldenDaemon()));
-        Client client = asked("charts", "@RSYNCD: OK\n");
-        client.send(Golden.ARGUMENTS);
-        byte[] down = client.in.readNBytes(Golden.pullDown().length);
-        client.out.write(Golden.pullUp());
-        assertArrayEquals(Golden.pullDown(), down);
+    void pullIsRelayedUnchanged() throws Exception {
+        startWithDaemon(closeAfterTest(goldenDaemon()));
+        Client client = openModule("charts", "@RSYNCD: OK\n");
+        client.send(GoldenTransfers.PULL_ARGUMENTS);
+        byte[] down = client.in.readNBytes(GoldenTransfers.pullFromNode().length);
+        client.out.write(GoldenTransfers.pullFromClient());
+        assertArrayEquals(GoldenTransfers.pullFromNode(), down);
         assertEquals(-1, client.in.read());
-        awaitCount("answered.served", 1);
-        awaitCount("outcome.served", 1);
+        awaitCounter("answered.served", 1);
+        awaitCounter("outcome.served", 1);
     }
 
     @Test
-    void aPushPassesUnchangedAndEndsWhole() throws Exception {
-        startWith(opened(goldenDaemon()));
-        Client client = asked("charts", "@RSYNCD: OK\n");
-        client.send(Golden.PUSH_ARGUMENTS);
-        client.out.write(Golden.pushUp());
-        assertArrayEquals(Golden.pushDown(), client.in.readAllBytes());
-        awaitCount("answered.served", 1);
+    void pushIsRelayedUnchanged() throws Exception {
+        startWithDaemon(closeAfterTest(goldenDaemon()));
+        Client client = openModule("charts", "@RSYNCD: OK\n");
+        client.send(GoldenTransfers.PUSH_ARGUMENTS);
+        client.out.write(GoldenTransfers.pushFromClient());
+        assertArrayEquals(GoldenTransfers.pushFromNode(), client.in.readAllBytes());
+        awaitCounter("answered.served", 1);
     }
 
     @Test
-    void modulesAreListedAndOtherOpeningsGetACleanError() throws Exception {
-        startWith(opened(goldenDaemon()));
-        asked("#list", "charts         \tChart editions\n@RSYNCD: EXIT\n");
-        asked("", "charts         \tChart editions\n@RSYNCD: EXIT\n");
-        asked("maps", "@ERROR: Unknown module 'maps'\n");
-        Client old = opened(new Client(rsyncPort));
+    void listsModulesAndRejectsOtherGreetings() throws Exception {
+        startWithDaemon(closeAfterTest(goldenDaemon()));
+        openModule("#list", "charts         \tChart editions\n@RSYNCD: EXIT\n");
+        openModule("", "charts         \tChart editions\n@RSYNCD: EXIT\n");
+        openModule("maps", "@ERROR: Unknown module 'maps'\n");
+        Client old = closeAfterTest(new Client(rsyncPort));
         old.send("@RSYNCD: 28.0\ncharts\n");
         assertEquals(
                 "@RSYNCD: 29.0\n@ERROR: protocol version 28 is not carried here, 29 or later is\n",
                 new String(old.in.readAllBytes(), StandardCharsets.UTF_8));
-        Client other = opened(new Client(rsyncPort));
+        Client other = closeAfterTest(new Client(rsyncPort));
         other.send("GET / HTTP/1.1\r\n\r\n");
         assertEquals(
                 "@RSYNCD: 29.0\n@ERROR: protocol startup error\n",
@@ -127,69 +127,69 @@
     }
 
     @Test
-    void anOptionOutsideTheSubsetIsNamedInAnErrorFrame() throws Exception {
-        startWith(opened(goldenDaemon()));
-        Client client = asked("charts", "@RSYNCD: OK\n");
+    void unsupportedOptionIsNamedInErrorFrame() throws Exception {
+        startWithDaemon(closeAfterTest(goldenDaemon()));
+        Client client = openModule("charts", "@RSYNCD: OK\n");
         client.send("--server\n--sender\n-logDtprz\n.\ncharts/\n\n");
         String answer = new String(client.in.readAllBytes(), StandardCharsets.ISO_8859_1);
         assertEquals("@ERROR: option -z is not carried here\n", answer.substring(8));
-        awaitCount("client_gone", 1);
-        awaitCount("outcome.cancelled", 1);
+        awaitCounter("client_gone", 1);
+        awaitCounter("outcome.cancelled", 1);
     }
 
     @Test
-    void aTransferCutHalfwayIsVisiblyIncompleteAndNotSentAgain() throws Exception {
-        byte[] half = java.util.Arrays.copyOf(Golden.pullDown(), 60);
-        Server daemon = opened(StandIns.rsyncDaemon((arguments, in, out) -> out.write(half)));
-        startWith(daemon);
-        Client client = asked("charts", "@RSYNCD: OK\n");
-        client.send(Golden.ARGUMENTS);
+    void cutTransferIsNotRetried() throws Exception {
+        byte[] half = java.util.Arrays.copyOf(GoldenTransfers.pullFromNode(), 60);
+        Server daemon = closeAfterTest(LoopbackPeers.rsyncDaemon((arguments, in, out) -> out.write(half)));
+        startWithDaemon(daemon);
+        Client client = openModule("charts", "@RSYNCD: OK\n");
+        client.send(GoldenTransfers.PULL_ARGUMENTS);
         assertArrayEquals(half, client.in.readAllBytes());
-        awaitCount("answered.cut", 1);
-        awaitCount("outcome.reset", 1);
+        awaitCounter("answered.cut", 1);
+        awaitCounter("outcome.reset", 1);
         assertEquals(1, daemon.connections.get());
     }
 
     @Test
-    void aCutBetweenFramesIsToldInWords() throws Exception {
-        byte[] seed = Golden.SEED;
-        startWith(opened(StandIns.rsyncDaemon((arguments, in, out) -> out.write(seed))));
-        Client client = asked("charts", "@RSYNCD: OK\n");
-        client.send(Golden.ARGUMENTS);
+    void cutBetweenFramesIsReportedAsError() throws Exception {
+        byte[] seed = GoldenTransfers.CHECKSUM_SEED;
+        startWithDaemon(closeAfterTest(LoopbackPeers.rsyncDaemon((arguments, in, out) -> out.write(seed))));
+        Client client = openModule("charts", "@RSYNCD: OK\n");
+        client.send(GoldenTransfers.PULL_ARGUMENTS);
         String answer = new String(client.in.readAllBytes(), StandardCharsets.ISO_8859_1);
         assertEquals("@ERROR: failed, the transfer is not complete\n", answer.substring(8));
     }
 
     @Test
-    void aDaemonThatIsNotThereEndsInARefusalThatSaysWhenToComeBack() throws Exception {
+    void unreachableDaemonIsRefusedWithRetryTime() throws Exception {
         Server daemon = goldenDaemon();
         daemon.close();
-        startWith(daemon);
-        Client client = opened(new Client(rsyncPort));
-        String answer = client.ask("charts");
+        startWithDaemon(daemon);
+        Client client = closeAfterTest(new Client(rsyncPort));
+        String answer = client.requestModule("charts");
         assertTrue(answer.matches("@RSYNCD: 29.0\n@ERROR: refused, come again in [0-9.]+ s\n"), answer);
     }
 
     @Test
-    void aDrainingEndpointGetsNoTransfer() throws Exception {
-        Server draining = opened(goldenDaemon());
-        start(opened(StandIns.storageNode(1)), 10_000, Map.of(draining.port(), "DRAINING"));
-        asked("charts", "@ERROR: refused, come again in 0.5 s\n");
+    void drainingEndpointGetsNoTransfer() throws Exception {
+        Server draining = closeAfterTest(goldenDaemon());
+        start(closeAfterTest(LoopbackPeers.storageNode(1)), 10_000, Map.of(draining.port(), "DRAINING"));
+        openModule("charts", "@ERROR: refused, come again in 0.5 s\n");
         assertEquals(0, draining.connections.get());
     }
 
     @Test
-    void anEndpointThatTheChangedFileDrainsGetsNoMore() throws Exception {
-        Server daemon = opened(goldenDaemon());
-        startWith(daemon);
-        asked("charts", "@RSYNCD: OK\n");
+    void endpointDrainedByReloadGetsNoTransfer() throws Exception {
+        Server daemon = closeAfterTest(goldenDaemon());
+        startWithDaemon(daemon);
+        openModule("charts", "@RSYNCD: OK\n");
         GatewayConfig config = config(daemon);
         Path ini = Files.writeString(folder.resolve("petrelstand.ini"), Configs.operator(10_000));
         Path xds = Files.writeString(folder.resolve("xds.json"), Configs.xds(Map.of(daemon.port(), "HEALTHY")));
         var bad = new java.util.concurrent.CompletableFuture<String>();
         Thread follower = OperatorConfig.load(ini, config.settings())
-                .follow(config.settings(), changed -> gateway.execute(() -> gateway.reload(changed)), bad::complete);
-        opened(follower::interrupt);
+                .startWatching(config.settings(), changed -> gateway.execute(() -> gateway.reload(changed)), bad::complete);
+        closeAfterTest(follower::interrupt);
         Files.writeString(xds, "[");
         Files.setLastModifiedTime(xds, java.nio.file.attribute.FileTime.fromMillis(1000));
         assertTrue(bad.get(20, TimeUnit.SECONDS).contains("xds.json: the text is not"));
@@ -198,31 +198,31 @@
         for (int i = 0; i < 1000 && !answer.contains("refused, come again in 0.5 s"); i++) {
             Thread.sleep(20);
             try (Client client = new Client(rsyncPort)) {
-                answer = client.ask("charts");
+                answer = client.requestModule("charts");
             }
         }
         assertTrue(answer.contains("refused, come again in 0.5 s"), answer);
     }
 
     @Test
-    void aDrainingGatewayEndsWhatItTookAndRefusesTheRest() throws Exception {
+    void drainFinishesOpenTransferAndRefusesNewOnes() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        startWith(opened(StandIns.rsyncDaemon((arguments, in, out) -> {
-            out.write(Golden.SEED);
+        startWithDaemon(closeAfterTest(LoopbackPeers.rsyncDaemon((arguments, in, out) -> {
+            out.write(GoldenTransfers.CHECKSUM_SEED);
             go.await();
-            out.write(Golden.pullDown(), 4, Golden.pullDown().length - 4);
-            in.readNBytes(Golden.pullUp().length);
+            out.write(GoldenTransfers.pullFromNode(), 4, GoldenTransfers.pullFromNode().length - 4);
+            in.readNBytes(GoldenTransfers.pullFromClient().length);
         })));
-        Client client = asked("charts", "@RSYNCD: OK\n");
-        client.send(Golden.ARGUMENTS);
+        Client client = openModule("charts", "@RSYNCD: OK\n");
+        client.send(GoldenTransfers.PULL_ARGUMENTS);
         byte[] first = client.in.readNBytes(4);
         gateway.execute(gateway::drain);
-        asked("charts", "@ERROR: draining, come again in 2.0 s\n");
+        openModule("charts", "@ERROR: draining, come again in 2.0 s\n");
         go.countDown();
-        byte[] rest = client.in.readNBytes(Golden.pullDown().length - 4);
-        client.out.write(Golden.pullUp());
+        byte[] rest = client.in.readNBytes(GoldenTransfers.pullFromNode().length - 4);
+        client.out.write(GoldenTransfers.pullFromClient());
         assertEquals(-1, client.in.read());
-        assertArrayEquals(Golden.pullDown(), Golden.join(first, rest));
+        assertArrayEquals(GoldenTransfers.pullFromNode(), GoldenTransfers.join(first, rest));
     }
 
     /**
@@ -231,11 +231,11 @@
      * on.
      */
     @Test
-    void aLateAnswerIsNotCutByTheEndOfTheProcess() throws Exception {
+    void lateAnswerIsNotCutByProcessExit() throws Exception {
         AtomicLong answeredNs = new AtomicLong();
         AtomicLong endedNs = new AtomicLong();
         CountDownLatch ended = new CountDownLatch(1);
-        Server node = opened(new Server((socket, in, out) -> {
+        Server node = closeAfterTest(new Server((socket, in, out) -> {
             byte[] buffer = new byte[4096];
             in.read(buffer);
             Thread.sleep(1_600);
@@ -249,54 +249,54 @@
             ended.countDown();
         });
         httpPort = gateway.start().get(20, TimeUnit.SECONDS).get(0);
-        Client client = opened(new Client(httpPort));
+        Client client = closeAfterTest(new Client(httpPort));
         client.send("GET /bulk-export/00000000000000a1/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: b\r\nX-Txn: late\r\n"
                 + "X-Qos-Policy: basic\r\nX-Remaining-Ms: 30000\r\nX-Placement: units=1,shard=3,hosts=1\r\n\r\n");
-        awaitCount("sent", 1);
+        awaitCounter("sent", 1);
         gateway.execute(gateway::drain);
-        assertTrue(client.answer().startsWith("200 ok"));
+        assertTrue(client.readAnswer().startsWith("200 ok"));
         assertTrue(ended.await(20, TimeUnit.SECONDS));
         // Stalls of the machine only add to this.
         assertTrue(endedNs.get() - answeredNs.get() >= 400_000_000L, (endedNs.get() - answeredNs.get()) / 1000 + " us");
     }
 
     @Test
-    void aClientThatStallsIsCutAndTheGatewayKeepsLittleOfWhatItDidNotTake() throws Exception {
+    void stalledClientIsClosedWithBoundedBuffering() throws Exception {
         AtomicLong sent = new AtomicLong();
-        Server daemon = opened(StandIns.endlessDaemon(endlessStart(), sent));
-        start(opened(StandIns.storageNode(1)), 300, Map.of(daemon.port(), "HEALTHY"));
-        Client client = opened(Client.small(rsyncPort));
-        client.ask("charts");
-        client.send(Golden.ARGUMENTS);
-        awaitCount("rsync.idle", 1);
-        awaitCount("client_gone", 1);
-        awaitCount("outcome.cancelled", 1);
+        Server daemon = closeAfterTest(LoopbackPeers.endlessDaemon(endlessStart(), sent));
+        start(closeAfterTest(LoopbackPeers.storageNode(1)), 300, Map.of(daemon.port(), "HEALTHY"));
+        Client client = closeAfterTest(Client.withSmallReceiveBuffer(rsyncPort));
+        client.requestModule("charts");
+        client.send(GoldenTransfers.PULL_ARGUMENTS);
+        awaitCounter("rsync.idle", 1);
+        awaitCounter("client_gone", 1);
+        awaitCounter("outcome.cancelled", 1);
         // What both sockets' buffers hold, and no more: the relay itself keeps 16 KiB a direction.
         assertTrue(sent.get() < 24L << 20, "the daemon could send " + sent);
     }
 
     /** The golden pull up to its data, then one token of a gigabyte. */
     private static byte[] endlessStart() {
-        byte[] files = java.util.Arrays.copyOf(Golden.pullDown(), 4 + 4 + filesLength());
-        byte[] token = Golden.hex("01000000" + "0080" + "00000000" + "00000000" + "00000000" + "00000000" + "00000040");
-        byte[] head = Golden.hex("1a000007");
-        return Golden.join(files, head, token);
+        byte[] files = java.util.Arrays.copyOf(GoldenTransfers.pullFromNode(), 4 + 4 + filesLength());
+        byte[] token = GoldenTransfers.hex("01000000" + "0080" + "00000000" + "00000000" + "00000000" + "00000000" + "00000040");
+        byte[] head = GoldenTransfers.hex("1a000007");
+        return GoldenTransfers.join(files, head, token);
     }
 
     private static int filesLength() {
-        byte[] down = Golden.pullDown();
+        byte[] down = GoldenTransfers.pullFromNode();
         return (down[4] & 0xff) | (down[5] & 0xff) << 8 | (down[6] & 0xff) << 16;
     }
 
     @Test
-    void tileReadsKeepTheirAnswersInASurgeWhileRsyncClientsStall() throws Exception {
+    void tileReadsAreServedWhileRsyncClientsStall() throws Exception {
         AtomicLong sent = new AtomicLong();
-        Server daemon = opened(StandIns.endlessDaemon(endlessStart(), sent));
-        start(opened(StandIns.storageNode(2)), 20_000, Map.of(daemon.port(), "HEALTHY"));
-        Client stalled = opened(Client.small(rsyncPort));
-        stalled.ask("charts");
-        stalled.send(Golden.ARGUMENTS);
-        Client silent = opened(new Client(rsyncPort));
+        Server daemon = closeAfterTest(LoopbackPeers.endlessDaemon(endlessStart(), sent));
+        start(closeAfterTest(LoopbackPeers.storageNode(2)), 20_000, Map.of(daemon.port(), "HEALTHY"));
+        Client stalled = closeAfterTest(Client.withSmallReceiveBuffer(rsyncPort));
+        stalled.requestModule("charts");
+        stalled.send(GoldenTransfers.PULL_ARGUMENTS);
+        Client silent = closeAfterTest(new Client(rsyncPort));
         ExecutorService clients = Executors.newFixedThreadPool(16);
         List<Future<Integer>> served = new ArrayList<>();
         for (int c = 0; c < 16; c++) {
@@ -307,7 +307,7 @@
                     for (int i = 0; i < 12; i++) {
                         boolean tile = number < 4;
                         String txn = number + "-" + i;
-                        String answer = client.http(tile ? "tile-read" : "bulk-export", txn);
+                        String answer = client.get(tile ? "tile-read" : "bulk-export", txn);
                         good += tile && answer.equals("200 node:" + txn) ? 1 : 0;
                         Thread.sleep(tile ? 20 : 1);
                     }
@@ -316,18 +316,18 @@
             }));
         }
         int good = 0;
-        for (Future<Integer> one : served) {
-            good += one.get(40, TimeUnit.SECONDS);
+        for (Future<Integer> result : served) {
+            good += result.get(40, TimeUnit.SECONDS);
         }
         clients.shutdown();
         assertEquals(48, good);
-        awaitCount("rsync.idle", 0);
+        awaitCounter("rsync.idle", 0);
         assertTrue(silent.in.read() == '@');
     }
 
     // ---- The program itself ----
 
-    private Process serve(Path configFile) throws IOException {
+    private Process startProcess(Path configFile) throws IOException {
         ProcessBuilder builder = new ProcessBuilder(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-cp",
@@ -337,28 +337,28 @@
         builder.environment().put("RELAY_CONFIG", configFile.toString());
         builder.redirectErrorStream(true);
         Process process = builder.start();
-        opened(process::destroyForcibly);
+        closeAfterTest(process::destroyForcibly);
         return process;
     }
 
     @Test
-    void sigtermAnswersAllThatWasTakenThenEndsWithTheCounters() throws Exception {
-        Server node = opened(StandIns.storageNode(700));
+    void sigtermAnswersOpenRequestsAndPrintsCounters() throws Exception {
+        Server node = closeAfterTest(LoopbackPeers.storageNode(700));
         Path file = folder.resolve("serve.json");
         int port = freePort();
         Files.writeString(
                 file,
-                Configs.gateway(node.port(), opened(StandIns.silent()).port())
+                Configs.gateway(node.port(), closeAfterTest(LoopbackPeers.silentServer()).port())
                         .replace("127.0.0.1:0", "127.0.0.1:" + port));
-        Process process = serve(file);
+        Process process = startProcess(file);
         var log = process.inputReader();
         while (!log.readLine().contains("ready: n1")) {
             // The lines before it tell of the nodes.
         }
-        Client taken = opened(new Client(port));
-        Client idle = opened(new Client(port));
+        Client taken = closeAfterTest(new Client(port));
+        Client idle = closeAfterTest(new Client(port));
         idle.send("GET /ready HTTP/1.1\r\nHost: b\r\n\r\n");
-        assertEquals("200 ready\n", idle.answer());
+        assertEquals("200 ready\n", idle.readAnswer());
         taken.send("GET /tile-read/00000000000000a1/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: b\r\nX-Txn: t1\r\n"
                 + "X-Qos-Policy: basic\r\nX-Remaining-Ms: 1500\r\nX-Placement: units=1,shard=3,hosts=1\r\n\r\n");
         while (node.connections.get() == 0) {
@@ -368,9 +368,9 @@
         while (!log.readLine().contains("draining")) {
             // The hook has asked the loop to drain.
         }
-        assertTrue(opened(new Client(port)).http("tile-read", "t2").startsWith("200 node:t2"));
-        assertEquals("200 node:t1", taken.answer());
-        assertEquals("closed", idle.answer());
+        assertTrue(closeAfterTest(new Client(port)).get("tile-read", "t2").startsWith("200 node:t2"));
+        assertEquals("200 node:t1", taken.readAnswer());
+        assertEquals("closed", idle.readAnswer());
         String last = log.lines().reduce("", (a, b) -> b);
         assertTrue(process.waitFor(20, TimeUnit.SECONDS));
         assertEquals(0, process.exitValue());
@@ -395,15 +395,15 @@
 
     /** An unhandled SIGHUP ends a virtual machine: this program reads its file anew instead, and serves on. */
     @Test
-    void sighupMovesTheWatchAndABadFileLeavesTheFormerInUse() throws Exception {
-        Server node = opened(StandIns.storageNode(1));
-        Server first = opened(StandIns.silent());
-        Server second = opened(StandIns.silent());
+    void sighupChangesDiscoveryAndRejectsBadFile() throws Exception {
+        Server node = closeAfterTest(LoopbackPeers.storageNode(1));
+        Server first = closeAfterTest(LoopbackPeers.silentServer());
+        Server second = closeAfterTest(LoopbackPeers.silentServer());
         Path file = folder.resolve("hup.json");
         int port = freePort();
         String at = Configs.gateway(node.port(), first.port()).replace("127.0.0.1:0", "127.0.0.1:" + port);
         Files.writeString(file, at);
-        Process process = serve(file);
+        Process process = startProcess(file);
         var log = process.inputReader();
         awaitLine(log, "ready: n1");
         Files.writeString(file, at.substring(0, at.length() / 2));
@@ -421,7 +421,7 @@
         while (second.connections.get() == 0) {
             Thread.sleep(2);
         }
-        assertTrue(opened(new Client(port)).http("tile-read", "t1").startsWith("200 node:t1"));
+        assertTrue(closeAfterTest(new Client(port)).get("tile-read", "t1").startsWith("200 node:t1"));
         signal(process, "HUP");
         process.toHandle().destroy();
         signal(process, "HUP");
@@ -437,7 +437,7 @@
     }
 
     @Test
-    void aBadFileGivesOnePlainLineAndANonZeroExit() throws Exception {
+    void badFilePrintsOneLineAndExitsNonZero() throws Exception {
         String good = Configs.gateway(1, 2);
         String[][] cases = {
             {"{", "the text is not JSON"},
@@ -448,13 +448,13 @@
             {good.replace("127.0.0.1:0", "here"), "listen is not an address with a port: 'here'"},
             {good.replace("\"up\"", "\"odd\""), "node s-00000001 has an unknown state: odd"},
         };
-        for (String[] one : cases) {
-            Process process = serve(Files.writeString(folder.resolve("bad.json"), one[0]));
+        for (String[] badCase : cases) {
+            Process process = startProcess(Files.writeString(folder.resolve("bad.json"), badCase[0]));
             List<String> lines = process.inputReader().lines().toList();
             assertEquals(1, lines.size(), lines.toString());
-            assertTrue(lines.get(0).startsWith("petrelstand: ") && lines.get(0).contains(one[1]), lines.get(0));
+            assertTrue(lines.get(0).startsWith("petrelstand: ") && lines.get(0).contains(badCase[1]), lines.get(0));
             assertEquals(1, process.waitFor());
         }
-        assertEquals(1, serve(folder.resolve("missing.json")).waitFor());
+        assertEquals(1, startProcess(folder.resolve("missing.json")).waitFor());
     }
 }
--- a/src/test/java/petrelstand/core/LimitBoundTest.java
+++ b/src/test/java/petrelstand/core/LimitBoundTest.java
@@ -14,9 +14,9 @@
 import petrelstand.decision.Scheduling.Outcome;
 import petrelstand.decision.Scheduling.Settings;
 import petrelstand.lifecycle.ProcessShare;
-import petrelstand.testing.Harness;
-import petrelstand.testing.InertNodes;
-import petrelstand.testing.SilentClient;
+import petrelstand.testing.BrokerFixture;
+import petrelstand.testing.StubNodeTransport;
+import petrelstand.testing.StubClientHandler;
 
 /**
  * Simulates gateways whose processes are replaced, paused and killed, with slow connections and slow request bodies,
@@ -34,7 +34,7 @@
     /** From the write of the last byte to its arrival. */
     private static final long NETWORK_DELAY_US = 2_000;
 
-    private static final String SETTINGS = (Harness.SETTINGS + "plans.0.limit=" + RATE + "\nplans.0.burst=" + BURST
+    private static final String SETTINGS = (BrokerFixture.SETTINGS + "plans.0.limit=" + RATE + "\nplans.0.burst=" + BURST
                     + "\n")
             .replace("balancers=1", "balancers=" + GATEWAYS);
 
@@ -138,7 +138,7 @@
     }
 
     /** A gateway process: an event loop that turns once per millisecond unless paused, and a scanning thread. */
-    private static final class Process extends InertNodes {
+    private static final class Process extends StubNodeTransport {
         private final Simulation simulation;
         private final List<Process> gatewayProcesses;
         private final Timers timers = new Timers();
@@ -159,14 +159,14 @@
             this.gatewayProcesses = simulation.gateways.get(gateway);
             this.nowUs = simulation.nowUs;
             this.startedUs = nowUs;
-            Settings settings = SettingsReader.ofText(SETTINGS);
+            Settings settings = SettingsReader.parse(SETTINGS);
             this.broker = new Broker(
                     settings, simulation.random.nextLong(), () -> nowUs, timers, this, new Counters(), line -> {});
             share.recordMark(nowUs, others());
             broker.setShareFunction(share::share);
             List<Node> nodes = new ArrayList<>();
             for (int shard = 0; shard < NODES; shard++) {
-                nodes.add(Harness.node(
+                nodes.add(BrokerFixture.node(
                         "s-0000000" + Integer.toHexString(shard % 16) + shard / 16, shard, NodeState.READY, 0));
             }
             broker.updateNodes(NodeListKind.FULL, nodes);
@@ -241,7 +241,7 @@
                     false,
                     classIndex == 1,
                     1_500_000 + simulation.random.nextInt(1_000_000));
-            broker.submit(demand, "ask", new SilentClient(), exchange -> {});
+            broker.submit(demand, "ask", new StubClientHandler(), exchange -> {});
         }
 
         // ---- Node transport ----
--- a/src/test/java/petrelstand/decision/SettingsChangeTest.java
+++ b/src/test/java/petrelstand/decision/SettingsChangeTest.java
@@ -10,14 +10,14 @@
 import petrelstand.decision.FakeHost.TestRequest;
 import petrelstand.decision.Scheduling.Outcome;
 import petrelstand.decision.Scheduling.Settings;
-import petrelstand.testing.Harness;
+import petrelstand.testing.BrokerFixture;
 
 /** Change of the settings while requests are open. */
 class SettingsChangeTest {
-    private static final Settings SETTINGS = SettingsReader.ofText(Harness.SETTINGS);
+    private static final Settings SETTINGS = SettingsReader.parse(BrokerFixture.SETTINGS);
 
     private static Settings with(String before, String after) {
-        return SettingsReader.ofText(Harness.SETTINGS.replace(before, after));
+        return SettingsReader.parse(BrokerFixture.SETTINGS.replace(before, after));
     }
 
     private static long open(FakeHost host) {
@@ -88,9 +88,9 @@
     }
 
     private static int sentToColdNode(double part) {
-        String cold = Harness.SETTINGS + "extra.cold_bears=12\nrules.cold_from=0.3\nrules.warm_up_ms=15000\n"
+        String cold = BrokerFixture.SETTINGS + "extra.cold_bears=12\nrules.cold_from=0.3\nrules.warm_up_ms=15000\n"
                 + "rules.fall_ms=1500\nrules.overload_factor=2\n";
-        FakeHost host = new FakeHost(10_000, SettingsReader.ofText(cold));
+        FakeHost host = new FakeHost(10_000, SettingsReader.parse(cold));
         host.policy.setBudgetShare(host.nowMs, part);
         host.runTo(host.nowMs + 2_000);
         host.listNodes(node(1, 0, Scheduling.NodeState.READY, host.nowMs));
--- a/src/test/java/petrelstand/http/BodyBudgetsTest.java
+++ b/src/test/java/petrelstand/http/BodyBudgetsTest.java
@@ -9,7 +9,7 @@
 import petrelstand.lifecycle.Lifecycle;
 import petrelstand.lifecycle.MemoryLimits;
 import petrelstand.net.MemoryEndPoint;
-import petrelstand.testing.Harness;
+import petrelstand.testing.BrokerFixture;
 
 /** Each kind of body has its own limit, and all kinds together have one. */
 class BodyBudgetsTest {
@@ -37,7 +37,7 @@
     /** A body counts until nothing of its request is in progress any more. */
     @Test
     void activeRequestBodiesAreBoundedAndReleased() {
-        Harness harness = new Harness();
+        BrokerFixture harness = new BrokerFixture();
         BodyBudgets smallBudgets = new BodyBudgets(
                 new ByteBudget(1 << 20), new ByteBudget(100_000), new ByteBudget(1 << 20), new ByteBudget(1 << 20));
         NodeConnectionPool pool = new NodeConnectionPool(
@@ -52,10 +52,10 @@
         Lifecycle lifecycle = new Lifecycle(Lifecycle.Delays.of(5_000_000));
         lifecycle.startServing(harness.nowUs);
         HttpFront front = new HttpFront(harness.broker(pool), harness.timers, 10, lifecycle, smallBudgets);
-        harness.list(Harness.node("s-00000001", 3, NodeState.READY, 0));
+        harness.setNodes(BrokerFixture.node("s-00000001", 3, NodeState.READY, 0));
         MemoryEndPoint first = MemoryEndPoint.open(front::accept);
         first.send(writeRequest("w1"));
-        MemoryEndPoint node = harness.up();
+        MemoryEndPoint node = harness.connectLast();
         MemoryEndPoint second = MemoryEndPoint.open(front::accept);
         second.send(writeRequest("w2"));
         assertTrue(second.takeReceived().startsWith("HTTP/1.1 503"));
--- a/src/test/java/petrelstand/http/HttpFrontTest.java
+++ b/src/test/java/petrelstand/http/HttpFrontTest.java
@@ -19,12 +19,12 @@
 import petrelstand.decision.Scheduling.NodeState;
 import petrelstand.lifecycle.Lifecycle;
 import petrelstand.net.MemoryEndPoint;
-import petrelstand.testing.Harness;
-import petrelstand.testing.HeldEnd;
+import petrelstand.testing.BrokerFixture;
+import petrelstand.testing.HeldInputEndPoint;
 
 /** The HTTP front and the pool of node connections, on connections in memory. */
 class HttpFrontTest {
-    private final Harness harness = new Harness();
+    private final BrokerFixture harness = new BrokerFixture();
     private final NodeConnectionPool pool = new NodeConnectionPool(
             harness::dial,
             () -> harness.nowUs,
@@ -35,14 +35,14 @@
             40);
     private final Lifecycle lifecycle = new Lifecycle(Lifecycle.Delays.of(5_000_000));
     private final HttpFront front = new HttpFront(harness.broker(pool), harness.timers, 50, lifecycle);
-    private final HeldEnd client = HeldEnd.open(front::accept);
+    private final HeldInputEndPoint client = HeldInputEndPoint.open(front::accept);
 
     {
         lifecycle.startServing(harness.nowUs);
     }
 
     private void listOneNode() {
-        harness.list(Harness.node("s-00000001", 3, NodeState.READY, 0));
+        harness.setNodes(BrokerFixture.node("s-00000001", 3, NodeState.READY, 0));
     }
 
     private static String readRequest(int number, String extraFields) {
@@ -76,7 +76,7 @@
     void requestAndAnswerBodyAreForwardedUnchanged() {
         listOneNode();
         client.send(writeRequest("depth=17"));
-        MemoryEndPoint node = harness.up();
+        MemoryEndPoint node = harness.connectLast();
         String sent = node.takeReceived();
         assertTrue(sent.startsWith("PUT /survey-write/00000003b4d60021/7f3a9c21e0b4d655 HTTP/1.1\r\n"));
         assertTrue(sent.contains("X-Txn: w1\r\n") && sent.contains("Idempotency-Key: k-77\r\n"));
@@ -89,7 +89,7 @@
     /** The volume use in an answer has to change this gateway's share of it; invalid values must not. */
     @Test
     void volumeUseInAnswerUpdatesOwnShare() {
-        Harness fourGateways = new Harness(Harness.SETTINGS.replace("balancers=1", "balancers=4"));
+        BrokerFixture fourGateways = new BrokerFixture(BrokerFixture.SETTINGS.replace("balancers=1", "balancers=4"));
         NodeConnectionPool otherPool = new NodeConnectionPool(
                 fourGateways::dial,
                 () -> fourGateways.nowUs,
@@ -99,10 +99,10 @@
                 "backend.local",
                 40);
         HttpFront otherFront = new HttpFront(fourGateways.broker(otherPool), fourGateways.timers, 50, lifecycle);
-        fourGateways.list(Harness.node("s-00000001", 3, NodeState.READY, 0));
-        HeldEnd otherClient = HeldEnd.open(otherFront::accept);
+        fourGateways.setNodes(BrokerFixture.node("s-00000001", 3, NodeState.READY, 0));
+        HeldInputEndPoint otherClient = HeldInputEndPoint.open(otherFront::accept);
         otherClient.send(readRequest(1, "").replace("hosts=1", "hosts=4"));
-        MemoryEndPoint node = fourGateways.up();
+        MemoryEndPoint node = fourGateways.connectLast();
         double shareBefore = ownShareOfVolumeUse(fourGateways);
         node.send("HTTP/1.1 200 OK\r\nX-Iops-Used: 6400\r\nX-Rho: 12\r\nContent-Length: 0\r\n\r\n");
         double shareAfter = ownShareOfVolumeUse(fourGateways);
@@ -115,7 +115,7 @@
         assertEquals(5, statuses(otherClient.takeReceived()).size());
     }
 
-    private static double ownShareOfVolumeUse(Harness harness) {
+    private static double ownShareOfVolumeUse(BrokerFixture harness) {
         return harness.broker.learnedState().volumes().get(0).localFraction();
     }
 
@@ -123,7 +123,7 @@
     void queryIsForwardedUnchanged() {
         listOneNode();
         client.send(readRequest(1, ""));
-        assertTrue(harness.up()
+        assertTrue(harness.connectLast()
                 .takeReceived()
                 .startsWith("GET /tile-read/00000003b4d60021/7f3a9c21e0b4d655?v=%41&n=1 HTTP/1.1"));
     }
@@ -135,14 +135,14 @@
         for (char c : requests.toCharArray()) {
             client.send(String.valueOf(c));
         }
-        MemoryEndPoint node = harness.up();
+        MemoryEndPoint node = harness.connectLast();
         assertTrue(node.takeReceived().contains("X-Txn: t1\r\n"));
         node.send(okAnswer("one"));
         assertTrue(node.takeReceived().contains("X-Txn: t2\r\n"));
         node.send(okAnswer("two"));
         String answers = client.takeReceived();
         assertTrue(answers.indexOf("one") > 0 && answers.indexOf("two") > answers.indexOf("one"));
-        assertEquals(0, harness.dialed.size());
+        assertEquals(0, harness.dials.size());
     }
 
     /** Fails if the deadline counts from the time at which the previous answer is written. */
@@ -150,16 +150,16 @@
     void pipelinedRequestDeadlineCountsFromItsLastByte() {
         listOneNode();
         client.send(readRequest(1, "") + readRequest(2, ""));
-        MemoryEndPoint node = harness.up();
+        MemoryEndPoint node = harness.connectLast();
         node.takeReceived();
-        harness.run(600_000);
+        harness.advance(600_000);
         client.send(readRequest(3, "").substring(0, 100));
-        harness.run(300_000);
+        harness.advance(300_000);
         client.send(readRequest(3, "").substring(100) + readRequest(4, ""));
-        harness.run(100_000);
+        harness.advance(100_000);
         node.send(okAnswer("one"));
         assertTrue(node.takeReceived().contains("X-Remaining-Ms: 400\r\n"), "the second request arrived 1 s ago");
-        harness.run(100_000);
+        harness.advance(100_000);
         node.send(okAnswer("two"));
         assertTrue(
                 node.takeReceived().contains("X-Remaining-Ms: 1200\r\n"), "the third request was complete 200 ms ago");
@@ -175,9 +175,9 @@
     void expiredPipelinedRequestIsAnsweredWithoutAttempt() {
         listOneNode();
         client.send(readRequest(1, "") + readRequest(2, "") + readRequest(3, ""));
-        MemoryEndPoint node = harness.up();
+        MemoryEndPoint node = harness.connectLast();
         node.takeReceived();
-        harness.run(1_402_000);
+        harness.advance(1_402_000);
         assertEquals(3, statuses(client.takeReceived()).size());
         assertEquals(1, harness.counters.get("sent"));
         assertEquals(0, harness.broker.openRequests());
@@ -193,10 +193,10 @@
         for (String request : List.of(writeRequest("depth=17"), chunked)) {
             for (int cut = 1; cut < request.length(); cut++) {
                 client.send(request.substring(0, cut));
-                harness.run(1_000_000);
+                harness.advance(1_000_000);
                 assertEquals("", node == null ? "" : node.takeReceived(), "cut at " + cut);
                 client.send(request.substring(cut));
-                node = harness.dialed.isEmpty() ? node : harness.up();
+                node = harness.dials.isEmpty() ? node : harness.connectLast();
                 String sent = node.takeReceived();
                 assertTrue(
                         sent.contains("X-Remaining-Ms: 2000\r\n") && sent.endsWith("\r\n\r\ndepth=17"),
@@ -210,20 +210,20 @@
     /** The remaining time sent to a node must not include time spent on earlier attempts. */
     @Test
     void secondAttemptSendsRemainingTimeOfClient() {
-        harness.list(
-                Harness.node("s-00000001", 3, NodeState.READY, 0), Harness.node("s-00000002", 3, NodeState.READY, 0));
+        harness.setNodes(
+                BrokerFixture.node("s-00000001", 3, NodeState.READY, 0), BrokerFixture.node("s-00000002", 3, NodeState.READY, 0));
         client.send(readRequest(1, ""));
-        MemoryEndPoint firstNode = harness.up();
+        MemoryEndPoint firstNode = harness.connectLast();
         assertTrue(firstNode.takeReceived().contains("X-Remaining-Ms: 1400\r\n"));
-        harness.run(100_000);
+        harness.advance(100_000);
         firstNode.send("HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
-        for (int i = 0; i < 600 && harness.dialed.isEmpty(); i++) {
-            harness.run(1_000);
+        for (int i = 0; i < 600 && harness.dials.isEmpty(); i++) {
+            harness.advance(1_000);
         }
-        harness.run(200_000);
+        harness.advance(200_000);
         long secondAttemptUs = harness.nowUs;
         Matcher remainingField = Pattern.compile("X-Remaining-Ms: (\\d+)\r\n")
-                .matcher(harness.up().takeReceived());
+                .matcher(harness.connectLast().takeReceived());
         assertTrue(remainingField.find());
         long remainingMs = (1_000_000_000L + 1_400_000 - secondAttemptUs) / 1000;
         assertTrue(
@@ -235,7 +235,7 @@
     @Test
     void reloadAndDrainInOneTurnSendNothingToNode() {
         for (boolean drainFirst : new boolean[] {true, false}) {
-            Harness otherHarness = new Harness();
+            BrokerFixture otherHarness = new BrokerFixture();
             NodeConnectionPool otherPool = new NodeConnectionPool(
                     otherHarness::dial,
                     () -> otherHarness.nowUs,
@@ -245,23 +245,23 @@
                     "backend.local",
                     40);
             HttpFront otherFront = new HttpFront(otherHarness.broker(otherPool), otherHarness.timers, 50, lifecycle);
-            otherHarness.list(Harness.node("s-00000001", 3, NodeState.READY, 0));
-            HeldEnd otherClient = HeldEnd.open(otherFront::accept);
+            otherHarness.setNodes(BrokerFixture.node("s-00000001", 3, NodeState.READY, 0));
+            HeldInputEndPoint otherClient = HeldInputEndPoint.open(otherFront::accept);
             otherClient.send(readRequest(1, ""));
-            Harness.Dialed pendingDial = otherHarness.dialed.remove(0);
-            List<Node> drains = List.of(Harness.node("s-00000001", 3, NodeState.DRAINING, 0));
+            BrokerFixture.PendingConnection pendingDial = otherHarness.dials.remove(0);
+            List<Node> drains = List.of(BrokerFixture.node("s-00000001", 3, NodeState.DRAINING, 0));
             if (drainFirst) {
                 otherHarness.broker.updateNodes(NodeListKind.CHANGES, drains);
             }
             otherHarness.broker.updateSettings(
-                    new Harness(Harness.SETTINGS.replace("caps.most_tries=3", "caps.most_tries=2")).settings);
+                    new BrokerFixture(BrokerFixture.SETTINGS.replace("caps.most_tries=3", "caps.most_tries=2")).settings);
             if (!drainFirst) {
                 otherHarness.broker.updateNodes(NodeListKind.CHANGES, drains);
             }
-            assertEquals("", HeldEnd.open(pendingDial.connector()::connected).takeReceived());
+            assertEquals("", HeldInputEndPoint.open(pendingDial.connector()::connected).takeReceived());
             otherClient.send(readRequest(2, ""));
-            otherHarness.run(2_000_000);
-            assertEquals(0, otherHarness.dialed.size());
+            otherHarness.advance(2_000_000);
+            assertEquals(0, otherHarness.dials.size());
             assertEquals(0, otherHarness.broker.requestCounts().attempts());
             assertEquals(2, statuses(otherClient.takeReceived()).size());
         }
@@ -274,20 +274,20 @@
     void closingIdleConnectionDiscardsLateRequests() {
         listOneNode();
         client.send(readRequest(1, ""));
-        MemoryEndPoint node = harness.up();
+        MemoryEndPoint node = harness.connectLast();
         node.send(okAnswer("one"));
         client.takeReceived();
         lifecycle.terminate(harness.nowUs);
-        harness.run(600_000);
+        harness.advance(600_000);
         front.closeIdle(9);
         assertTrue(client.isOutputShutdown() && client.isOpen());
         assertEquals(0, front.connectionsDelayingExit(), "the process exit must not wait for it");
         client.send(readRequest(2, ""));
-        harness.run(400_000);
+        harness.advance(400_000);
         client.send(readRequest(3, ""));
-        harness.run(499_000);
+        harness.advance(499_000);
         assertTrue(client.isOpen(), "bytes arrived, so it keeps lingering");
-        harness.run(502_000);
+        harness.advance(502_000);
         assertFalse(client.isOpen());
         assertEquals("", client.takeReceived());
         assertEquals(1, harness.counters.get("sent"));
@@ -297,12 +297,12 @@
     void unreadRequestIsServedBeforeIdleConnectionCloses() {
         listOneNode();
         client.send(readRequest(1, ""));
-        MemoryEndPoint node = harness.up();
+        MemoryEndPoint node = harness.connectLast();
         node.send(okAnswer("one"));
         client.takeReceived();
-        client.putUnread(readRequest(2, ""));
+        client.addInputSilently(readRequest(2, ""));
         lifecycle.terminate(harness.nowUs);
-        harness.run(600_000);
+        harness.advance(600_000);
         front.closeIdle(9);
         assertFalse(client.isOutputShutdown());
         node.send(okAnswer("two"));
@@ -314,18 +314,18 @@
     @Test
     void inputReceivedDuringStallIsReadBeforeTimeout() {
         listOneNode();
-        client.putUnread(readRequest(1, ""));
-        harness.late(3_000_000);
+        client.addInputSilently(readRequest(1, ""));
+        harness.jumpAndRunDue(3_000_000);
         assertEquals(1, harness.broker.openRequests());
-        HeldEnd splitClient = HeldEnd.open(front::accept);
+        HeldInputEndPoint splitClient = HeldInputEndPoint.open(front::accept);
         splitClient.send(readRequest(2, "").substring(0, 80));
-        splitClient.putUnread(readRequest(2, "").substring(80));
-        harness.late(3_000_000);
+        splitClient.addInputSilently(readRequest(2, "").substring(80));
+        harness.jumpAndRunDue(3_000_000);
         assertEquals(2, harness.counters.get("taken.tile-read"));
-        HeldEnd slowClient = HeldEnd.open(front::accept);
+        HeldInputEndPoint slowClient = HeldInputEndPoint.open(front::accept);
         slowClient.send(readRequest(3, "").substring(0, 80));
-        slowClient.putUnread("X");
-        harness.late(3_000_000);
+        slowClient.addInputSilently("X");
+        harness.jumpAndRunDue(3_000_000);
         assertEquals(List.of("408"), statuses(slowClient.takeReceived()), "the request is still incomplete");
     }
 
@@ -337,7 +337,7 @@
             long goneBefore = harness.counters.get("client_gone");
             MemoryEndPoint closingClient = MemoryEndPoint.open(front::accept);
             closingClient.send(readRequest(bytes, ""));
-            harness.dialed.clear();
+            harness.dials.clear();
             for (int sent = 0; sent < bytes; sent += 5_000) {
                 closingClient.send("x".repeat(5_000));
             }
@@ -377,7 +377,7 @@
     void readAheadOverLimitClosesAfterCurrentAnswer() {
         listOneNode();
         client.send(readRequest(1, ""));
-        MemoryEndPoint node = harness.up();
+        MemoryEndPoint node = harness.connectLast();
         int pipelined = 0;
         StringBuilder requests = new StringBuilder();
         while (requests.length() < 60_000) {
@@ -405,7 +405,7 @@
     /** Fails if an attempt starts for a client that has left, where settings forbid cancelling attempts. */
     @Test
     void abandonedRequestIsNotSentOnLateConnection() {
-        Harness otherHarness = new Harness(Harness.SETTINGS.replace("caps.cancel=true", "caps.cancel=false"));
+        BrokerFixture otherHarness = new BrokerFixture(BrokerFixture.SETTINGS.replace("caps.cancel=true", "caps.cancel=false"));
         NodeConnectionPool otherPool = new NodeConnectionPool(
                 otherHarness::dial,
                 () -> otherHarness.nowUs,
@@ -415,11 +415,11 @@
                 "backend.local",
                 40);
         HttpFront otherFront = new HttpFront(otherHarness.broker(otherPool), otherHarness.timers, 50, lifecycle);
-        otherHarness.list(Harness.node("s-00000001", 3, NodeState.READY, 0));
+        otherHarness.setNodes(BrokerFixture.node("s-00000001", 3, NodeState.READY, 0));
         MemoryEndPoint closedClient = MemoryEndPoint.open(otherFront::accept);
         closedClient.send(readRequest(1, ""));
         closedClient.sendEof();
-        MemoryEndPoint node = otherHarness.up();
+        MemoryEndPoint node = otherHarness.connectLast();
         assertEquals("", node.takeReceived());
         assertTrue(node.isOpen(), "the connection stays open for the next request");
         MemoryEndPoint nextClient = MemoryEndPoint.open(otherFront::accept);
@@ -430,12 +430,12 @@
     /** The connect timeout may exceed the drain's grace period, so the node's state is checked again. */
     @Test
     void nothingIsSentIfNodeChangesWhileConnecting() {
-        Node listed = Harness.node("s-00000001", 3, NodeState.READY, 0);
+        Node listed = BrokerFixture.node("s-00000001", 3, NodeState.READY, 0);
         for (Node change : List.of(
-                Harness.node("s-00000001", 3, NodeState.DRAINING, 0),
+                BrokerFixture.node("s-00000001", 3, NodeState.DRAINING, 0),
                 listed.asGone(),
-                Harness.node("s-00000001", 3, NodeState.READY, harness.nowUs / 1000.0))) {
-            Harness otherHarness = new Harness();
+                BrokerFixture.node("s-00000001", 3, NodeState.READY, harness.nowUs / 1000.0))) {
+            BrokerFixture otherHarness = new BrokerFixture();
             NodeConnectionPool otherPool = new NodeConnectionPool(
                     otherHarness::dial,
                     () -> otherHarness.nowUs,
@@ -445,11 +445,11 @@
                     "backend.local",
                     40);
             HttpFront otherFront = new HttpFront(otherHarness.broker(otherPool), otherHarness.timers, 50, lifecycle);
-            otherHarness.list(listed);
+            otherHarness.setNodes(listed);
             MemoryEndPoint otherClient = MemoryEndPoint.open(otherFront::accept);
             otherClient.send(readRequest(1, ""));
             otherHarness.broker.updateNodes(NodeListKind.CHANGES, List.of(change));
-            assertEquals("", otherHarness.up().takeReceived(), change.toString());
+            assertEquals("", otherHarness.connectLast().takeReceived(), change.toString());
             assertEquals(1, otherHarness.counters.get("outcome.not_connected"));
         }
     }
@@ -525,7 +525,7 @@
     void idOfOpenRequestIsRejectedUntilItEnds() {
         listOneNode();
         client.send(readRequest(1, ""));
-        MemoryEndPoint node = harness.up();
+        MemoryEndPoint node = harness.connectLast();
         MemoryEndPoint duplicateClient = MemoryEndPoint.open(front::accept);
         duplicateClient.send(readRequest(1, ""));
         assertEquals(List.of("409"), statuses(duplicateClient.takeReceived()));
@@ -546,24 +546,24 @@
         long lingerEndUs = harness.nowUs + HttpFront.MAX_LINGER_US;
         while (harness.nowUs < lingerEndUs - HttpFront.LINGER_SILENCE_US) {
             client.sendBytes(bodyPart);
-            harness.run(HttpFront.LINGER_SILENCE_US / 2);
+            harness.advance(HttpFront.LINGER_SILENCE_US / 2);
             assertTrue(client.isOpen(), "closed while the client sends: a reset could lose the answer");
         }
         client.sendBytes(bodyPart);
-        harness.run(HttpFront.LINGER_SILENCE_US);
+        harness.advance(HttpFront.LINGER_SILENCE_US);
         assertFalse(client.isOpen(), "the connection closes although the client keeps sending");
     }
 
     @Test
     void silentOrPartialClientIsClosedWithin3Seconds() {
-        HeldEnd partialClient = HeldEnd.open(front::accept);
+        HeldInputEndPoint partialClient = HeldInputEndPoint.open(front::accept);
         partialClient.send(readRequest(1, "").substring(0, 60));
-        harness.run(2_400_000);
+        harness.advance(2_400_000);
         assertTrue(client.isOpen() && partialClient.isOpen());
-        harness.run(600_000);
+        harness.advance(600_000);
         assertFalse(client.isOpen());
         assertEquals(List.of("408"), statuses(partialClient.takeReceived()));
-        harness.run(HttpFront.LINGER_SILENCE_US);
+        harness.advance(HttpFront.LINGER_SILENCE_US);
         assertFalse(partialClient.isOpen());
         assertEquals(0, front.connectionCount());
     }
@@ -571,7 +571,7 @@
     @Test
     void usedConnectionMayStayIdle() {
         client.send(readRequest(1, ""));
-        harness.run(60_000_000);
+        harness.advance(60_000_000);
         assertTrue(client.isOpen());
     }
 
@@ -581,7 +581,7 @@
         for (int i = 0; i < 49; i++) {
             MemoryEndPoint.open(front::accept);
         }
-        harness.run(HttpFront.SILENT_AFTER_US);
+        harness.advance(HttpFront.SILENT_AFTER_US);
         for (int i = 0; i < 40; i++) {
             MemoryEndPoint.open(front::accept);
         }
@@ -626,13 +626,13 @@
             HttpFrontTest fresh = new HttpFrontTest();
             fresh.listOneNode();
             fresh.client.send(readRequest(1, ""));
-            MemoryEndPoint node = fresh.harness.up();
+            MemoryEndPoint node = fresh.harness.connectLast();
             node.takeReceived();
             node.send(answer);
             assertEquals(1, fresh.harness.counters.get("outcome.error"), answer);
             assertFalse(node.isOpen(), answer);
             assertEquals(List.of(), statuses(fresh.client.takeReceived()), answer);
-            assertEquals(fresh.harness.dialed.size(), fresh.pool.connectionCount(), answer);
+            assertEquals(fresh.harness.dials.size(), fresh.pool.connectionCount(), answer);
         }
     }
 
@@ -653,7 +653,7 @@
             HttpFrontTest fresh = new HttpFrontTest();
             fresh.listOneNode();
             fresh.client.send(readRequest(1, ""));
-            MemoryEndPoint node = fresh.harness.up();
+            MemoryEndPoint node = fresh.harness.connectLast();
             node.send(answer);
             String served = fresh.client.takeReceived();
             assertTrue(served.startsWith("HTTP/1.1 200") && served.endsWith("\r\n\r\ngood"), answer);
@@ -668,12 +668,12 @@
     void duplicateAnswerIsNotServedToNextRequest() {
         listOneNode();
         client.send(readRequest(1, ""));
-        MemoryEndPoint node = harness.up();
+        MemoryEndPoint node = harness.connectLast();
         node.send(okAnswer("one"));
         node.addInput(org.eclipse.jetty.util.BufferUtil.toBuffer(okAnswer("one")));
         client.send(readRequest(2, ""));
         assertFalse(node.isOpen());
-        harness.up().send(okAnswer("two"));
+        harness.connectLast().send(okAnswer("two"));
         assertTrue(client.takeReceived().endsWith("two"));
     }
 
@@ -681,14 +681,14 @@
     void stalledAnswerFailsAndSlowAnswerIsAwaited() {
         listOneNode();
         client.send(readRequest(1, ""));
-        MemoryEndPoint node = harness.up();
+        MemoryEndPoint node = harness.connectLast();
         node.send("HTTP/1.1 200 OK\r\nContent-Length: 50000\r\n\r\n");
         for (int i = 0; i < 5; i++) {
-            harness.run(NodeConnectionPool.ANSWER_STALL_TIMEOUT_US - 1000);
+            harness.advance(NodeConnectionPool.ANSWER_STALL_TIMEOUT_US - 1000);
             node.send("part");
         }
         assertTrue(node.isOpen());
-        harness.run(2 * NodeConnectionPool.ANSWER_STALL_TIMEOUT_US);
+        harness.advance(2 * NodeConnectionPool.ANSWER_STALL_TIMEOUT_US);
         assertEquals(1, harness.counters.get("outcome.error"));
         assertFalse(node.isOpen());
     }
@@ -697,7 +697,7 @@
     void requestReportedOverIsRefusedWithoutRetry() {
         listOneNode();
         client.send(readRequest(1, ""));
-        harness.up().send("HTTP/1.1 504 Over\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
+        harness.connectLast().send("HTTP/1.1 504 Over\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
         assertEquals(List.of("503"), statuses(client.takeReceived()));
         assertEquals(1, harness.counters.get("sent"));
     }
@@ -709,7 +709,7 @@
     void answerEndedByCloseIsCompleteOnlyIfAnnounced() {
         listOneNode();
         client.send(readRequest(1, ""));
-        MemoryEndPoint node = harness.up();
+        MemoryEndPoint node = harness.connectLast();
         node.send("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nto the ");
         assertEquals("", client.takeReceived());
         node.send("end");
@@ -717,9 +717,9 @@
         assertTrue(client.takeReceived().endsWith("Content-Length: 10\r\n\r\nto the end"));
         assertFalse(node.isOpen());
         client.send(readRequest(2, ""));
-        harness.up().send("HTTP/1.1 200 OK\r\n\r\nto the ");
+        harness.connectLast().send("HTTP/1.1 200 OK\r\n\r\nto the ");
         assertEquals(1, harness.counters.get("outcome.error"));
-        MemoryEndPoint largeAnswerNode = harness.up();
+        MemoryEndPoint largeAnswerNode = harness.connectLast();
         largeAnswerNode.send("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + "z".repeat(70_000));
         assertTrue(client.takeReceived().contains("Transfer-Encoding: chunked\r\n"));
         largeAnswerNode.sendEof();
@@ -731,24 +731,24 @@
     void interruptedStreamedAnswerClosesClientConnection() {
         listOneNode();
         client.send(readRequest(1, ""));
-        MemoryEndPoint node = harness.up();
+        MemoryEndPoint node = harness.connectLast();
         node.send("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\npart");
         assertEquals("", client.takeReceived());
-        harness.run(NodeConnectionPool.BUFFER_BEFORE_STREAM_US);
+        harness.advance(NodeConnectionPool.BUFFER_BEFORE_STREAM_US);
         assertTrue(client.takeReceived().endsWith("Content-Length: 100000\r\n\r\npart"));
         for (int i = 0; i < 3; i++) {
-            harness.run(NodeConnectionPool.STREAM_STALL_TIMEOUT_US - 1);
+            harness.advance(NodeConnectionPool.STREAM_STALL_TIMEOUT_US - 1);
             node.send("part");
             assertEquals("part", client.takeReceived());
         }
-        harness.run(2 * NodeConnectionPool.STREAM_STALL_TIMEOUT_US);
+        harness.advance(2 * NodeConnectionPool.STREAM_STALL_TIMEOUT_US);
         assertFalse(node.isOpen());
         assertFalse(client.isOpen());
         assertEquals(1, harness.broker.requestCounts().count("tile-read", RequestResult.FAILED));
         assertEquals(0, front.answeringCount());
         MemoryEndPoint secondClient = MemoryEndPoint.open(front::accept);
         secondClient.send(readRequest(2, ""));
-        MemoryEndPoint secondNode = harness.up();
+        MemoryEndPoint secondNode = harness.connectLast();
         secondNode.send(
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n18000\r\n" + "z".repeat(0x18000) + "\r\n");
         assertTrue(secondClient.takeReceived().length() > 0x18000);
@@ -764,10 +764,10 @@
         listOneNode();
         String large = "0123456789abcdef".repeat(25_000);
         client.send(readRequest(1, ""));
-        harness.up().send(okAnswer(large));
+        harness.connectLast().send(okAnswer(large));
         assertTrue(client.takeReceived().endsWith("\r\n\r\n" + large));
         client.send(readRequest(2, ""));
-        MemoryEndPoint node = harness.dialed.isEmpty() ? null : harness.up();
+        MemoryEndPoint node = harness.dials.isEmpty() ? null : harness.connectLast();
         assertEquals(null, node, "the connection must be reused");
     }
 
@@ -796,19 +796,19 @@
         for (int i = 0; i < 16; i++) {
             client.send("1000\r\n" + "z".repeat(4096) + "\r\n");
         }
-        assertEquals(0, harness.dialed.size());
+        assertEquals(0, harness.dials.size());
         client.send("1000\r\n" + "z".repeat(4096) + "\r\n");
-        MemoryEndPoint node = harness.up();
+        MemoryEndPoint node = harness.connectLast();
         assertTrue(node.takeReceived().contains("Transfer-Encoding: chunked\r\n"));
         // The deadline counts from the last byte, so the upload may take longer than the class's deadline.
         for (int i = 0; i < 4; i++) {
-            harness.run(1_000_000);
+            harness.advance(1_000_000);
             client.send("8000\r\n" + "y".repeat(0x8000) + "\r\n");
             assertTrue(node.takeReceived().contains("y".repeat(0x1000)));
         }
         client.send("0\r\n\r\n");
         assertTrue(node.takeReceived().endsWith("0\r\n\r\n"));
-        harness.run(1_900_000);
+        harness.advance(1_900_000);
         node.send(okAnswer("stored"));
         assertTrue(client.takeReceived().endsWith("stored"));
         assertEquals(1, harness.broker.requestCounts().attempts());
@@ -820,12 +820,12 @@
         listOneNode();
         client.send(writeRequest("").replace("Content-Length: 0", "Content-Length: 200000") + "z".repeat(20_000));
         client.send("z".repeat(180_000));
-        harness.run(240_000);
-        MemoryEndPoint node = harness.up();
+        harness.advance(240_000);
+        MemoryEndPoint node = harness.connectLast();
         assertTrue(node.takeReceived().endsWith("z"));
-        harness.run(1_759_999);
+        harness.advance(1_759_999);
         assertEquals("", client.takeReceived());
-        harness.run(1);
+        harness.advance(1);
         assertEquals(List.of("504"), statuses(client.takeReceived()));
     }
 
@@ -834,17 +834,17 @@
         listOneNode();
         String large = writeRequest("").replace("Content-Length: 0", "Content-Length: 200000") + "z".repeat(20_000);
         client.send(large);
-        MemoryEndPoint node = harness.up();
-        harness.run(HttpFront.REQUEST_TIMEOUT_US);
+        MemoryEndPoint node = harness.connectLast();
+        harness.advance(HttpFront.REQUEST_TIMEOUT_US);
         assertEquals(List.of("408"), statuses(client.takeReceived()));
         assertFalse(node.isOpen());
-        HeldEnd slowClient = HeldEnd.open(front::accept);
+        HeldInputEndPoint slowClient = HeldInputEndPoint.open(front::accept);
         slowClient.send(writeRequest("")
                 .replace("Content-Length: 0", "Content-Length: 60000")
                 .replace("w1", "w2"));
         for (int i = 0; i < 100 && slowClient.takeReceived().isEmpty(); i++) {
             slowClient.send("x".repeat(400));
-            harness.run(100_000);
+            harness.advance(100_000);
         }
         assertEquals(0, harness.broker.requestCounts().attempts());
         assertEquals(0, harness.broker.openRequests());
@@ -855,11 +855,11 @@
     void bodyRejectedEarlyIsRefusedAndRestDiscarded() {
         listOneNode();
         client.send(writeRequest("").replace("Content-Length: 0", "Content-Length: 200000") + "z".repeat(50_000));
-        harness.up().send("HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
+        harness.connectLast().send("HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
         assertEquals(List.of("503"), statuses(client.takeReceived()));
         for (int i = 0; i < 20; i++) {
             client.sendBytes(new byte[4_000]);
-            harness.run(HttpFront.LINGER_SILENCE_US - 1);
+            harness.advance(HttpFront.LINGER_SILENCE_US - 1);
         }
         assertTrue(client.isOpen());
         assertEquals("", client.takeReceived());
@@ -877,7 +877,7 @@
     void clientCloseCancelsAttempt() {
         listOneNode();
         client.send(readRequest(1, ""));
-        MemoryEndPoint node = harness.up();
+        MemoryEndPoint node = harness.connectLast();
         client.sendEof();
         assertFalse(node.isOpen());
         assertEquals(0, harness.broker.openRequests());
@@ -889,7 +889,7 @@
     void nodeCloseWithinAnswerIsReset() {
         listOneNode();
         client.send(readRequest(1, ""));
-        MemoryEndPoint node = harness.up();
+        MemoryEndPoint node = harness.connectLast();
         node.send("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
         node.sendEof();
         assertEquals(1, harness.counters.get("outcome.reset"));
@@ -910,7 +910,7 @@
             HttpFrontTest fresh = new HttpFrontTest();
             fresh.listOneNode();
             fresh.client.send(readRequest(1, ""));
-            fresh.harness.up().send(outcomeAndAnswer[1]);
+            fresh.harness.connectLast().send(outcomeAndAnswer[1]);
             assertEquals(1, fresh.harness.counters.get("outcome." + outcomeAndAnswer[0]), outcomeAndAnswer[1]);
         }
     }
@@ -919,19 +919,19 @@
     void connectTimeoutIsThatOfSettings() {
         listOneNode();
         client.send(readRequest(1, ""));
-        harness.run(249_999);
+        harness.advance(249_999);
         assertEquals(0, harness.counters.get("outcome.not_connected"));
-        harness.run(1);
+        harness.advance(1);
         assertEquals(1, harness.counters.get("outcome.not_connected"));
-        assertEquals(harness.dialed.size() - 1, pool.connectionCount());
+        assertEquals(harness.dials.size() - 1, pool.connectionCount());
     }
 
     @Test
     void connectionOpenedAfterTimeoutIsClosed() {
         listOneNode();
         client.send(readRequest(1, ""));
-        Harness.Dialed pendingDial = harness.dialed.remove(0);
-        harness.run(2_000_000);
+        BrokerFixture.PendingConnection pendingDial = harness.dials.remove(0);
+        harness.advance(2_000_000);
         assertFalse(MemoryEndPoint.open(pendingDial.connector()::connected).isOpen());
         assertEquals(0, pool.connectionCount());
     }
@@ -940,8 +940,8 @@
     void timedOutAttemptClosesItsConnection() {
         listOneNode();
         client.send(readRequest(1, ""));
-        MemoryEndPoint node = harness.up();
-        harness.run(1_500_000);
+        MemoryEndPoint node = harness.connectLast();
+        harness.advance(1_500_000);
         assertFalse(node.isOpen());
         assertEquals(1, statuses(client.takeReceived()).size());
         assertEquals(1, harness.counters.get("outcome.timed_out"));
@@ -951,27 +951,27 @@
     void connectionNearIdleLimitIsNotReused() {
         listOneNode();
         client.send(readRequest(1, ""));
-        MemoryEndPoint node = harness.up();
+        MemoryEndPoint node = harness.connectLast();
         node.send(okAnswer("x"));
-        harness.run(11_000_000);
+        harness.advance(11_000_000);
         client.send(readRequest(2, ""));
-        assertEquals(0, harness.dialed.size());
+        assertEquals(0, harness.dials.size());
         node.send(okAnswer("x"));
-        harness.run(13_000_001);
+        harness.advance(13_000_001);
         assertFalse(node.isOpen());
         client.send(readRequest(3, ""));
-        assertEquals(1, harness.dialed.size());
+        assertEquals(1, harness.dials.size());
     }
 
     @Test
     void idleConnectionClosedByNodeFailsNoRequest() {
         listOneNode();
         client.send(readRequest(1, ""));
-        MemoryEndPoint node = harness.up();
+        MemoryEndPoint node = harness.connectLast();
         node.send(okAnswer("x"));
         node.sendEof();
         client.send(readRequest(2, ""));
-        harness.up().send(okAnswer("y"));
+        harness.connectLast().send(okAnswer("y"));
         assertEquals(List.of("200", "200"), statuses(client.takeReceived()));
     }
 
@@ -979,9 +979,9 @@
     void connectionsToRestartedNodeAreClosed() {
         listOneNode();
         client.send(readRequest(1, ""));
-        MemoryEndPoint node = harness.up();
+        MemoryEndPoint node = harness.connectLast();
         node.send(okAnswer("x"));
-        harness.list(Harness.node("s-00000001", 3, NodeState.READY, 900_000));
+        harness.setNodes(BrokerFixture.node("s-00000001", 3, NodeState.READY, 900_000));
         assertFalse(node.isOpen());
     }
 
@@ -989,34 +989,34 @@
     void movedNodeIsReachedAtItsNewAddress() {
         listOneNode();
         client.send(readRequest(1, ""));
-        MemoryEndPoint oldConnection = harness.up();
+        MemoryEndPoint oldConnection = harness.connectLast();
         oldConnection.send(okAnswer("x"));
-        Node listed = Harness.node("s-00000001", 3, NodeState.READY, 0);
-        harness.list(new Node(listed.name(), "127.0.0.2:9002", listed.entry()));
+        Node listed = BrokerFixture.node("s-00000001", 3, NodeState.READY, 0);
+        harness.setNodes(new Node(listed.name(), "127.0.0.2:9002", listed.entry()));
         assertFalse(oldConnection.isOpen());
         client.send(readRequest(2, ""));
-        assertEquals("/127.0.0.2:9002", harness.dialed.get(0).address().toString());
+        assertEquals("/127.0.0.2:9002", harness.dials.get(0).address().toString());
     }
 
     @Test
     void removedOrUnlistedNodeGetsNoRequest() {
         listOneNode();
-        harness.broker.updateNodes(NodeListKind.CHANGES, List.of(Harness.node("s-00000001", 3, NodeState.GONE, 0)));
+        harness.broker.updateNodes(NodeListKind.CHANGES, List.of(BrokerFixture.node("s-00000001", 3, NodeState.GONE, 0)));
         client.send(readRequest(1, ""));
         listOneNode();
-        harness.list(Harness.node("s-00000002", 4, NodeState.READY, 0));
+        harness.setNodes(BrokerFixture.node("s-00000002", 4, NodeState.READY, 0));
         client.send(readRequest(2, ""));
-        assertEquals(List.of(), harness.dialed);
+        assertEquals(List.of(), harness.dials);
         assertEquals(List.of("503", "503"), statuses(client.takeReceived()));
     }
 
     @Test
     void wholeNodeListReplacesCachedOne() {
-        harness.broker.updateNodes(NodeListKind.CACHED, List.of(Harness.node("s-00000009", 3, NodeState.READY, 0)));
+        harness.broker.updateNodes(NodeListKind.CACHED, List.of(BrokerFixture.node("s-00000009", 3, NodeState.READY, 0)));
         listOneNode();
         client.send(readRequest(1, ""));
-        assertEquals(1, harness.dialed.size());
-        harness.up().send(okAnswer("x"));
+        assertEquals(1, harness.dials.size());
+        harness.connectLast().send(okAnswer("x"));
         assertEquals(List.of("200"), statuses(client.takeReceived()));
     }
 
@@ -1025,14 +1025,14 @@
         listOneNode();
         client.send(readRequest(1, ""));
         MemoryEndPoint readyClient = MemoryEndPoint.open(front::accept);
-        MemoryEndPoint node = harness.up();
+        MemoryEndPoint node = harness.connectLast();
         lifecycle.terminate(harness.nowUs);
         readyClient.send("GET /ready HTTP/1.1\r\nHost: b\r\n\r\n");
         assertEquals(List.of("503"), statuses(readyClient.takeReceived()));
         MemoryEndPoint idleClient = MemoryEndPoint.open(front::accept);
         front.closeIdle(9);
         assertTrue(idleClient.isOpen());
-        harness.run(600_000);
+        harness.advance(600_000);
         front.closeIdle(9);
         assertTrue(idleClient.isOutputShutdown());
         idleClient.send(readRequest(7, ""));
@@ -1074,13 +1074,13 @@
     @Test
     void probeReturnsLoadReportOrTimesOut() {
         List<String> results = new ArrayList<>();
-        Node node = Harness.node("s-00000001", 3, NodeState.READY, 0);
+        Node node = BrokerFixture.node("s-00000001", 3, NodeState.READY, 0);
         pool.probe(node, 250_000, (outcome, load) -> results.add(outcome + " " + load));
-        MemoryEndPoint nodeEnd = harness.up();
+        MemoryEndPoint nodeEnd = harness.connectLast();
         assertTrue(nodeEnd.takeReceived().startsWith("GET /status/load HTTP/1.1\r\n"));
         nodeEnd.send(okAnswer("TEXT util=0.61, queue=2"));
         pool.probe(node, 250_000, (outcome, load) -> results.add(outcome + " " + load));
-        harness.run(250_000);
+        harness.advance(250_000);
         assertEquals(List.of("SERVED {util=0.61, queue=2.0}", "TIMED_OUT {}"), results);
         assertFalse(nodeEnd.isOpen());
         assertEquals(0, pool.connectionCount());
@@ -1133,8 +1133,8 @@
                     unsent.delete(0, length);
                 }
                 case 5, 6, 7, 9, 10, 11, 12 -> {
-                    while (!test.harness.dialed.isEmpty()) {
-                        nodes.add(test.harness.up());
+                    while (!test.harness.dials.isEmpty()) {
+                        nodes.add(test.harness.connectLast());
                     }
                     nodes.forEach(node -> answer(node, step));
                 }
@@ -1153,9 +1153,9 @@
         int completeRequests =
                 open ? requested - (unsent.length() + length - 1) / length + (unsent.length() % length > 0 ? 1 : 0) : 0;
         for (int i = 0; i < requested && requested < 10; i++) {
-            test.harness.run(1_500_000);
+            test.harness.advance(1_500_000);
         }
-        test.harness.run(requested < 10 ? HttpFront.REQUEST_TIMEOUT_US : 0);
+        test.harness.advance(requested < 10 ? HttpFront.REQUEST_TIMEOUT_US : 0);
         received.append(test.client.takeReceived());
         assertEquals(0, test.harness.broker.openRequests());
         if (open && requested < 10) {
