--- a/src/test/java/petrelstand/accounts/LatencyHistoryTest.java
+++ b/src/test/java/petrelstand/accounts/LatencyHistoryTest.java
@@ -8,10 +8,10 @@
 import org.junit.jupiter.api.Test;
 import petrelstand.accounts.LatencyAttributor.RequestLatency;
 import petrelstand.accounts.LatencyAttributor.WaitShare;
-import petrelstand.accounts.LatencyHistory.RequestGroup;
 import petrelstand.accounts.LatencyHistory.Phase;
+import petrelstand.accounts.LatencyHistory.RequestGroup;
 
-/** The last minutes and seconds, and that they stay as large as they are. */
+/** Guards against wrong statistics of minutes and seconds, and against their growth with the number of nodes. */
 class LatencyHistoryTest {
     private final LatencyHistory history = new LatencyHistory();
 
@@ -42,11 +42,21 @@
         assertEquals(2, history.lastMinute().requests());
         assertEquals(60_000_000, history.currentMinute().fromUs());
         assertEquals(
-                300_000, history.lastMinute().percentiles(RequestGroup.forClass(0, 0), Phase.WAITED).maxUs(), 3_000);
-        assertEquals(110_000, history.lastMinute().percentiles(RequestGroup.forNode(7), Phase.TOTAL).p50Us(), 1_100);
+                300_000,
+                history.lastMinute()
+                        .percentiles(RequestGroup.forClass(0, 0), Phase.WAITED)
+                        .maxUs(),
+                3_000);
+        assertEquals(
+                110_000,
+                history.lastMinute()
+                        .percentiles(RequestGroup.forNode(7), Phase.TOTAL)
+                        .p50Us(),
+                1_100);
         List<LatencyHistory.SecondStats> seconds = history.seconds(60_500_000);
         assertEquals(
-                List.of(59L, 60L), seconds.stream().map(LatencyHistory.SecondStats::second).toList());
+                List.of(59L, 60L),
+                seconds.stream().map(LatencyHistory.SecondStats::second).toList());
         assertEquals(Cause.work(9, 2), seconds.get(0).topWaits().get(0).key().cause());
         assertEquals(400_000, seconds.get(0).waitUs());
         assertEquals(List.of(), history.seconds(600_000_000));
@@ -59,9 +69,17 @@
         }
         assertTrue(history.currentMinute().groups().size() <= LatencyHistory.MAX_GROUPS + 1);
         assertEquals(
-                10_000, history.currentMinute().percentiles(RequestGroup.forClass(0, 0), Phase.TOTAL).count());
-        assertTrue(history.currentMinute().percentiles(RequestGroup.OTHERS, Phase.TOTAL).count() > 9_000);
-        assertEquals(LatencyHistory.MAX_MINUTE_ENTRIES, history.currentMinute().topWaits().size());
+                10_000,
+                history.currentMinute()
+                        .percentiles(RequestGroup.forClass(0, 0), Phase.TOTAL)
+                        .count());
+        assertTrue(history.currentMinute()
+                        .percentiles(RequestGroup.OTHERS, Phase.TOTAL)
+                        .count()
+                > 9_000);
+        assertEquals(
+                LatencyHistory.MAX_MINUTE_ENTRIES,
+                history.currentMinute().topWaits().size());
         assertEquals(10_000_000, history.currentMinute().topWaits().totalWaitUs());
     }
 }
