--- a/src/main/java/petrelstand/Gateway.java
+++ b/src/main/java/petrelstand/Gateway.java
@@ -284,7 +284,8 @@
         if (operationPart != null) {
             operationPart.takeOver();
         }
-        broker.updateNodes(NodeListKind.CACHED, addRsyncNodes(config.cachedNodes().nodes()));
+        broker.updateNodes(
+                NodeListKind.CACHED, addRsyncNodes(config.cachedNodes().nodes()));
         // Starts discovery in another iteration of the loop, so that the warm-up does not count as its silence.
         timers.schedule(clock.nowUs() + 1, this::startDiscovery);
     }
--- a/src/main/java/petrelstand/HotRestartPart.java
+++ b/src/main/java/petrelstand/HotRestartPart.java
@@ -19,11 +19,11 @@
 import petrelstand.lifecycle.ProcessShare;
 import petrelstand.state.Snapshot;
 import petrelstand.state.SnapshotEvaluator;
+import petrelstand.store.FileFormatException;
 import petrelstand.store.ProcessMarks;
-import petrelstand.store.ProcessMarks.ScanResult;
 import petrelstand.store.ProcessMarks.OtherProcess;
+import petrelstand.store.ProcessMarks.ScanResult;
 import petrelstand.store.SnapshotFormat;
-import petrelstand.store.FileFormatException;
 
 /**
  * Hot restart: two processes of one gateway run side by side while the newer one replaces the older. Each scans for the
@@ -96,7 +96,8 @@
                 1,
                 List.of(new LearnedNode(1, 0, 1, 1, 3, 10, 0, 0)),
                 List.of(new LearnedVolume(1, 0, 1, 1, 0, 0, 0)));
-        Snapshot snapshot = new Snapshot(config.name(), Snapshot.fingerprint(config.settings()), 1, nowMs, false, learned);
+        Snapshot snapshot =
+                new Snapshot(config.name(), Snapshot.fingerprint(config.settings()), 1, nowMs, false, learned);
         new SnapshotEvaluator(config.name(), config.settings())
                 .evaluate(SnapshotFormat.decode(SnapshotFormat.encode(snapshot)), nowMs);
     }
@@ -131,8 +132,8 @@
                 return null;
             }
             Snapshot snapshot = SnapshotFormat.decode(Files.readAllBytes(file));
-            SnapshotEvaluator.Evaluation verdict =
-                    new SnapshotEvaluator(config.name(), config.settings()).evaluate(snapshot, System.currentTimeMillis());
+            SnapshotEvaluator.Evaluation verdict = new SnapshotEvaluator(config.name(), config.settings())
+                    .evaluate(snapshot, System.currentTimeMillis());
             log.accept(
                     verdict.rejectionReason() != null
                             ? "the state of the other process is not used: " + verdict.rejectionReason()
--- a/src/main/java/petrelstand/RulesPart.java
+++ b/src/main/java/petrelstand/RulesPart.java
@@ -43,8 +43,8 @@
 import petrelstand.fleet.FleetService;
 import petrelstand.http.HttpFront;
 import petrelstand.store.DiskFolder;
-import petrelstand.store.VersionedTextFile;
 import petrelstand.store.FileFormatException;
+import petrelstand.store.VersionedTextFile;
 
 /**
  * Runs the agreed rules in a gateway: the lease holder on the event loop and, if this gateway votes, the voter with its
--- a/src/main/java/petrelstand/cli/StateCommand.java
+++ b/src/main/java/petrelstand/cli/StateCommand.java
@@ -15,10 +15,10 @@
 import java.util.stream.Stream;
 import petrelstand.decision.Scheduling.LearnedNode;
 import petrelstand.decision.Scheduling.LearnedVolume;
-import petrelstand.state.SnapshotFiles;
 import petrelstand.state.Snapshot;
-import petrelstand.store.SnapshotFormat;
+import petrelstand.state.SnapshotFiles;
 import petrelstand.store.FileFormatException;
+import petrelstand.store.SnapshotFormat;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
@@ -227,8 +227,9 @@
                 for (Path file : snapshots(folder)) {
                     try {
                         Snapshot snapshot = read(file);
-                        long named =
-                                SnapshotFiles.parseGeneration(file.getFileName().toString()).orElseThrow();
+                        long named = SnapshotFiles.parseGeneration(
+                                        file.getFileName().toString())
+                                .orElseThrow();
                         if (snapshot.generation() != named) {
                             throw new IOException("offset 16: it says it is generation " + snapshot.generation());
                         }
--- a/src/main/java/petrelstand/consensus/RaftFiles.java
+++ b/src/main/java/petrelstand/consensus/RaftFiles.java
@@ -19,9 +19,9 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import petrelstand.cbor.CborReader;
+import petrelstand.store.FileFormatException;
 import petrelstand.store.Folder;
 import petrelstand.store.SnapshotFormat;
-import petrelstand.store.FileFormatException;
 
 /**
  * A voter's files. Each flush writes a small numbered file and syncs it before the voter sends anything that depends on
--- a/src/main/java/petrelstand/fleet/FleetService.java
+++ b/src/main/java/petrelstand/fleet/FleetService.java
@@ -109,10 +109,11 @@
      */
     public void open() throws IOException {
         try {
-            transport =
-                    new DatagramTransport(config.listenAddress(), config.keys(), loop, this::receive, this::incrementCounter);
+            transport = new DatagramTransport(
+                    config.listenAddress(), config.keys(), loop, this::receive, this::incrementCounter);
         } catch (IOException e) {
-            throw new IOException("cannot listen on " + config.listenAddress() + " for the fleet: " + e.getMessage(), e);
+            throw new IOException(
+                    "cannot listen on " + config.listenAddress() + " for the fleet: " + e.getMessage(), e);
         }
         incarnation = wallClockMs.getAsLong() * MICROS_PER_MILLI;
         if (config.incarnationFolder() != null) {
@@ -154,7 +155,14 @@
                 build == null ? "unpacked" : build,
                 config.abilities());
         membership = membershipFactory.create(
-                nowUs.getAsLong(), config.fleetName(), self, config.seedAddresses(), config.expectedSize(), config.timing(), seed, this);
+                nowUs.getAsLong(),
+                config.fleetName(),
+                self,
+                config.seedAddresses(),
+                config.expectedSize(),
+                config.timing(),
+                seed,
+                this);
         log.accept("joining " + config.fleetName() + " as " + name + ", incarnation " + incarnation + ", listening on "
                 + config.listenAddress());
         recordEvent("started", memberJson(self));
--- a/src/main/java/petrelstand/lab/Day.java
+++ b/src/main/java/petrelstand/lab/Day.java
@@ -282,7 +282,8 @@
 
         void begin(Snapshot kept) {
             if (kept != null) {
-                SnapshotEvaluator.Evaluation verdict = new SnapshotEvaluator("g" + index, settings).evaluate(kept, nowUs / 1000.0);
+                SnapshotEvaluator.Evaluation verdict =
+                        new SnapshotEvaluator("g" + index, settings).evaluate(kept, nowUs / 1000.0);
                 outcome.remembered += verdict.learned().nodes().size();
                 broker.restoreLearnedState(verdict.learned());
             }
--- a/src/main/java/petrelstand/lab/KillWrites.java
+++ b/src/main/java/petrelstand/lab/KillWrites.java
@@ -15,9 +15,9 @@
 import petrelstand.decision.Scheduling.LearnedNode;
 import petrelstand.decision.Scheduling.LearnedState;
 import petrelstand.decision.Scheduling.LearnedVolume;
-import petrelstand.state.SnapshotFiles;
 import petrelstand.state.Snapshot;
 import petrelstand.state.SnapshotEvaluator;
+import petrelstand.state.SnapshotFiles;
 import petrelstand.store.DiskFolder;
 import petrelstand.store.SnapshotStore;
 
@@ -170,7 +170,8 @@
                     newest.wallMs(),
                     newest.cleanShutdown(),
                     newest.learned());
-            SnapshotEvaluator.Evaluation verdict = new SnapshotEvaluator("tryout", settings).evaluate(known, newest.wallMs() + 1000.0);
+            SnapshotEvaluator.Evaluation verdict =
+                    new SnapshotEvaluator("tryout", settings).evaluate(known, newest.wallMs() + 1000.0);
             return verdict.rejectionReason() != null
                     || verdict.learned().nodes().stream().anyMatch(node -> node.measuredSlots() > MOST_SLOTS)
                     || verdict.learned().volumes().stream().anyMatch(volume -> volume.limitLevel() > 0);
--- a/src/main/java/petrelstand/rsync/ClientSession.java
+++ b/src/main/java/petrelstand/rsync/ClientSession.java
@@ -83,7 +83,8 @@
         } else if (!isClosed()) {
             front.broker().counters().increment("rsync.idle");
             front.log("closing a client session after "
-                    + DaemonLines.formatSeconds(front.config().idleTimeoutUs()) + " s without progress in state " + state);
+                    + DaemonLines.formatSeconds(front.config().idleTimeoutUs()) + " s without progress in state "
+                    + state);
             leaveExchange("idle for " + DaemonLines.formatSeconds(front.config().idleTimeoutUs()) + " s");
         }
     }
--- a/src/main/java/petrelstand/store/AccountsRecord.java
+++ b/src/main/java/petrelstand/store/AccountsRecord.java
@@ -12,8 +12,8 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import petrelstand.accounts.LatencyHistory;
 import petrelstand.accounts.Cause;
+import petrelstand.accounts.LatencyHistory;
 import petrelstand.accounts.TopWaits;
 
 /**
@@ -39,7 +39,8 @@
     public record MinuteRecord(long fromSecond, long requests, long served, List<GroupPhases> groups) {}
 
     /** The content of a file; {@code fault} says why reading stopped early, null if it did not. */
-    public record Content(NameTable names, List<LatencyHistory.SecondStats> seconds, List<MinuteRecord> minutes, String fault) {}
+    public record Content(
+            NameTable names, List<LatencyHistory.SecondStats> seconds, List<MinuteRecord> minutes, String fault) {}
 
     private AccountsRecord() {}
 
@@ -119,7 +120,11 @@
                 out.writeNumber(group.group().node());
                 for (LatencyHistory.Percentiles percentiles : group.phases()) {
                     for (long value : new long[] {
-                        percentiles.count(), percentiles.p50Us(), percentiles.p90Us(), percentiles.p99Us(), percentiles.maxUs()
+                        percentiles.count(),
+                        percentiles.p50Us(),
+                        percentiles.p90Us(),
+                        percentiles.p99Us(),
+                        percentiles.maxUs()
                     }) {
                         out.writeNumber(value);
                     }
@@ -235,8 +240,8 @@
             Cause cause = new Cause(
                     Cause.Kind.values()[Math.floorMod(causeKind, Cause.Kind.values().length)], readLong(in), (int)
                             readLong(in));
-            causes.add(
-                    new TopWaits.Entry(new TopWaits.WaitKey(node, volume, requestClass, cause), readLong(in), readLong(in)));
+            causes.add(new TopWaits.Entry(
+                    new TopWaits.WaitKey(node, volume, requestClass, cause), readLong(in), readLong(in)));
         }
         return new LatencyHistory.SecondStats(second, requests, waitUs, causes);
     }
@@ -247,10 +252,12 @@
         long served = readLong(in);
         List<GroupPhases> groups = new ArrayList<>();
         for (JsonToken token = beginArray(in); token != JsonToken.END_ARRAY; token = in.nextToken()) {
-            LatencyHistory.RequestGroup group = new LatencyHistory.RequestGroup((int) currentLong(in), (int) readLong(in), readLong(in));
+            LatencyHistory.RequestGroup group =
+                    new LatencyHistory.RequestGroup((int) currentLong(in), (int) readLong(in), readLong(in));
             List<LatencyHistory.Percentiles> phases = new ArrayList<>();
             for (int i = 0; i < LatencyHistory.Phase.values().length; i++) {
-                phases.add(new LatencyHistory.Percentiles(readLong(in), readLong(in), readLong(in), readLong(in), readLong(in)));
+                phases.add(new LatencyHistory.Percentiles(
+                        readLong(in), readLong(in), readLong(in), readLong(in), readLong(in)));
             }
             groups.add(new GroupPhases(group, phases));
         }
--- a/src/test/java/petrelstand/LoopbackTest.java
+++ b/src/test/java/petrelstand/LoopbackTest.java
@@ -190,7 +190,8 @@
         Path xds = Files.writeString(folder.resolve("xds.json"), Configs.xds(Map.of(daemon.port(), "HEALTHY")));
         var bad = new java.util.concurrent.CompletableFuture<String>();
         Thread follower = OperatorConfig.load(ini, config.settings())
-                .startWatching(config.settings(), changed -> gateway.execute(() -> gateway.reload(changed)), bad::complete);
+                .startWatching(
+                        config.settings(), changed -> gateway.execute(() -> gateway.reload(changed)), bad::complete);
         closeAfterTest(follower::interrupt);
         Files.writeString(xds, "[");
         Files.setLastModifiedTime(xds, java.nio.file.attribute.FileTime.fromMillis(1000));
@@ -276,7 +277,8 @@
     /** Returns the golden pull up to its data, then one token of a gigabyte. */
     private static byte[] endlessStart() {
         byte[] files = java.util.Arrays.copyOf(GoldenTransfers.pullFromNode(), 4 + 4 + filesLength());
-        byte[] token = GoldenTransfers.hex("01000000" + "0080" + "00000000" + "00000000" + "00000000" + "00000000" + "00000040");
+        byte[] token = GoldenTransfers.hex(
+                "01000000" + "0080" + "00000000" + "00000000" + "00000000" + "00000000" + "00000040");
         byte[] head = GoldenTransfers.hex("1a000007");
         return GoldenTransfers.join(files, head, token);
     }
--- a/src/test/java/petrelstand/config/ConfigTest.java
+++ b/src/test/java/petrelstand/config/ConfigTest.java
@@ -10,8 +10,8 @@
 import petrelstand.decision.Scheduling.DedupGroup;
 import petrelstand.decision.Scheduling.NodeEntry;
 import petrelstand.decision.Scheduling.NodeState;
-import petrelstand.testing.Configs;
 import petrelstand.testing.BrokerFixture;
+import petrelstand.testing.Configs;
 
 /** Tests reading the gateway's file, node lists and the operator's file. */
 class ConfigTest {
--- a/src/test/java/petrelstand/core/BrokerTest.java
+++ b/src/test/java/petrelstand/core/BrokerTest.java
@@ -377,7 +377,8 @@
 
     private void playInOneTurn(List<Integer> order, Outcome outcome, int classIndex) {
         harness.setNodes(
-                BrokerFixture.node("s-00000001", 3, NodeState.READY, 0), BrokerFixture.node("s-00000002", 3, NodeState.READY, 0));
+                BrokerFixture.node("s-00000001", 3, NodeState.READY, 0),
+                BrokerFixture.node("s-00000002", 3, NodeState.READY, 0));
         Client client = submit(classIndex, 3, 1_500_000);
         Attempt first = started.get(0);
         Node node = first.node();
--- a/src/test/java/petrelstand/core/LimitBoundTest.java
+++ b/src/test/java/petrelstand/core/LimitBoundTest.java
@@ -15,8 +15,8 @@
 import petrelstand.decision.Scheduling.Settings;
 import petrelstand.lifecycle.ProcessShare;
 import petrelstand.testing.BrokerFixture;
-import petrelstand.testing.StubNodeTransport;
 import petrelstand.testing.StubClientHandler;
+import petrelstand.testing.StubNodeTransport;
 
 /**
  * Simulates gateways whose processes are replaced, paused and killed, with slow connections and slow request bodies,
@@ -34,8 +34,8 @@
     /** From the write of the last byte to its arrival. */
     private static final long NETWORK_DELAY_US = 2_000;
 
-    private static final String SETTINGS = (BrokerFixture.SETTINGS + "plans.0.limit=" + RATE + "\nplans.0.burst=" + BURST
-                    + "\n")
+    private static final String SETTINGS = (BrokerFixture.SETTINGS + "plans.0.limit=" + RATE + "\nplans.0.burst="
+                    + BURST + "\n")
             .replace("balancers=1", "balancers=" + GATEWAYS);
 
     /** The volume's token bucket as the limit defines it: full at first, charged when units arrive. */
--- a/src/test/java/petrelstand/core/ModuleMemoryTest.java
+++ b/src/test/java/petrelstand/core/ModuleMemoryTest.java
@@ -11,8 +11,8 @@
 import petrelstand.decision.Scheduling.Outcome;
 import petrelstand.lifecycle.MemoryLimits;
 import petrelstand.testing.BrokerFixture;
-import petrelstand.testing.StubNodeTransport;
 import petrelstand.testing.StubClientHandler;
+import petrelstand.testing.StubNodeTransport;
 
 /** Checks that volumes and nodes use no more heap than the memory limits reserve for them. */
 class ModuleMemoryTest {
--- a/src/test/java/petrelstand/fleet/MemberMessagesCompatibilityTest.java
+++ b/src/test/java/petrelstand/fleet/MemberMessagesCompatibilityTest.java
@@ -17,8 +17,9 @@
 
 /**
  * Guards against datagrams that gateways of an earlier version can't read, or that this one can't read from them. The
- * messages are {@link #ENVELOPES} in order, each encoded by {@link MessageCodec} and signed by {@link DatagramAuthenticator} with {@link #KEY};
- * the datagram about rules is {@link #RULES_ENVELOPE}, encoded by {@link HttpProtocol} and sealed with the same key.
+ * messages are {@link #ENVELOPES} in order, each encoded by {@link MessageCodec} and signed by
+ * {@link DatagramAuthenticator} with {@link #KEY}; the datagram about rules is {@link #RULES_ENVELOPE}, encoded by
+ * {@link HttpProtocol} and sealed with the same key.
  */
 class MemberMessagesCompatibilityTest {
     private static final String MEMBERS_FILE = "wire/member-messages.hex";
@@ -80,7 +81,8 @@
     }
 
     static byte[] datagram(petrelstand.consensus.Envelope envelope) {
-        return new DatagramAuthenticator(List.of(KEY)).sign(DatagramAuthenticator.RULES_MAGIC, WireCodec.encode(envelope));
+        return new DatagramAuthenticator(List.of(KEY))
+                .sign(DatagramAuthenticator.RULES_MAGIC, WireCodec.encode(envelope));
     }
 
     @Test
@@ -89,8 +91,10 @@
         assertEquals(ENVELOPES.size(), datagrams.size());
         for (int i = 0; i < ENVELOPES.size(); i++) {
             byte[] datagram = datagrams.get(i);
-            assertEquals(DatagramAuthenticator.MEMBERSHIP_MAGIC, DatagramAuthenticator.magic(ByteBuffer.wrap(datagram)));
-            Envelope read = MessageCodec.decode(new DatagramAuthenticator(List.of(KEY)).verify(ByteBuffer.wrap(datagram)));
+            assertEquals(
+                    DatagramAuthenticator.MEMBERSHIP_MAGIC, DatagramAuthenticator.magic(ByteBuffer.wrap(datagram)));
+            Envelope read =
+                    MessageCodec.decode(new DatagramAuthenticator(List.of(KEY)).verify(ByteBuffer.wrap(datagram)));
             assertEquals(ENVELOPES.get(i), read);
             assertArrayEquals(datagram, datagram(read));
         }
@@ -100,7 +104,8 @@
     void rulesDatagramIsReadAndWrittenAsBefore() throws Exception {
         byte[] datagram = StoredFiles.messages(RULES_FILE).get(0);
         assertEquals(DatagramAuthenticator.RULES_MAGIC, DatagramAuthenticator.magic(ByteBuffer.wrap(datagram)));
-        petrelstand.consensus.Envelope read = WireCodec.decode(new DatagramAuthenticator(List.of(KEY)).verify(ByteBuffer.wrap(datagram)));
+        petrelstand.consensus.Envelope read =
+                WireCodec.decode(new DatagramAuthenticator(List.of(KEY)).verify(ByteBuffer.wrap(datagram)));
         assertEquals(RULES_ENVELOPE, read);
         assertArrayEquals(datagram, datagram(read));
     }
--- a/src/test/java/petrelstand/http/HttpFrontSearchTest.java
+++ b/src/test/java/petrelstand/http/HttpFrontSearchTest.java
@@ -118,7 +118,8 @@
         private int nextId;
 
         Simulation(boolean cancelsAttempts) {
-            harness = new BrokerFixture(BrokerFixture.SETTINGS.replace("caps.cancel=true", "caps.cancel=" + cancelsAttempts));
+            harness = new BrokerFixture(
+                    BrokerFixture.SETTINGS.replace("caps.cancel=true", "caps.cancel=" + cancelsAttempts));
             pool = new NodeConnectionPool(
                     harness::dial,
                     () -> harness.nowUs,
@@ -193,7 +194,8 @@
 
         private void setNodeState(NodeState state, double upSinceMs) {
             nodeReady = state == NodeState.READY;
-            harness.broker.updateNodes(NodeListKind.CHANGES, List.of(BrokerFixture.node("s-00000001", 3, state, upSinceMs)));
+            harness.broker.updateNodes(
+                    NodeListKind.CHANGES, List.of(BrokerFixture.node("s-00000001", 3, state, upSinceMs)));
         }
 
         private void perform(Step step, int pick) {
--- a/src/test/java/petrelstand/http/HttpFrontTest.java
+++ b/src/test/java/petrelstand/http/HttpFrontTest.java
@@ -211,7 +211,8 @@
     @Test
     void secondAttemptSendsRemainingTimeOfClient() {
         harness.setNodes(
-                BrokerFixture.node("s-00000001", 3, NodeState.READY, 0), BrokerFixture.node("s-00000002", 3, NodeState.READY, 0));
+                BrokerFixture.node("s-00000001", 3, NodeState.READY, 0),
+                BrokerFixture.node("s-00000002", 3, NodeState.READY, 0));
         client.send(readRequest(1, ""));
         MemoryEndPoint firstNode = harness.connectLast();
         assertTrue(firstNode.takeReceived().contains("X-Remaining-Ms: 1400\r\n"));
@@ -254,11 +255,14 @@
                 otherHarness.broker.updateNodes(NodeListKind.CHANGES, drains);
             }
             otherHarness.broker.updateSettings(
-                    new BrokerFixture(BrokerFixture.SETTINGS.replace("caps.most_tries=3", "caps.most_tries=2")).settings);
+                    new BrokerFixture(BrokerFixture.SETTINGS.replace("caps.most_tries=3", "caps.most_tries=2"))
+                            .settings);
             if (!drainFirst) {
                 otherHarness.broker.updateNodes(NodeListKind.CHANGES, drains);
             }
-            assertEquals("", HeldInputEndPoint.open(pendingDial.connector()::connected).takeReceived());
+            assertEquals(
+                    "",
+                    HeldInputEndPoint.open(pendingDial.connector()::connected).takeReceived());
             otherClient.send(readRequest(2, ""));
             otherHarness.advance(2_000_000);
             assertEquals(0, otherHarness.dials.size());
@@ -405,7 +409,8 @@
     /** Fails if an attempt starts for a client that has left, where settings forbid cancelling attempts. */
     @Test
     void abandonedRequestIsNotSentOnLateConnection() {
-        BrokerFixture otherHarness = new BrokerFixture(BrokerFixture.SETTINGS.replace("caps.cancel=true", "caps.cancel=false"));
+        BrokerFixture otherHarness =
+                new BrokerFixture(BrokerFixture.SETTINGS.replace("caps.cancel=true", "caps.cancel=false"));
         NodeConnectionPool otherPool = new NodeConnectionPool(
                 otherHarness::dial,
                 () -> otherHarness.nowUs,
@@ -1001,7 +1006,8 @@
     @Test
     void removedOrUnlistedNodeGetsNoRequest() {
         listOneNode();
-        harness.broker.updateNodes(NodeListKind.CHANGES, List.of(BrokerFixture.node("s-00000001", 3, NodeState.GONE, 0)));
+        harness.broker.updateNodes(
+                NodeListKind.CHANGES, List.of(BrokerFixture.node("s-00000001", 3, NodeState.GONE, 0)));
         client.send(readRequest(1, ""));
         listOneNode();
         harness.setNodes(BrokerFixture.node("s-00000002", 4, NodeState.READY, 0));
@@ -1012,7 +1018,8 @@
 
     @Test
     void wholeNodeListReplacesCachedOne() {
-        harness.broker.updateNodes(NodeListKind.CACHED, List.of(BrokerFixture.node("s-00000009", 3, NodeState.READY, 0)));
+        harness.broker.updateNodes(
+                NodeListKind.CACHED, List.of(BrokerFixture.node("s-00000009", 3, NodeState.READY, 0)));
         listOneNode();
         client.send(readRequest(1, ""));
         assertEquals(1, harness.dials.size());
--- a/src/test/java/petrelstand/rsync/SessionModelTest.java
+++ b/src/test/java/petrelstand/rsync/SessionModelTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.Test;
 import petrelstand.config.RsyncConfig;
 import petrelstand.net.MemoryEndPoint;
-import petrelstand.testing.Configs;
 import petrelstand.testing.BrokerFixture;
+import petrelstand.testing.Configs;
 
 /** Runs sessions on in-memory connections: a client and a daemon script, sent in chunks and cut at random. */
 class SessionModelTest {
--- a/src/test/java/petrelstand/state/SnapshotEvaluatorTest.java
+++ b/src/test/java/petrelstand/state/SnapshotEvaluatorTest.java
@@ -41,7 +41,8 @@
         NOW_MS,
         NOW_MS + 1
     };
-    private final Settings settings = SettingsReader.parse(BrokerFixture.SETTINGS.replace("balancers=1", "balancers=4"));
+    private final Settings settings =
+            SettingsReader.parse(BrokerFixture.SETTINGS.replace("balancers=1", "balancers=4"));
     private final Settings limited = SettingsReader.parse(
             BrokerFixture.SETTINGS.replace("balancers=1", "balancers=4") + "plans.0.limit=60\nplans.0.burst=40\n");
     private final SnapshotEvaluator evaluator = new SnapshotEvaluator("n1", settings);
--- a/src/test/java/petrelstand/store/AccountsLogTest.java
+++ b/src/test/java/petrelstand/store/AccountsLogTest.java
@@ -19,10 +19,10 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import petrelstand.accounts.Cause;
 import petrelstand.accounts.LatencyAttributor.RequestLatency;
 import petrelstand.accounts.LatencyAttributor.WaitShare;
 import petrelstand.accounts.LatencyHistory;
-import petrelstand.accounts.Cause;
 import petrelstand.accounts.TopWaits;
 import petrelstand.core.Counters;
 
@@ -188,7 +188,8 @@
         book.close();
         assertEquals(130, seconds.size());
         assertEquals(
-                130 * 4_000, seconds.stream().mapToLong(LatencyHistory.SecondStats::waitUs).sum());
+                130 * 4_000,
+                seconds.stream().mapToLong(LatencyHistory.SecondStats::waitUs).sum());
         assertEquals(
                 List.of(0L, 60L, 120L),
                 minutes.stream().map(AccountsRecord.MinuteRecord::fromSecond).toList());
