--- a/src/test/java/petrelstand/store/AccountsLogTest.java
+++ b/src/test/java/petrelstand/store/AccountsLogTest.java
@@ -138,6 +138,12 @@
         assertEquals(1_000 - 256, counters.get("accounts.dropped"));
         assertTrue(!hung.close(50));
         diskResponds.countDown();
+        // The temporary folder is deleted next, so the writer must have ended.
+        boolean ended = false;
+        for (int attempt = 0; attempt < 400 && !ended; attempt++) {
+            ended = hung.close(50);
+        }
+        assertTrue(ended);
     }
 
     @Test
