--- a/src/main/java/petrelstand/accounts/LatencyAttributor.java
+++ b/src/main/java/petrelstand/accounts/LatencyAttributor.java
@@ -13,7 +13,7 @@
 /**
  * Attributes the latency of one gateway's requests: splits the time of each request into phases, and each wait among
  * its causes. It observes the broker, replays the gateway's requests in a {@link NodeModel} per node, and passes each
- * finished request to a {@link EventHandler}. It does no I/O and reads no clock; all its state is bounded.
+ * finished request to a {@link Sink}. It does no I/O and reads no clock; all its state is bounded.
  * docs/design/latency-accounts.md describes the method.
  */
 public final class LatencyAttributor implements RequestObserver {
--- a/src/main/java/petrelstand/decision/Scheduling.java
+++ b/src/main/java/petrelstand/decision/Scheduling.java
@@ -89,7 +89,7 @@
      * @param group nodes that drop repeats of a keyed request
      * @param repeatWindowMs time within which these nodes recognise a repeat
      * @param ordered true if requests of one key run one at a time
-     * @param streamed true if bodies are streamed; not used by the module
+     * @param streamed true if answers are streamed; not used by the module
      * @param writes true if requests of the class change data; not used by the module
      */
     public record RequestClass(
--- a/src/main/java/petrelstand/state/Snapshot.java
+++ b/src/main/java/petrelstand/state/Snapshot.java
@@ -11,10 +11,10 @@
  * The learned state of a gateway at one moment, as it is stored.
  *
  * @param gateway the gateway's name
- * @param settingsPrint {@link #fingerprint} of the settings in force when it was learned
+ * @param settingsFingerprint {@link #fingerprint} of the settings in force when it was learned
  * @param generation sequence number of the snapshot in its folder, from 1
  * @param wallMs when it was taken, in milliseconds of Unix time
- * @param clean true if the gateway accepted and sent nothing after it: the final snapshot of a clean shutdown
+ * @param cleanShutdown true if the gateway accepted and sent nothing after it: the final snapshot of a clean shutdown
  * @param learned the values exported by the decision module
  */
 public record Snapshot(
--- a/src/test/java/petrelstand/consensus/RulesMessagesCompatibilityTest.java
+++ b/src/test/java/petrelstand/consensus/RulesMessagesCompatibilityTest.java
@@ -24,7 +24,7 @@
 
 /**
  * Guards against messages about rules that gateways of an earlier version can't read, or that this one can't read from
- * them. The files hold what {@link HttpProtocol#encode} made of {@link #voterMessages()} and {@link #TALK}, in order.
+ * them. The files hold what {@link WireCodec#encode} made of {@link #voterMessages()} and {@link #TALK}, in order.
  */
 class RulesMessagesCompatibilityTest {
     private static final String VOTERS_FILE = "wire/voter-messages.hex";
--- a/src/test/java/petrelstand/fleet/MemberMessagesCompatibilityTest.java
+++ b/src/test/java/petrelstand/fleet/MemberMessagesCompatibilityTest.java
@@ -19,7 +19,7 @@
  * Guards against datagrams that gateways of an earlier version can't read, or that this one can't read from them. The
  * messages are {@link #ENVELOPES} in order, each encoded by {@link MessageCodec} and signed by
  * {@link DatagramAuthenticator} with {@link #KEY}; the datagram about rules is {@link #RULES_ENVELOPE}, encoded by
- * {@link HttpProtocol} and sealed with the same key.
+ * {@link WireCodec} and sealed with the same key.
  */
 class MemberMessagesCompatibilityTest {
     private static final String MEMBERS_FILE = "wire/member-messages.hex";
